--- a/internal/edge/batchjob/common_test.go
+++ b/internal/edge/batchjob/connected_test.go
@@ -18,22 +18,23 @@
 	product "github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// countingDoor counts the reads of each object of the store.
-type countingDoor struct {
-	*storeDoor
+// countingStore counts the reads of each object of the store.
+type countingStore struct {
+	*storeClient
 	mu    *sync.Mutex
 	reads map[string]int
 }
 
-func (d countingDoor) Get(ctx context.Context, kind, name string) (product.Object, error) {
-	d.mu.Lock()
-	d.reads[kind+"/"+name]++
-	d.mu.Unlock()
-	return d.storeDoor.Get(ctx, kind, name)
+func (c countingStore) Get(ctx context.Context, kind, name string) (product.Object, error) {
+	c.mu.Lock()
+	c.reads[kind+"/"+name]++
+	c.mu.Unlock()
+	return c.storeClient.Get(ctx, kind, name)
 }
 
-// connectedEntries starts count entries that share a store and can call each other. Reads counts the reads of each object.
-func connectedEntries(ctx context.Context, t *testing.T, store *sharedStore, count int) (managers []*Manager, reads map[string]int) {
+// newConnectedManagers returns the managers of count entries that share a store and can call each other. Reads counts the reads of each
+// object.
+func newConnectedManagers(ctx context.Context, t *testing.T, store *memoryStore, count int) (managers []*Manager, reads map[string]int) {
 	t.Helper()
 	reads = map[string]int{}
 	var mu sync.Mutex
@@ -41,7 +42,7 @@
 	members := make([]gossip.Member, count)
 	for i := range count {
 		registries[i] = peer.NewRegistry()
-		members[i] = gossip.Member{HostID: hostOf(i), Cores: 1, Address: served(ctx, t, registries[i])}
+		members[i] = gossip.Member{HostID: testHostID(i), Cores: 1, Address: startPeer(ctx, t, registries[i])}
 	}
 	for i := range count {
 		var others []gossip.Member
@@ -51,10 +52,10 @@
 			}
 		}
 		managers = append(managers, NewManager(ctx, Deps{
-			Store:   countingDoor{storeDoor: store.door(), mu: &mu, reads: reads},
-			Book:    backend.NewBook(hostOf(i), "north-a"),
+			Store:   countingStore{storeClient: store.client(), mu: &mu, reads: reads},
+			Book:    backend.NewBook(testHostID(i), "north-a"),
 			Peers:   peer.NewClient(ctx, []byte(testSecret)),
-			Members: entries{self: hostOf(i), others: others},
+			Members: fakeMembers{self: testHostID(i), others: others},
 			Outage:  func(time.Time) bool { return false },
 			Demand:  func() batch.Demand { return batch.Demand{} },
 			Metrics: NewMetrics(prometheus.NewRegistry()),
@@ -68,8 +69,8 @@
 func TestJobsNotInMemoryAreReadFromTheStoreOnce(t *testing.T) {
 	const count, pages = 12, 8
 	ctx, cancel := context.WithCancel(t.Context())
-	store := newSharedStore()
-	spec := storedSpec()
+	store := newMemoryStore()
+	spec := newStoredSpec()
 	spec.Items = nil
 	for number := 1; number <= pages; number++ {
 		item := fmt.Sprint("item", number)
@@ -77,7 +78,7 @@
 		store.put(t, KindPages, pageName(spec.ID, number), batch.Page{Writer: 9, Serial: number, Results: []batch.Result{{ID: item}}})
 	}
 	store.put(t, KindJobs, spec.ID, spec)
-	managers, reads := connectedEntries(ctx, t, store, count)
+	managers, reads := newConnectedManagers(ctx, t, store, count)
 	defer func() {
 		cancel()
 		for _, m := range managers {
@@ -103,17 +104,17 @@
 }
 
 // Guards against a read that fails while the loss of the job's store reader is undetected.
-func TestAJobIsReadThoughItsStoreReaderIsGone(t *testing.T) {
+func TestJobIsReadWithoutItsStoreReader(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	spec := storedSpec()
-	store := newSharedStore()
+	spec := newStoredSpec()
+	store := newMemoryStore()
 	store.put(t, KindJobs, spec.ID, spec)
 	store.put(t, KindPages, pageName(spec.ID, 1), batch.Page{Writer: 9, Serial: 1, Results: []batch.Result{{ID: "a"}, {ID: "b"}}})
 	var others []gossip.Member
 	for i := range 20 {
-		others = append(others, gossip.Member{HostID: hostOf(i), Cores: 1})
+		others = append(others, gossip.Member{HostID: testHostID(i), Cores: 1})
 	}
-	m := entryOf(ctx, store.door(), entries{self: "self", others: others})
+	m := newTestManager(ctx, store.client(), fakeMembers{self: "self", others: others})
 	defer m.Wait()
 	defer cancel()
 	_, results, err := m.Results(ctx, spec.ID, spec.Organisation, 0, 0, 1<<20)
@@ -133,16 +134,16 @@
 		formerOwner string
 		runs        int
 	}{
-		{name: "another entry ran it", formerOwner: hostOf(2), runs: 2},
-		{name: "this entry ran it", formerOwner: hostOf(0), runs: 0},
+		{name: "another entry ran it", formerOwner: testHostID(2), runs: 2},
+		{name: "this entry ran it", formerOwner: testHostID(0), runs: 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			ctx, cancel := context.WithCancel(t.Context())
-			spec := storedSpec()
-			store := newSharedStore()
+			spec := newStoredSpec()
+			store := newMemoryStore()
 			store.put(t, KindJobs, spec.ID, spec)
-			managers, reads := connectedEntries(ctx, t, store, 3)
+			managers, reads := newConnectedManagers(ctx, t, store, 3)
 			var waits conc.WaitGroup
 			defer waits.Wait()
 			for _, m := range managers {
@@ -155,7 +156,7 @@
 			managers[0].Reopen([]string{formatOpenNote(test.formerOwner, spec.ID)}, 0)
 			runs := func(i int) bool {
 				j, ok := managers[i].find(spec.ID)
-				return ok && j.running()
+				return ok && j.isRunning()
 			}
 			for end := time.Now().Add(3 * time.Second); !runs(test.runs) && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			}
@@ -174,10 +175,10 @@
 // Guards against several entries that read the notes of the lease reopening the same job at once.
 func TestEntriesThatReadTheNotesReopenJobsInTurn(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	spec := storedSpec()
-	store := newSharedStore()
+	spec := newStoredSpec()
+	store := newMemoryStore()
 	store.put(t, KindJobs, spec.ID, spec)
-	managers, reads := connectedEntries(ctx, t, store, 3)
+	managers, reads := newConnectedManagers(ctx, t, store, 3)
 	defer func() {
 		cancel()
 		for _, m := range managers {
@@ -185,12 +186,12 @@
 		}
 	}()
 	for turn, m := range managers {
-		m.Reopen([]string{formatOpenNote(hostOf(2), spec.ID)}, turn)
+		m.Reopen([]string{formatOpenNote(testHostID(2), spec.ID)}, turn)
 	}
-	time.Sleep(reopenPause + orphanPause/2)
+	time.Sleep(reopenDelay + rerunTurn/2)
 	running := 0
 	for _, m := range managers {
-		if j, ok := m.find(spec.ID); ok && j.running() {
+		if j, ok := m.find(spec.ID); ok && j.isRunning() {
 			running++
 		}
 	}
@@ -199,13 +200,13 @@
 	}
 }
 
-// Guards against an entry that reopens jobs before those that precede it had their turn.
-func TestAnEntryWaitsForItsTurnToReopenJobs(t *testing.T) {
+// Guards against an entry that reopens jobs before the entries that precede it had their turn.
+func TestEntryWaitsForItsTurnToReopenJobs(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	spec := storedSpec()
-	store := newSharedStore()
+	spec := newStoredSpec()
+	store := newMemoryStore()
 	store.put(t, KindJobs, spec.ID, spec)
-	managers, _ := connectedEntries(ctx, t, store, 2)
+	managers, _ := newConnectedManagers(ctx, t, store, 2)
 	defer func() {
 		cancel()
 		for _, m := range managers {
@@ -214,12 +215,12 @@
 	}()
 	runs := func() bool {
 		j, ok := managers[1].find(spec.ID)
-		return ok && j.running()
+		return ok && j.isRunning()
 	}
-	managers[0].Reopen([]string{formatOpenNote(hostOf(1), spec.ID)}, 2)
-	time.Sleep(reopenPause + orphanPause)
+	managers[0].Reopen([]string{formatOpenNote(testHostID(1), spec.ID)}, 2)
+	time.Sleep(reopenDelay + rerunTurn)
 	if runs() {
-		t.Error("the job was reopened before the turn")
+		t.Error("the job was reopened before the entry's turn")
 	}
 	for end := time.Now().Add(3 * time.Second); !runs(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
--- a/internal/edge/batchjob/contradiction_test.go
+++ b/internal/edge/batchjob/contradiction_test.go
@@ -16,113 +16,114 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/gossip"
 )
 
-// trialStepNames are the steps of a trial; those that stand first are drawn most.
-var trialStepNames = []string{"finish", "read", "give", "submit", "hear", "fault", "start", "late", "orphan", "body", "end", "outage", "forget"}
+// stepNames are the steps of a simulation; rapid draws the earlier ones more often.
+var stepNames = []string{"finish", "read", "give", "submit", "hear", "fault", "start", "late", "orphan", "body", "end", "outage", "forget"}
 
 const (
-	trialEntries = 3
-	trialItems   = 6
-	trialSteps   = 60
-	wholeList    = 1 << 20
+	entryCount   = 3
+	itemCount    = 6
+	maxSteps     = 60
+	maxReadBytes = 1 << 20
 )
 
-// trial is some entries that share a store and can't call each other, with all that any of them has shown of one job.
-type trial struct {
+// simulation is some entries that share a store and can't call each other, with all that any of them has shown of one job.
+type simulation struct {
 	t       *rapid.T
 	ctx     context.Context
-	store   *sharedStore
-	doors   []*storeDoor
+	store   *memoryStore
+	clients []*storeClient
 	entries []*Manager
 	stops   []context.CancelFunc
 	spec    batch.Job
-	// outage is set while the entries take the store for out of reach.
+	// outage is set while the entries assume that no entry reaches the store.
 	outage atomic.Bool
-	// accepted is set once an entry said so; shown are the results that any entry has shown, by position.
+	// accepted is set once an entry accepted the job; shown are the results that any entry has shown, by position.
 	accepted bool
 	shown    []batch.Result
 }
 
-func newTrial(ctx context.Context, t *rapid.T) *trial {
-	w := &trial{t: t, ctx: ctx, store: newSharedStore()}
-	w.spec = batch.Job{ID: "j", Organisation: "north", Accepted: time.Now(), Terms: batch.Terms{ItemTimeout: time.Hour}}
-	for i := range trialItems {
-		w.spec.Items = append(w.spec.Items, batch.Item{ID: fmt.Sprint("item", i), Group: fmt.Sprint(i / 2), Body: []byte{byte(i)}})
+func newSimulation(ctx context.Context, t *rapid.T) *simulation {
+	s := &simulation{t: t, ctx: ctx, store: newMemoryStore()}
+	s.spec = batch.Job{ID: "j", Organisation: "north", Accepted: time.Now(), Terms: batch.Terms{ItemTimeout: time.Hour}}
+	for i := range itemCount {
+		s.spec.Items = append(s.spec.Items, batch.Item{ID: fmt.Sprint("item", i), Group: fmt.Sprint(i / 2), Body: []byte{byte(i)}})
 	}
-	for range trialEntries {
-		w.doors = append(w.doors, w.store.door())
-		w.entries = append(w.entries, nil)
-		w.stops = append(w.stops, nil)
+	for range entryCount {
+		s.clients = append(s.clients, s.store.client())
+		s.entries = append(s.entries, nil)
+		s.stops = append(s.stops, nil)
 	}
-	for number := range trialEntries {
-		w.start(number)
+	for number := range entryCount {
+		s.start(number)
 	}
-	return w
+	return s
 }
 
-func hostOf(number int) string { return fmt.Sprint("entry", number) }
+func testHostID(number int) string { return fmt.Sprint("entry", number) }
 
-// start starts an entry anew; it knows nothing of before.
-func (w *trial) start(number int) {
-	if w.stops[number] != nil {
-		w.stops[number]()
-		w.entries[number].Wait()
+// start starts or restarts an entry, with nothing in memory.
+func (s *simulation) start(number int) {
+	if s.stops[number] != nil {
+		s.stops[number]()
+		s.entries[number].Wait()
 	}
 	var others []gossip.Member
-	for other := range trialEntries {
+	for other := range entryCount {
 		if other != number {
-			others = append(others, gossip.Member{HostID: hostOf(other)})
+			others = append(others, gossip.Member{HostID: testHostID(other)})
 		}
 	}
-	ctx, cancel := context.WithCancel(w.ctx)
-	w.stops[number] = cancel
-	w.entries[number] = entryOf(ctx, w.doors[number], entries{self: hostOf(number), others: others})
-	w.entries[number].outage = func(time.Time) bool { return w.outage.Load() }
+	ctx, cancel := context.WithCancel(s.ctx)
+	s.stops[number] = cancel
+	s.entries[number] = newTestManager(ctx, s.clients[number], fakeMembers{self: testHostID(number), others: others})
+	s.entries[number].outage = func(time.Time) bool { return s.outage.Load() }
 }
 
-func (w *trial) stop() {
-	for number, m := range w.entries {
-		w.stops[number]()
+func (s *simulation) stop() {
+	for number, m := range s.entries {
+		s.stops[number]()
 		m.Wait()
 	}
 }
 
-// submit hands the job in, for the first time or once more.
-func (w *trial) submit(m *Manager) {
-	spec := w.spec
-	err := m.Submit(w.ctx, &spec)
-	if w.accepted && err != nil && verdict.From(err).Verdict == verdict.NotRun {
-		w.t.Fatalf("a job that was accepted is said not to run: %v", err)
-	}
-	w.accepted = w.accepted || err == nil
+// submit submits the job, for the first time or again.
+func (s *simulation) submit(m *Manager) {
+	spec := s.spec
+	err := m.Submit(s.ctx, &spec)
+	if s.accepted && err != nil && verdict.From(err).Verdict == verdict.NotRun {
+		s.t.Fatalf("an accepted job is reported as not run: %v", err)
+	}
+	s.accepted = s.accepted || err == nil
 }
 
-// give has an entry run the job: another one says that it was accepted a moment ago, which may have been long ago, or leaves it.
-func (w *trial) give(m *Manager) {
-	if !w.accepted {
+// requestRun asks an entry to run the job, as an entry does that is leaving or that accepted the job. The request may come long after the
+// acceptance.
+func (s *simulation) requestRun(m *Manager) {
+	if !s.accepted {
 		return
 	}
-	q := RunRequest{Job: w.spec.ID, Organisation: w.spec.Organisation, From: hostOf(rapid.IntRange(0, trialEntries-1).Draw(w.t, "from"))}
-	if rapid.Bool().Draw(w.t, "fresh") {
-		value, err := json.Marshal(w.spec)
+	q := RunRequest{Job: s.spec.ID, Organisation: s.spec.Organisation, From: testHostID(rapid.IntRange(0, entryCount-1).Draw(s.t, "from"))}
+	if rapid.Bool().Draw(s.t, "fresh") {
+		value, err := json.Marshal(s.spec)
 		if err != nil {
-			w.t.Fatal(err)
+			s.t.Fatal(err)
 		}
-		q.Fresh = value
+		q.SpecJSON = value
 	}
-	// It may refuse, as when the store is out of its reach.
-	_ = m.runFor(w.ctx, q)
+	// The entry may refuse, as when it doesn't reach the store.
+	_ = m.handleRun(s.ctx, q)
 }
 
-// finish completes an item at an entry that runs the job, and tries once to write what it finished.
-func (w *trial) finish(m *Manager) {
-	j, ok := m.find(w.spec.ID)
-	if !ok || !j.running() {
+// finish completes an item at an entry that runs the job, and tries once to write a page with it.
+func (s *simulation) finish(m *Manager) {
+	j, ok := m.find(s.spec.ID)
+	if !ok || !j.isRunning() {
 		return
 	}
 	now := time.Now()
-	passed := rapid.IntRange(0, 2).Draw(w.t, "passed over")
+	skipped := rapid.IntRange(0, 2).Draw(s.t, "skipped items")
 	j.mu.Lock()
-	completeOne(j.progress, now, passed)
+	completeOne(j.progress, now, skipped)
 	page, due := j.progress.Flush(now)
 	j.mu.Unlock()
 	if !due {
@@ -130,14 +131,14 @@
 	}
 	value, err := json.Marshal(page)
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	m.tryWrite(w.ctx, j, page, value)
+	m.tryWritePage(s.ctx, j, page, value)
 }
 
-// completeOne completes an item that waits, but for those that are passed over: entries finish items in different orders.
-func completeOne(progress *batch.Progress, now time.Time, passed int) {
-	for range passed {
+// completeOne completes the next waiting item after those that are skipped: entries finish items in different orders.
+func completeOne(progress *batch.Progress, now time.Time, skipped int) {
+	for range skipped {
 		item, waits := progress.Next()
 		if !waits {
 			break
@@ -152,175 +153,176 @@
 }
 
 // read reads at an entry, as a trainer does or as another entry does for it.
-func (w *trial) read(m *Manager) {
-	from := rapid.IntRange(0, len(w.shown)).Draw(w.t, "position")
+func (s *simulation) read(m *Manager) {
+	from := rapid.IntRange(0, len(s.shown)).Draw(s.t, "position")
 	var total int
 	var results []batch.Result
 	var err error
-	if rapid.Bool().Draw(w.t, "for another entry") {
-		answer, refusal := m.readFor(w.ctx, ReadRequest{Job: w.spec.ID, Organisation: w.spec.Organisation, From: from, MaxBytes: wholeList})
+	if rapid.Bool().Draw(s.t, "for another entry") {
+		answer, refusal := m.handleRead(s.ctx, ReadRequest{Job: s.spec.ID, Organisation: s.spec.Organisation, From: from, MaxBytes: maxReadBytes})
 		if !answer.Known {
 			return
 		}
 		total, results, err = answer.Total, answer.Results, refusal
 	} else {
-		total, results, err = m.Results(w.ctx, w.spec.ID, w.spec.Organisation, from, 0, wholeList)
+		total, results, err = m.Results(s.ctx, s.spec.ID, s.spec.Organisation, from, 0, maxReadBytes)
 	}
-	w.check(m, from, total, results, err)
+	s.check(m, from, total, results, err)
 }
 
-// check compares an answer with all that any entry has shown, and takes it for shown.
-func (w *trial) check(m *Manager, from, total int, results []batch.Result, err error) {
+// check compares an answer with all that any entry has shown, and records it as shown.
+func (s *simulation) check(m *Manager, from, total int, results []batch.Result, err error) {
 	if err != nil {
-		w.checkRefusal(err)
+		s.checkRefusal(err)
 		return
 	}
-	if total != trialItems {
-		w.t.Fatalf("%s: a total of %d", m.members.Self().HostID, total)
+	if total != itemCount {
+		s.t.Fatalf("%s: %d items in total", m.members.Self().HostID, total)
 	}
-	// A list may be short: the reader asks on from its end. It may be empty only where nothing was shown.
-	if len(results) == 0 && from < len(w.shown) {
-		w.t.Fatalf("%s: nothing at position %d; %d results were shown before", m.members.Self().HostID, from, len(w.shown))
+	// A list may be short, as the reader continues from its end. It may be empty only where no result was shown before.
+	if len(results) == 0 && from < len(s.shown) {
+		s.t.Fatalf("%s: nothing at position %d; %d results were shown before", m.members.Self().HostID, from, len(s.shown))
 	}
 	for i, result := range results {
 		position := from + i
-		if position == len(w.shown) {
-			w.shown = append(w.shown, result)
+		if position == len(s.shown) {
+			s.shown = append(s.shown, result)
 		}
-		if w.shown[position].ID != result.ID || w.shown[position].State != result.State {
-			w.t.Fatalf("%s: position %d holds %v, and held %v", m.members.Self().HostID, position, result, w.shown[position])
+		if s.shown[position].ID != result.ID || s.shown[position].State != result.State {
+			s.t.Fatalf("%s: position %d holds %v, and held %v", m.members.Self().HostID, position, result, s.shown[position])
 		}
 	}
 }
 
-func (w *trial) checkRefusal(err error) {
-	if w.accepted && verdict.From(err).Reason == verdict.ReasonNotFound {
-		w.t.Fatalf("an accepted job is not known: %v", err)
+func (s *simulation) checkRefusal(err error) {
+	if s.accepted && verdict.From(err).Reason == verdict.ReasonNotFound {
+		s.t.Fatalf("an accepted job is not known: %v", err)
 	}
 }
 
 // body reads the body of an item.
-func (w *trial) body(m *Manager) {
-	if !w.accepted {
+func (s *simulation) body(m *Manager) {
+	if !s.accepted {
 		return
 	}
-	item := w.spec.Items[rapid.IntRange(0, trialItems-1).Draw(w.t, "item")]
-	body, err := m.Body(w.ctx, w.spec.ID, w.spec.Organisation, item.ID)
+	item := s.spec.Items[rapid.IntRange(0, itemCount-1).Draw(s.t, "item")]
+	body, err := m.Body(s.ctx, s.spec.ID, s.spec.Organisation, item.ID)
 	if err != nil {
-		w.checkRefusal(err)
+		s.checkRefusal(err)
 		return
 	}
 	if string(body) != string(item.Body) {
-		w.t.Fatalf("body %v of %s", body, item.ID)
+		s.t.Fatalf("body %v of %s", body, item.ID)
 	}
 }
 
-// end ends the job; once that is acknowledged the store must hold it.
-func (w *trial) end(m *Manager) {
-	if !w.accepted {
+// end ends the job; once that is acknowledged the store must hold the end.
+func (s *simulation) end(m *Manager) {
+	if !s.accepted {
 		return
 	}
-	if err := m.End(w.ctx, w.spec.ID, w.spec.Organisation); err != nil {
-		w.checkRefusal(err)
+	if err := m.End(s.ctx, s.spec.ID, s.spec.Organisation); err != nil {
+		s.checkRefusal(err)
 		return
 	}
-	if _, err := w.store.door().Get(w.ctx, KindEnds, w.spec.ID); err != nil {
-		w.t.Fatalf("the end was acknowledged and isn't kept: %v", err)
+	if _, err := s.store.client().Get(s.ctx, KindEnds, s.spec.ID); err != nil {
+		s.t.Fatalf("the end was acknowledged and isn't in the store: %v", err)
 	}
 }
 
-// checkEnd checks that no entry runs a job whose end it has acknowledged or heard of.
-func (w *trial) checkEnd() {
-	for _, m := range w.entries {
-		j, ok := m.find(w.spec.ID)
-		if ok && m.isEnded(w.spec.ID) && j.running() && !j.over() {
-			w.t.Fatalf("%s runs a job that has ended, as it knows", m.members.Self().HostID)
+// checkEnd checks that no entry runs a job whose end it has acknowledged or learned of.
+func (s *simulation) checkEnd() {
+	for _, m := range s.entries {
+		j, ok := m.find(s.spec.ID)
+		if ok && m.isEnded(s.spec.ID) && j.isRunning() && !j.finished() {
+			s.t.Fatalf("%s runs a job that it knows has ended", m.members.Self().HostID)
 		}
 	}
 }
 
-// forget has an entry drop the job from memory, if it doesn't run it.
-func (w *trial) forget(m *Manager) {
+// forget drops the job from an entry's memory, unless the entry runs it.
+func (s *simulation) forget(m *Manager) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if j, ok := m.jobs[w.spec.ID]; ok && !j.running() {
-		delete(m.jobs, w.spec.ID)
+	if j, ok := m.jobs[s.spec.ID]; ok && !j.isRunning() {
+		delete(m.jobs, s.spec.ID)
 	}
 }
 
-// hear lets an entry hear what another one tells.
-func (w *trial) hear(m *Manager) {
-	number := rapid.IntRange(0, trialEntries-1).Draw(w.t, "teller")
-	teller := w.entries[number]
-	if teller == m {
+// gossip gives an entry what another one announces.
+func (s *simulation) gossip(m *Manager) {
+	number := rapid.IntRange(0, entryCount-1).Draw(s.t, "sender")
+	sender := s.entries[number]
+	if sender == m {
 		return
 	}
 	now := time.Now()
-	running, ended := teller.Jobs(now)
-	m.Heard(gossip.Member{HostID: hostOf(number)}, running, ended, teller.Owners(now, true))
+	running, ended := sender.Jobs(now)
+	m.Heard(gossip.Member{HostID: testHostID(number)}, running, ended, sender.Owners(now, true))
 }
 
-func (w *trial) step() {
-	number := rapid.IntRange(0, trialEntries-1).Draw(w.t, "entry")
-	m := w.entries[number]
-	switch rapid.SampledFrom(trialStepNames).Draw(w.t, "step") {
+func (s *simulation) step() {
+	number := rapid.IntRange(0, entryCount-1).Draw(s.t, "entry")
+	m := s.entries[number]
+	switch rapid.SampledFrom(stepNames).Draw(s.t, "step") {
 	case "submit":
-		w.submit(m)
+		s.submit(m)
 	case "give":
-		w.give(m)
+		s.requestRun(m)
 	case "finish":
-		w.finish(m)
+		s.finish(m)
 	case "read":
-		w.read(m)
+		s.read(m)
 	case "body":
-		w.body(m)
+		s.body(m)
 	case "end":
-		w.end(m)
+		s.end(m)
 	case "hear":
-		w.hear(m)
+		s.gossip(m)
 	case "orphan":
-		m.Orphaned(gossip.Member{HostID: hostOf((number + 1) % trialEntries)})
+		m.Orphaned(gossip.Member{HostID: testHostID((number + 1) % entryCount)})
 	case "start":
-		w.start(number)
+		s.start(number)
 	case "fault":
-		w.doors[number].set(rapid.SampledFrom(storeFaults).Draw(w.t, "fault"))
+		s.clients[number].setFault(rapid.SampledFrom(storeFaults).Draw(s.t, "fault"))
 	case "late":
-		w.store.carryOut()
+		s.store.carryOutLate()
 	case "outage":
-		w.outage.Store(!w.outage.Load())
+		s.outage.Store(!s.outage.Load())
 	case "forget":
-		w.forget(m)
+		s.forget(m)
 	}
 }
 
-// A trainer, and others of its organisation, submit, read and end one job at any entry, while entries run it one after the other or at once,
-// start anew, hear of each other or don't, and their calls to the store fail, are answered by nothing, or are carried out late. No answer of
-// any entry may contradict what any entry has shown: a position, a body, that the job was accepted, that it has ended.
+// A trainer, and others of its organisation, submit, read and end one job at any entry. Meanwhile entries run it one after the other or at
+// once, restart, get each other's gossip or don't, and their calls to the store fail, lose their answers or are carried out late. No
+// answer of any entry may contradict what any entry has shown: a result at a position, a body, that the job was accepted, that it has
+// ended.
 func TestEntriesNeverContradictEachOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		w := newTrial(ctx, t)
-		defer w.stop()
-		for range rapid.IntRange(1, trialSteps).Draw(t, "steps") {
-			w.step()
-			w.checkEnd()
+		s := newSimulation(ctx, t)
+		defer s.stop()
+		for range rapid.IntRange(1, maxSteps).Draw(t, "steps") {
+			s.step()
+			s.checkEnd()
 		}
-		w.finalRead()
+		s.finalRead()
 	})
 }
 
-// finalRead reads everything at an entry that has just started and reaches the store.
-func (w *trial) finalRead() {
-	w.outage.Store(false)
-	w.doors[0].set(faultNone)
-	w.start(0)
-	total, results, err := w.entries[0].Results(w.ctx, w.spec.ID, w.spec.Organisation, 0, 0, wholeList)
-	if err != nil && !w.accepted {
+// finalRead reads all results at an entry that has just started and reaches the store.
+func (s *simulation) finalRead() {
+	s.outage.Store(false)
+	s.clients[0].setFault(faultNone)
+	s.start(0)
+	total, results, err := s.entries[0].Results(s.ctx, s.spec.ID, s.spec.Organisation, 0, 0, maxReadBytes)
+	if err != nil && !s.accepted {
 		return
 	}
 	if err != nil {
-		w.t.Fatal(errors.Wrap(err, "all entries and the store are well"))
+		s.t.Fatal(errors.Wrap(err, "read at an entry that reaches the store"))
 	}
-	w.check(w.entries[0], 0, total, results, nil)
+	s.check(s.entries[0], 0, total, results, nil)
 }
--- a/internal/edge/batchjob/end.go
+++ b/internal/edge/batchjob/end.go
@@ -13,47 +13,48 @@
 	product "github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// End ends a job: what isn't listed need not be run any more. Repeats are harmless.
+// End ends a job: items that aren't listed yet need not run any more. It may be repeated.
 func (m *Manager) End(ctx context.Context, id, organisation string) error {
-	owner, owned := m.reader(id)
+	holder, held := m.holder(id)
 	known, ok := m.find(id)
-	if !ok && owned {
-		if err := m.askEnd(ctx, owner, EndRequest{Job: id, Organisation: organisation}); err == nil {
+	if !ok && held {
+		if err := m.requestEnd(ctx, holder, EndRequest{Job: id, Organisation: organisation}); err == nil {
 			return nil
 		}
 	}
 	if !ok {
 		var err error
-		if known, err = m.peek(ctx, id); err != nil {
+		if known, err = m.readSpec(ctx, id); err != nil {
 			return err
 		}
 	}
-	if err := m.endKnown(ctx, known, organisation); err != nil {
+	if err := m.endJob(ctx, known, organisation); err != nil {
 		return err
 	}
-	if ok && owned {
-		// It would hear of the end from others only, which takes longer the more entries there are.
-		m.work.Go(func() { _ = m.askEnd(m.ctx, owner, EndRequest{Job: id, Organisation: organisation, Written: true}) })
+	if ok && held {
+		// Otherwise that entry learns of the end by gossip only, which takes longer the more entries there are.
+		m.wg.Go(func() { _ = m.requestEnd(m.ctx, holder, EndRequest{Job: id, Organisation: organisation, Stored: true}) })
 	}
 	return nil
 }
 
-// askEnd has the entry that runs a job end it.
-func (m *Manager) askEnd(ctx context.Context, owner gossip.Member, q EndRequest) error {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+// requestEnd asks the entry that holds a job in memory to end it.
+func (m *Manager) requestEnd(ctx context.Context, holder gossip.Member, q EndRequest) error {
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	answer, err := peer.Ask[EndRequest, EndAnswer](ctx, m.peers, owner.Address, MethodEnd, q)
+	answer, err := peer.Ask[EndRequest, EndAnswer](ctx, m.peers, holder.Address, MethodEnd, q)
 	if err == nil && !answer.Known {
-		err = errors.Errorf("job %s is not known there", q.Job)
+		err = errors.Errorf("job %s is not in memory there", q.Job)
 	}
 	if err != nil {
-		m.log.Info().Err(err).Str("request", q.Job).Str("entry", owner.HostID).Msg("end not carried out by the entry that runs the job")
+		m.log.Info().Err(err).Str("request", q.Job).Str("entry", holder.HostID).
+			Msg("could not have the job ended by the entry that holds it in memory")
 	}
 	return err
 }
 
-// endKnown ends a job whose description is known. What ended once has ended for good, so that repeats need no call.
-func (m *Manager) endKnown(ctx context.Context, known *job, organisation string) error {
+// endJob ends a job whose description is known. An end is final, so that a repeat needs no call to the store.
+func (m *Manager) endJob(ctx context.Context, known *job, organisation string) error {
 	id := known.spec.ID
 	if known.spec.Organisation != organisation {
 		return notFound(id)
@@ -61,7 +62,7 @@
 	if m.isEnded(id) {
 		return nil
 	}
-	value, err := json.Marshal(end{Accepted: known.spec.Accepted})
+	value, err := json.Marshal(endRecord{Accepted: known.spec.Accepted})
 	if err != nil {
 		return verdict.Refuse(verdict.MayHaveRun, verdict.ReasonInternal, 0, "end of %s: %v", id, err)
 	}
@@ -70,31 +71,32 @@
 	if err != nil && !errors.Is(err, product.ErrConflict) {
 		return storeRefusal(err)
 	}
-	m.endHere(id)
+	m.markEnded(id)
 	return nil
 }
 
-// endFor ends a job that is known here for another entry.
-func (m *Manager) endFor(ctx context.Context, q EndRequest) (EndAnswer, error) {
+// handleEnd ends a job that is in memory here for another entry.
+func (m *Manager) handleEnd(ctx context.Context, q EndRequest) (EndAnswer, error) {
 	j, ok := m.find(q.Job)
 	if !ok {
 		return EndAnswer{}, nil
 	}
-	if q.Written {
-		m.endHere(q.Job)
+	if q.Stored {
+		m.markEnded(q.Job)
 		return EndAnswer{Known: true}, nil
 	}
-	return EndAnswer{Known: true}, m.endKnown(ctx, j, q.Organisation)
+	return EndAnswer{Known: true}, m.endJob(ctx, j, q.Organisation)
 }
 
-func (m *Manager) endHere(id string) {
+// markEnded records that a job has ended, and stops it if it is in memory.
+func (m *Manager) markEnded(id string) {
 	m.mu.Lock()
 	if _, known := m.ended[id]; !known {
 		m.ended[id] = time.Now()
 	}
-	if known, ran := m.owners[id]; ran {
-		// It has the results in memory for a while, which saves calls to the store.
-		m.keepers[id] = owner{hostID: known.hostID, since: time.Now()}
+	if known, ok := m.owners[id]; ok {
+		// The owner keeps the results in memory for a while; reading them there saves calls to the store.
+		m.lastOwners[id] = owner{hostID: known.hostID, learnedAt: time.Now()}
 		delete(m.owners, id)
 	}
 	j, ok := m.jobs[id]
--- a/internal/edge/batchjob/handover.go
+++ b/internal/edge/batchjob/handover.go
@@ -14,45 +14,45 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/ticker"
 )
 
-// handoverTime bounds the search for an entry that runs a job which this one leaves, and the taking over of an orphan.
-const handoverTime = 2 * time.Second
+// handoverTimeout bounds each attempt to have another entry run a job, or to load a job and run it here.
+const handoverTimeout = 2 * time.Second
 
-// Leave hands the jobs that run here over: what is finished is written, and other entries run the rest.
+// Leave writes the finished items of the jobs that run here and asks other entries to run the rest.
 //
-// Guard: a trainer's connection stays with the entry that leaves until its end, and reads there find nothing new; without being
-// asked nobody else would run the job until then.
+// Without it nobody would run these jobs until the trainers' connections end: the connections stay with the leaving entry, where reads
+// find no new results, and no other entry is asked for them.
 func (m *Manager) Leave(ctx context.Context) {
 	m.mu.Lock()
 	m.leaving = true
 	var running []*job
 	for _, j := range m.jobs {
-		if j.running() {
+		if j.isRunning() {
 			running = append(running, j)
 		}
 	}
 	m.mu.Unlock()
-	var leaves conc.WaitGroup
+	var handovers conc.WaitGroup
 	for _, j := range running {
-		leaves.Go(func() {
-			j.yield()
-			m.flush(ctx, j)
-			m.handOver(ctx, j)
+		handovers.Go(func() {
+			j.stopRunning()
+			m.flushResults(ctx, j)
+			m.handOverJob(ctx, j)
 		})
 	}
-	leaves.Wait()
+	handovers.Wait()
 }
 
-// handOver asks the other entries until one runs the job: its home first, then in the order for the job.
-func (m *Manager) handOver(ctx context.Context, j *job) {
-	ctx, cancel := context.WithTimeout(ctx, handoverTime)
+// handOverJob asks the other entries, the job's home first and then in the order of rankedPeers, until one runs the job.
+func (m *Manager) handOverJob(ctx context.Context, j *job) {
+	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
 	home := m.home(j.spec).HostID
-	candidates := m.ranked(j.spec.ID)
+	candidates := m.rankedPeers(j.spec.ID)
 	if at := slices.IndexFunc(candidates, func(member gossip.Member) bool { return member.HostID == home }); at > 0 {
 		first := candidates[at]
 		candidates = slices.Insert(slices.Delete(candidates, at, at+1), 0, first)
 	}
-	q := m.runRequest(j.spec)
+	q := m.newRunRequest(j.spec)
 	j.mu.Lock()
 	q.Partials = j.progress.Partials()
 	j.mu.Unlock()
@@ -60,14 +60,14 @@
 		_, err := peer.Ask[RunRequest, RunAnswer](ctx, m.peers, member.Address, MethodRun, q)
 		m.log.Info().Str("request", j.spec.ID).Str("entry", member.HostID).AnErr("answer", err).Msg("batch job handed over")
 		if err == nil {
-			m.hearOwners(m.members.Self(), map[string]string{j.spec.ID: member.HostID})
+			m.mergeOwners(m.members.Self(), map[string]string{j.spec.ID: member.HostID})
 			return
 		}
 	}
 }
 
-// ranked returns the other entries that stay, in an order that differs from job to job and is the same at all entries.
-func (m *Manager) ranked(id string) []gossip.Member {
+// rankedPeers returns the other entries that are not leaving, in an order that differs between jobs and is the same at all entries.
+func (m *Manager) rankedPeers(id string) []gossip.Member {
 	members := slices.DeleteFunc(m.members.Alive(time.Now()), func(member gossip.Member) bool { return member.Leaving })
 	slices.SortFunc(members, func(a, b gossip.Member) int {
 		return cmp.Compare(xxhash.Sum64String(id+a.HostID), xxhash.Sum64String(id+b.HostID))
@@ -75,66 +75,68 @@
 	return members
 }
 
-// Orphaned has jobs run that an entry ran whose run is over. The trainer's own entry may be the one that is silent, so that nobody
-// asks for results elsewhere for seconds.
+// Orphaned has the jobs run again that the lost process of an entry ran. It doesn't wait for reads: a trainer may be connected to the
+// lost entry, and then asks no other one for results for seconds.
 //
-// Guard: several entries die at once and are back in a moment. The first in the order for a job may be one of them, which knows nothing of
-// it, and the step stood still until its trainer asked. So the living entries try one after the other, until the job is known to run.
-func (m *Manager) Orphaned(gone gossip.Member) {
-	for _, id := range m.ownedBy(gone.HostID) {
-		m.forgetOwner(id, gone.HostID)
-		m.work.Go(func() { m.rerunInTurn(id, gone.HostID) })
+// All living entries try one after the other until the job is known to run. If only the first in the job's order tried, a job could stand
+// still until its trainer asks: when several entries die at once and restart a moment later, the first may be one of them and know nothing
+// of the job.
+func (m *Manager) Orphaned(lost gossip.Member) {
+	for _, id := range m.jobsOwnedBy(lost.HostID) {
+		m.forgetOwner(id, lost.HostID)
+		m.wg.Go(func() { m.rerunInTurn(id, lost.HostID) })
 	}
 }
 
 const (
-	// orphanPause is the time that each entry in the order for a job has to see that it runs again: a question and a beat.
-	orphanPause = 300 * time.Millisecond
-	// orphanTurns bounds the wait of the later ones; by then they have all heard of it.
-	orphanTurns = 7
+	// rerunTurn is how long each entry in the order for a job has to announce that it runs the job: a request and a gossip message.
+	rerunTurn = 300 * time.Millisecond
+	// maxRerunTurns bounds the wait of entries late in the order; by then all of them have heard who runs the job.
+	maxRerunTurns = 7
 )
 
 const (
-	// rerunTries and rerunPause bound how long it is tried to have a job run again; outages of the store take some seconds.
-	rerunTries = 5
-	rerunPause = 500 * time.Millisecond
+	// maxRerunAttempts and rerunRetryDelay bound how long an entry tries to have a job run again; outages of the store take some seconds.
+	maxRerunAttempts = 5
+	rerunRetryDelay  = 500 * time.Millisecond
 )
 
-// rerun has a job run again whose entry was gone.
-func (m *Manager) rerun(id, gone string) {
-	for range rerunTries {
+// rerun has a job run again whose entry was lost. The host id of that entry is only logged.
+func (m *Manager) rerun(id, lost string) {
+	for range maxRerunAttempts {
 		err := m.tryRerun(id)
-		m.log.Info().Err(err).Str("request", id).Str("entry", gone).Msg("batch job of an entry that is gone")
-		if err == nil || isNotFound(err) || !ticker.Sleep(m.ctx, rerunPause) || m.isCaredFor(id) {
+		m.log.Info().Err(err).Str("request", id).Str("entry", lost).Msg("tried to have a batch job of a lost entry run again")
+		if err == nil || isNotFound(err) || !ticker.Sleep(m.ctx, rerunRetryDelay) || m.isEndedOrRunning(id) {
 			return
 		}
 	}
 }
 
 func (m *Manager) tryRerun(id string) error {
-	ctx, cancel := context.WithTimeout(m.ctx, handoverTime)
+	ctx, cancel := context.WithTimeout(m.ctx, handoverTimeout)
 	defer cancel()
-	_, err := m.load(ctx, id, "")
+	_, err := m.loadAndEnsureRun(ctx, id, "")
 	return err
 }
 
-// isCaredFor says that a job has ended, runs here, or is known to run elsewhere.
-func (m *Manager) isCaredFor(id string) bool {
+// isEndedOrRunning reports whether a job has ended, runs here, or is known to run at another living entry.
+func (m *Manager) isEndedOrRunning(id string) bool {
 	if m.isEnded(id) {
 		return true
 	}
-	if _, runs := m.owner(id); runs {
+	if _, runs := m.livingOwner(id); runs {
 		return true
 	}
 	j, ok := m.find(id)
-	return ok && j.running()
+	return ok && j.isRunning()
 }
 
-// rerunInTurn has a job run again that nobody is known to run, once the entries that come before this one in its order had their turn.
-func (m *Manager) rerunInTurn(id, gone string) {
-	turn := time.Duration(min(m.place(id), orphanTurns)) * orphanPause
-	if ticker.Sleep(m.ctx, turn) && !m.isCaredFor(id) {
-		m.rerun(id, gone)
+// rerunInTurn has a job run again once the entries that precede this one in the job's order had their turn, unless the job is known to
+// run.
+func (m *Manager) rerunInTurn(id, lost string) {
+	turn := time.Duration(min(m.ownRank(id), maxRerunTurns)) * rerunTurn
+	if ticker.Sleep(m.ctx, turn) && !m.isEndedOrRunning(id) {
+		m.rerun(id, lost)
 	}
 }
 
@@ -145,8 +147,8 @@
 	return ended
 }
 
-// ownedBy returns the jobs that an entry was known to run.
-func (m *Manager) ownedBy(hostID string) []string {
+// jobsOwnedBy returns the jobs that the entry is recorded as running and that haven't ended.
+func (m *Manager) jobsOwnedBy(hostID string) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var ids []string
@@ -159,10 +161,10 @@
 	return ids
 }
 
-// place is how many living entries come before this one in the order for the job.
-func (m *Manager) place(id string) int {
+// ownRank returns how many living entries precede this one in the order for the job.
+func (m *Manager) ownRank(id string) int {
 	own := xxhash.Sum64String(id + m.members.Self().HostID)
-	return slices.IndexFunc(append(m.ranked(id), m.members.Self()), func(member gossip.Member) bool {
+	return slices.IndexFunc(append(m.rankedPeers(id), m.members.Self()), func(member gossip.Member) bool {
 		return xxhash.Sum64String(id+member.HostID) >= own
 	})
 }
--- a/internal/edge/batchjob/home.go
+++ b/internal/edge/batchjob/home.go
@@ -12,10 +12,10 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// homeTime bounds the question to the home of a model whether it runs a job; entries answer within milliseconds, and a trainer waits.
-const homeTime = 700 * time.Millisecond
+// homeTimeout bounds the request to a job's home to run it. Entries answer within milliseconds, and a trainer is waiting.
+const homeTimeout = 700 * time.Millisecond
 
-// home returns the entry that is to run a job: this one, unless it leaves, or another that is heard of.
+// home returns the entry that should run a job, see batch.Home: this one unless it is leaving, or another living one.
 func (m *Manager) home(spec *batch.Job) gossip.Member {
 	return m.chooseEntry(func(runners []batch.Runner) (string, bool) {
 		return batch.Home(spec.ID, spec.Model, m.demand(), runners)
@@ -54,67 +54,68 @@
 	return m.leaving
 }
 
-// begin has an accepted job run: by its model's home, or here if that is this entry or doesn't answer. Fresh is the job as the
-// store keeps it if it was accepted just now, so that no page of it exists.
-func (m *Manager) begin(spec *batch.Job, fresh []byte) {
+// assign has an accepted job run by its home, or here if this entry is the home or the home doesn't confirm. SpecJSON is the job as the
+// store keeps it if it was accepted just now, so that it has no pages; else it is nil.
+func (m *Manager) assign(spec *batch.Job, specJSON []byte) {
 	home := m.home(spec)
 	if home.HostID == m.members.Self().HostID {
-		m.beginHere(spec, fresh)
+		m.startHere(spec, specJSON)
 		return
 	}
-	m.noteOwner(spec.ID, home.HostID)
-	m.work.Go(func() {
-		ctx, cancel := context.WithTimeout(m.ctx, homeTime)
+	m.recordOwner(spec.ID, home.HostID)
+	m.wg.Go(func() {
+		ctx, cancel := context.WithTimeout(m.ctx, homeTimeout)
 		defer cancel()
-		q := m.runRequest(spec)
-		q.Fresh = fresh
+		q := m.newRunRequest(spec)
+		q.SpecJSON = specJSON
 		_, err := peer.Ask[RunRequest, RunAnswer](ctx, m.peers, home.Address, MethodRun, q)
-		m.log.Info().Str("request", spec.ID).Str("entry", home.HostID).Str("model", spec.Model).AnErr("answer", err).Msg("batch job given to its model's home")
+		m.log.Info().Str("request", spec.ID).Str("entry", home.HostID).Str("model", spec.Model).AnErr("answer", err).
+			Msg("batch job assigned to its home")
 		if err != nil {
 			m.forgetOwner(spec.ID, home.HostID)
-			m.beginHere(spec, fresh)
+			m.startHere(spec, specJSON)
 		}
 	})
 }
 
-// beginHere runs an accepted job here. One that may have pages is read from the store first.
-func (m *Manager) beginHere(spec *batch.Job, fresh []byte) {
-	if fresh != nil {
-		m.run(spec)
+// startHere runs an accepted job here. Unless the job is new, its pages are read from the store first.
+func (m *Manager) startHere(spec *batch.Job, specJSON []byte) {
+	if specJSON != nil {
+		m.runNewJob(spec)
 		return
 	}
-	m.work.Go(func() {
-		ctx, cancel := context.WithTimeout(m.ctx, handoverTime)
+	m.wg.Go(func() {
+		ctx, cancel := context.WithTimeout(m.ctx, handoverTimeout)
 		defer cancel()
-		if err := m.take(ctx, m.runRequest(spec)); err != nil {
-			m.log.Warn().Err(err).Str("request", spec.ID).Msg("accepted batch job not begun")
+		if err := m.takeOver(ctx, m.newRunRequest(spec)); err != nil {
+			m.log.Warn().Err(err).Str("request", spec.ID).Msg("could not start an accepted batch job")
 		}
 	})
 }
 
-// runRequest asks another entry to run a job.
-func (m *Manager) runRequest(spec *batch.Job) RunRequest {
+// newRunRequest returns a request that asks another entry to run a job.
+func (m *Manager) newRunRequest(spec *batch.Job) RunRequest {
 	return RunRequest{Job: spec.ID, Organisation: spec.Organisation, From: m.members.Self().HostID}
 }
 
-// runFor runs a job for another entry that accepted it or leaves it.
+// handleRun runs a job for another entry that accepted it or is leaving.
 //
-// Guard: a leaving entry hands its jobs over before news of its leaving has come here. Taken for one that stays and runs the job, it was
-// left to run it, and the job stood still for more than a second until somebody asked for results.
-func (m *Manager) runFor(ctx context.Context, q RunRequest) error {
-	if j, ok := m.find(q.Job); ok && j.running() {
+// A leaving entry hands its jobs over before gossip has announced here that it leaves. The sender is therefore never regarded as the
+// owner: otherwise the job stayed with it, and did not run for more than a second until its results were read.
+func (m *Manager) handleRun(ctx context.Context, q RunRequest) error {
+	if j, ok := m.find(q.Job); ok && j.isRunning() {
 		return nil
 	}
 	if m.isLeaving() {
 		return errors.Errorf("job %s: this entry is leaving", q.Job)
 	}
-	if q.Fresh == nil {
-		return m.take(ctx, q)
+	if q.SpecJSON == nil {
+		return m.takeOver(ctx, q)
 	}
 	var spec batch.Job
-	if err := json.Unmarshal(q.Fresh, &spec); err != nil {
+	if err := json.Unmarshal(q.SpecJSON, &spec); err != nil {
 		return errors.Wrapf(err, "job %s", q.Job)
 	}
-	m.run(&spec)
+	m.runNewJob(&spec)
 	return nil
 }
--- a/internal/edge/batchjob/home_test.go
+++ b/internal/edge/batchjob/home_test.go
@@ -13,79 +13,79 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// An entry accepted a job, was told to stop a moment later and handed the job over, before anybody had heard that it leaves. The other one
-// took it for alive and left the job with it, and the items stood still for more than a second. Asked by a third one, it must leave a job
-// that a living entry runs where it is.
-func TestAJobIsTakenFromTheEntryThatHandsItOver(t *testing.T) {
+// Guards against a job that stalls after its handover: an entry accepts a job, is told to stop a moment later and hands the job over
+// before gossip announces that it leaves. The receiver regarded it as a living owner and left the job with it, and the items stalled for
+// more than a second. If a third entry asks, the job must stay with a living entry that runs it.
+func TestJobIsTakenOverFromALeavingEntry(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		asks  string
-		owner string
-		// mute is set if the owner lives and doesn't answer.
-		mute bool
-		// anew is set if the entry that accepted the job has another incarnation now.
-		anew bool
-		runs bool
+		name   string
+		sender string
+		owner  string
+		// unresponsive is set if the owner is alive but doesn't answer.
+		unresponsive bool
+		// restarted is set if the entry that accepted the job has restarted, so that its incarnation differs.
+		restarted bool
+		runs      bool
 	}{
-		{name: "its owner", asks: "leaving", owner: "leaving", runs: true},
-		{name: "the entry that accepted it a moment ago", asks: "leaving", runs: true},
-		{name: "another, while its owner lives", asks: "third", owner: "leaving"},
-		{name: "another, while its owner lives and doesn't answer", asks: "third", owner: "leaving", mute: true, runs: true},
-		{name: "another, while the entry that accepted it lives", asks: "third"},
-		{name: "another, while the entry that accepted it was started anew", asks: "third", anew: true, runs: true},
+		{name: "the owner", sender: "leaving", owner: "leaving", runs: true},
+		{name: "the entry that accepted it a moment ago", sender: "leaving", runs: true},
+		{name: "a third entry, while the owner lives", sender: "third", owner: "leaving"},
+		{name: "a third entry, while the owner lives and doesn't answer", sender: "third", owner: "leaving", unresponsive: true, runs: true},
+		{name: "a third entry, while the entry that accepted it lives", sender: "third"},
+		{name: "a third entry, while the entry that accepted it has restarted", sender: "third", restarted: true, runs: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			spec := batch.Job{ID: "j", Organisation: "north", Accepted: time.Now(), Owner: "leaving", Submission: batch.Submission{Items: []batch.Item{{ID: "a"}}}}
-			if test.anew {
+			if test.restarted {
 				spec.OwnerRun = 1
 			}
 			owner := gossip.Member{HostID: "leaving"}
-			if !test.mute {
-				owner.Address = runsAll(ctx, t)
+			if !test.unresponsive {
+				owner.Address = startRunner(ctx, t)
 			}
-			m := testManager(ctx, t, spec, entries{self: "self", others: []gossip.Member{owner, {HostID: "third"}}})
+			m := newManagerWithJob(ctx, t, spec, fakeMembers{self: "self", others: []gossip.Member{owner, {HostID: "third"}}})
 			defer m.Wait()
 			defer cancel()
 			if test.owner != "" {
-				m.noteOwner("j", test.owner)
+				m.recordOwner("j", test.owner)
 			}
-			if err := m.runFor(ctx, RunRequest{Job: "j", Organisation: "north", From: test.asks}); err != nil {
+			if err := m.handleRun(ctx, RunRequest{Job: "j", Organisation: "north", From: test.sender}); err != nil {
 				t.Fatal(err)
 			}
 			j, _ := m.find("j")
-			if runs := j != nil && j.running(); runs != test.runs {
-				t.Errorf("runs: %v", runs)
+			if runs := j != nil && j.isRunning(); runs != test.runs {
+				t.Errorf("the job runs: %v", runs)
 			}
 		})
 	}
 }
 
-// runsAll is the address of an entry that runs each job that it is asked to run.
-func runsAll(ctx context.Context, t *testing.T) netip.AddrPort {
+// startRunner starts an entry that agrees to run every job, and returns its address.
+func startRunner(ctx context.Context, t *testing.T) netip.AddrPort {
 	t.Helper()
 	registry := peer.NewRegistry()
 	peer.Handle(registry, MethodRun, func(context.Context, RunRequest) (RunAnswer, error) { return RunAnswer{}, nil })
-	return served(ctx, t, registry)
+	return startPeer(ctx, t, registry)
 }
 
-// Guards against items that begin anew after the death of all entries: what was received of them stands in the pages.
-func TestItemsGoOnFromPages(t *testing.T) {
+// Guards against items that restart from the beginning after all entries were killed: what was received of them is in the pages.
+func TestItemsContinueFromPages(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	spec := batch.Job{ID: "j", Organisation: "north", Accepted: time.Now(), Terms: batch.Terms{ItemTimeout: time.Hour}, Submission: batch.Submission{
 		MinVersion: 1, Items: []batch.Item{{ID: "a"}, {ID: "b"}, {ID: "c"}},
 	}}
-	store := newSharedStore()
+	store := newMemoryStore()
 	store.put(t, KindJobs, "j", spec)
 	store.put(t, KindPages, pageName("j", 1), batch.Page{Writer: 1, Serial: 1, Partials: []batch.Partial{
 		{Item: "a", Last: 20, Versions: []int{1}, Text: "older"}, {Item: "c", Last: 9, Versions: []int{0}, Text: "of unknown weights"},
 	}})
 	store.put(t, KindPages, pageName("j", 2), batch.Page{Writer: 1, Serial: 2, Partials: []batch.Partial{{Item: "a", Last: 30, Versions: []int{1}, Text: "x"}}})
-	m := entryOf(ctx, store.door(), entries{self: "self"})
+	m := newTestManager(ctx, store.client(), fakeMembers{self: "self"})
 	defer m.Wait()
 	defer cancel()
-	given := []batch.Partial{{Item: "b", Last: 7, Versions: []int{1}, Text: "y"}}
-	if err := m.runFor(ctx, RunRequest{Job: "j", Organisation: "north", From: "dead", Partials: given}); err != nil {
+	partials := []batch.Partial{{Item: "b", Last: 7, Versions: []int{1}, Text: "y"}}
+	if err := m.handleRun(ctx, RunRequest{Job: "j", Organisation: "north", From: "dead", Partials: partials}); err != nil {
 		t.Fatal(err)
 	}
 	j, _ := m.find("j")
@@ -96,25 +96,25 @@
 		last[each.Item] = each.Last
 	}
 	if diff := cmp.Diff(map[string]int{"a": 30, "b": 7}, last); diff != "" {
-		t.Errorf("items go on after %s", diff)
+		t.Errorf("items continue after other events: %s", diff)
 	}
 }
 
-// An entry was killed and is back at once. Others say that it runs a job, of which it knows nothing any more: it must run it again, once, and
-// an entry that has run for long must not take such word, which is older than what it knows itself, for a task.
-func TestAFreshEntryRunsItsFormerJobsAgain(t *testing.T) {
+// An entry is killed and restarts at once. Others announce that it runs a job, of which it knows nothing any more: it must run the job
+// again, once. An entry that started long ago must not do so, as such an announcement is older than what it knows itself.
+func TestRestartedEntryRunsItsFormerJobsAgain(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		age  time.Duration
 		runs bool
 	}{
 		{name: "a moment after its start", runs: true},
-		{name: "long after its start", age: 2 * freshTime},
+		{name: "long after its start", age: 2 * reopenWindow},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			spec := batch.Job{ID: "j", Owner: "self", Submission: batch.Submission{Items: []batch.Item{{ID: "a"}}}}
-			m := testManager(ctx, t, spec, entries{self: "self", others: []gossip.Member{{HostID: "other"}}})
+			m := newManagerWithJob(ctx, t, spec, fakeMembers{self: "self", others: []gossip.Member{{HostID: "other"}}})
 			defer m.Wait()
 			defer cancel()
 			m.started = time.Now().Add(-test.age)
@@ -126,10 +126,10 @@
 				_, found = m.find("j")
 			}
 			if found != test.runs {
-				t.Errorf("taken up: %v", found)
+				t.Errorf("the job was loaded: %v", found)
 			}
 			if len(m.reopened) > 1 {
-				t.Errorf("remembered: %v", m.reopened)
+				t.Errorf("reopened jobs: %v", m.reopened)
 			}
 		})
 	}
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	// stallTime is how long a stream may be silent before it goes on elsewhere. Events come every 30 to 150 ms; a change of
-	// weights stops them for about a second.
-	stallTime = 2500 * time.Millisecond
-	// spanPieces is over how many pieces the pace of a stream is measured: a fifth of a second at the usual pace, three quarters at a
-	// server that is four times slower. slowSpans in a row move the stream.
-	spanPieces = 6
-	slowSpans  = 2
-	// refusalBytes bounds what is read of a refusal.
-	refusalBytes = 64 << 10
-	// refusedPause is the pause after a server refused an item, so that a full pool isn't asked without end.
-	refusedPause = 60 * time.Millisecond
+	// stallTimeout is how long a stream may bring no event before its item is moved to another server. Events come every 30 to 150 ms; a
+	// change of weights stops them for about a second.
+	stallTimeout = 2500 * time.Millisecond
+	// eventsPerSpan is the number of events over which the pace of a stream is measured: a fifth of a second at the usual pace, three quarters
+	// at a server that is four times slower. After slowSpansToMove slow spans in a row the item is moved.
+	eventsPerSpan   = 6
+	slowSpansToMove = 2
+	// maxRefusalBytes bounds how much of a refusal is read.
+	maxRefusalBytes = 64 << 10
+	// itemRetryDelay is the pause after a server refused or failed an item, so that a full pool isn't asked in a tight loop.
+	itemRetryDelay = 60 * time.Millisecond
 )
 
 // outcome is how a run of an item ended.
 type outcome uint8
 
 const (
-	// outcomeCut: the run may go on at another server after the last event received.
+	// outcomeCut: the stream broke off, and the item may continue at another server after the last event received.
 	outcomeCut outcome = iota + 1
 	// outcomeRefused: the server did not run the item.
 	outcomeRefused
-	// outcomeCompleted: the stream came whole.
+	// outcomeCompleted: the whole stream was received.
 	outcomeCompleted
-	// outcomeFailed: the server failed the item.
+	// outcomeFailed: the server answered with status 500, which counts as a failure of the item.
 	outcomeFailed
-	// outcomeImpossible: the item can never be done.
+	// outcomeImpossible: the server answered that the item can never succeed.
 	outcomeImpossible
-	// outcomeMoved: the server is slow, and others are not.
+	// outcomeMoved: the server is slow and others are not, so that the item moves.
 	outcomeMoved
-	// outcomeUnfit: what was received can't be used with what would follow.
+	// outcomeUnfit: the job allows a single weight version, and the server's differs from that of the text received so far.
 	outcomeUnfit
 )
 
@@ -59,51 +59,52 @@
 	outcomeUnfit:      "unfit",
 }
 
-// String returns the outcome for logs and metrics.
+// String returns the name of the outcome in logs and metrics.
 func (o outcome) String() string { return outcomeNames[o] }
 
-// run is one run of an item at a server.
-type run struct {
+// itemRun is one run of an item at a server.
+type itemRun struct {
 	manager *Manager
 	job     *job
 	item    *batch.Item
 	output  *batch.Output
 	server  backend.Server
-	// version is the weight version in force.
+	// version is the weight version of the events that are received; 0 until the server names one.
 	version int
-	// cause says why the run was cut.
+	// cause says why the run did not complete.
 	cause error
 }
 
-// runItem runs an item at the server and takes in what came of it.
+// runItem runs an item at the server and records the outcome in the job's progress.
 func (m *Manager) runItem(ctx context.Context, j *job, item *batch.Item, output *batch.Output, server backend.Server) {
-	r := &run{manager: m, job: j, item: item, output: output, server: server}
+	r := &itemRun{manager: m, job: j, item: item, output: output, server: server}
 	started := time.Now()
 	from := output.Last
-	got := r.do(ctx)
+	result := r.execute(ctx)
 	m.book.Release(server.ID)
-	m.metrics.ran(got, time.Since(started))
-	if got == outcomeCompleted {
+	m.metrics.observeRun(result, time.Since(started))
+	if result == outcomeCompleted {
 		m.log.Debug().Str("request", j.spec.ID).Str("item", item.ID).Str("server", server.ID).Int("fromEvent", from).
 			Int("lastEvent", output.Last).Int("expectedTokens", item.ExpectedTokens).Dur("took", time.Since(started)).Msg("item completed")
 	} else if ctx.Err() == nil {
-		m.log.Info().Str("request", j.spec.ID).Str("item", item.ID).Str("server", server.ID).Stringer("outcome", got).
+		m.log.Info().Str("request", j.spec.ID).Str("item", item.ID).Str("server", server.ID).Stringer("outcome", result).
 			Int("fromEvent", from).Int("lastEvent", output.Last).Int("version", r.version).Dur("took", time.Since(started)).AnErr("cause", r.cause).
-			Msg("item goes on elsewhere")
+			Msg("item run not completed")
 	}
-	if got == outcomeRefused || got == outcomeFailed {
-		ticker.Sleep(ctx, refusedPause)
+	if result == outcomeRefused || result == outcomeFailed {
+		ticker.Sleep(ctx, itemRetryDelay)
 	}
-	r.settle(got)
+	r.applyOutcome(result)
 	j.wake()
 }
 
-func (r *run) settle(got outcome) {
+// applyOutcome records in the job's progress how the run ended.
+func (r *itemRun) applyOutcome(result outcome) {
 	now := time.Now()
 	r.job.mu.Lock()
 	defer r.job.mu.Unlock()
 	progress := r.job.progress
-	switch got {
+	switch result {
 	case outcomeCompleted:
 		progress.Completed(now, r.item.ID)
 	case outcomeFailed:
@@ -118,11 +119,11 @@
 	}
 }
 
-// do sends the item and reads its stream.
-func (r *run) do(ctx context.Context) outcome {
+// execute sends the item and reads its stream.
+func (r *itemRun) execute(ctx context.Context) outcome {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stalled := time.AfterFunc(stallTime, func() { cancel(errStalled) })
+	stalled := time.AfterFunc(stallTimeout, func() { cancel(errStalled) })
 	defer stalled.Stop()
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -130,36 +131,36 @@
 	platform.FromItem(req, r.job.spec, r.item, r.output.Last, hop)
 	stream, err := r.manager.servers.Open(ctx, req)
 	if err != nil {
-		return r.broken(ctx, err)
+		return r.handleStreamError(ctx, err)
 	}
 	defer func() {
-		// What the stream brought is known by now; a failing close changes nothing about it.
+		// The events have been read by now; a failing close changes nothing about them.
 		_ = stream.Close()
 	}()
 	answer := platform.ReadAnswer(stream.Header())
 	if answer.Load >= 0 {
 		r.manager.book.Reported(time.Now(), r.server.ID, answer.Load)
 	}
-	if got, ok := r.judge(answer); !ok {
-		if got == outcomeRefused && answer.NotRun {
-			// The rest of a refusal is short; read to its end, it leaves the connection for the next item.
-			_, _ = io.CopyN(io.Discard, stream, refusalBytes)
+	if result, ok := r.checkHeader(answer); !ok {
+		if result == outcomeRefused && answer.NotRun {
+			// The rest of a refusal is short; reading it to its end lets the next item reuse the connection.
+			_, _ = io.CopyN(io.Discard, stream, maxRefusalBytes)
 		}
-		return got
+		return result
 	}
-	return r.read(ctx, platform.NewEvents(stream), stalled)
+	return r.readEvents(ctx, platform.NewEvents(stream), stalled)
 }
 
 var (
-	errStalled = errors.New("the stream fell silent")
-	errForeign = errors.New("the answer belongs to another request")
-	errVersion = errors.New("the server has other weights")
-	errSlow    = errors.New("the server is slow")
-	errMissing = errors.New("an event is missing or came twice")
+	errStalled      = errors.New("the stream brought no event within the stall timeout")
+	errWrongRequest = errors.New("the answer belongs to another request")
+	errWrongVersion = errors.New("the job may not use the server's weight version")
+	errSlow         = errors.New("the server is slow")
+	errEventOrder   = errors.New("an event is missing or repeated")
 )
 
-// broken takes in that the request could not be sent or its answer broke off.
-func (r *run) broken(ctx context.Context, err error) outcome {
+// handleStreamError handles a request that could not be sent or whose answer broke off.
+func (r *itemRun) handleStreamError(ctx context.Context, err error) outcome {
 	r.cause = err
 	if cause := context.Cause(ctx); cause != nil {
 		r.cause = cause
@@ -174,12 +175,12 @@
 	return outcomeCut
 }
 
-// judge decides by the head of an answer whether its stream is read.
-func (r *run) judge(answer platform.Answer) (outcome, bool) {
+// checkHeader decides by the status and header of an answer whether its stream is read.
+func (r *itemRun) checkHeader(answer platform.Answer) (outcome, bool) {
 	book, now := r.manager.book, time.Now()
 	switch {
 	case answer.RequestID != "" && answer.RequestID != r.item.ID:
-		r.cause = errForeign
+		r.cause = errWrongRequest
 		book.Failed(now, r.server.ID)
 		return outcomeCut, false
 	case answer.NotRun:
@@ -187,7 +188,7 @@
 		book.Refused(now, r.server.ID)
 		return outcomeRefused, false
 	case answer.Status == fasthttp.StatusUnprocessableEntity:
-		r.cause = errors.New("the item can never be done")
+		r.cause = errors.New("the item can never succeed")
 		return outcomeImpossible, false
 	case answer.Status == fasthttp.StatusInternalServerError:
 		r.cause = errors.New("status 500")
@@ -198,99 +199,99 @@
 		book.Failed(now, r.server.ID)
 		return outcomeCut, false
 	case answer.Version == 0:
-		// An answer without a version has no events: the server goes on after the last event of an item whose end was lost.
+		// An answer without a version has no events: all were received before, and only the end of the stream was lost.
 		return 0, true
 	default:
-		return r.changeVersion(answer.Version)
+		return r.acceptVersion(answer.Version)
 	}
 }
 
-// changeVersion takes in the weight version of what follows. It returns false if the job may not use it.
-func (r *run) changeVersion(version int) (outcome, bool) {
+// acceptVersion records the weight version of the events that follow. It returns false if the job may not use it.
+func (r *itemRun) acceptVersion(version int) (outcome, bool) {
 	r.version = version
 	spec := r.job.spec
 	r.manager.book.Accepted(r.server.ID)
 	r.manager.book.Shows(r.server.ID, spec.Model, version)
 	if version < spec.MinVersion {
-		r.cause = errVersion
+		r.cause = errWrongVersion
 		return outcomeRefused, false
 	}
 	if spec.SingleVersion && len(r.output.Versions) > 0 && r.output.Versions[0] != version {
-		r.cause = errVersion
+		r.cause = errWrongVersion
 		return outcomeUnfit, false
 	}
 	return 0, true
 }
 
-// read takes in the events of a stream.
-func (r *run) read(ctx context.Context, events *platform.Events, stalled *time.Timer) outcome {
-	watch := pieceWatch{book: r.manager.book, server: r.server.ID}
+// readEvents appends the events of a stream to the item's output.
+func (r *itemRun) readEvents(ctx context.Context, events *platform.Events, stalled *time.Timer) outcome {
+	monitor := paceMonitor{book: r.manager.book, server: r.server.ID}
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) && r.output.Last > 0 {
 			return outcomeCompleted
 		}
 		if err != nil {
-			return r.broken(ctx, err)
+			return r.handleStreamError(ctx, err)
 		}
-		stalled.Reset(stallTime)
+		stalled.Reset(stallTimeout)
 		if event.Version != 0 && event.Version != r.version {
-			if got, ok := r.changeVersion(event.Version); !ok {
-				return got
+			if result, ok := r.acceptVersion(event.Version); !ok {
+				return result
 			}
 		}
 		if r.version == 0 {
-			r.cause = errVersion
+			r.cause = errWrongVersion
 			return outcomeCut
 		}
 		if !r.append(event) {
-			r.cause = errMissing
+			r.cause = errEventOrder
 			return outcomeCut
 		}
-		if watch.piece(time.Now()) {
+		if monitor.eventReceived(time.Now()) {
 			r.cause = errSlow
 			return outcomeMoved
 		}
 	}
 }
 
-// pieceWatch measures the pace of a stream over spans of pieces.
+// paceMonitor measures the pace of a stream over spans of events.
 //
-// Guard: single gaps mislead. An entry that is short of processor time reads pieces late and then many at once, and a change of
-// weights stops a stream for a second; both look like slow servers, and an entry would move hundreds of streams at once. A span evens
-// out the first, and two slow spans in a row are wanted because of the second.
-type pieceWatch struct {
+// Gaps between single events mislead. An entry that is short of processor time reads events late and then many at once, and a change of
+// weights stops a stream for a second; both look like slow servers, and an entry would move hundreds of streams at once. A span evens out
+// the first, and two slow spans in a row are required because of the second.
+type paceMonitor struct {
 	book   *backend.Book
 	server string
-	pieces int
-	// since is when the span began, slow how many spans in a row were slow.
-	since time.Time
-	slow  int
+	events int
+	// spanStart is when the span began, slowSpans how many spans in a row were slow.
+	spanStart time.Time
+	slowSpans int
 }
 
-// piece takes in that a piece came, and says whether the stream should go on elsewhere.
-func (w *pieceWatch) piece(now time.Time) bool {
-	if w.since.IsZero() {
-		// The first piece came after the wait for a place and the reading of the prompt.
-		w.since = now
+// eventReceived records that an event came, and reports whether the item should move to another server.
+func (p *paceMonitor) eventReceived(now time.Time) bool {
+	if p.spanStart.IsZero() {
+		// The first event comes after the wait for a slot and the processing of the prompt.
+		p.spanStart = now
 		return false
 	}
-	if w.pieces++; w.pieces < spanPieces {
+	if p.events++; p.events < eventsPerSpan {
 		return false
 	}
-	pace := now.Sub(w.since) / spanPieces
-	w.pieces, w.since = 0, now
-	w.book.Served(now, w.server, pace)
-	w.book.Pace(w.server, pace)
-	if !w.book.Moves(w.server, pace) {
-		w.slow = 0
+	pace := now.Sub(p.spanStart) / eventsPerSpan
+	p.events, p.spanStart = 0, now
+	p.book.Served(now, p.server, pace)
+	p.book.Pace(p.server, pace)
+	if !p.book.Moves(p.server, pace) {
+		p.slowSpans = 0
 		return false
 	}
-	w.slow++
-	return w.slow >= slowSpans
+	p.slowSpans++
+	return p.slowSpans >= slowSpansToMove
 }
 
-func (r *run) append(event batch.Event) bool {
+func (r *itemRun) append(event batch.Event) bool {
 	r.job.mu.Lock()
 	defer r.job.mu.Unlock()
 	return r.output.Append(event, r.version)
--- a/internal/edge/batchjob/item_test.go
+++ b/internal/edge/batchjob/item_test.go
@@ -7,8 +7,8 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/backend"
 )
 
-// newWatchedBook returns a book of four engines whose usual pace is 30 ms a piece.
-func newWatchedBook() *backend.Book {
+// newPacedBook returns a book of four servers, three of them with a usual pace of 30 ms an event.
+func newPacedBook() *backend.Book {
 	book := backend.NewBook("self", "near")
 	var servers []backend.Server
 	for _, id := range []string{"a", "b", "c", "d"} {
@@ -21,20 +21,21 @@
 	return book
 }
 
-// An entry with a seventh of a core read the pieces of its streams late and then many at once, and moved 190 streams in half a second
-// from servers that were as fast as ever. A slow server must be left all the same.
-func TestStreamsLeaveSlowServersOnly(t *testing.T) {
+// Guards against streams that are moved because this entry reads late: an entry with a seventh of a core read the events of its streams
+// late and then many at once, and moved 190 streams in half a second from servers that were as fast as ever. Streams must still move from
+// a slow server.
+func TestStreamsMoveFromSlowServersOnly(t *testing.T) {
 	usual := 30 * time.Millisecond
 	for _, test := range []struct {
 		name string
-		// gap returns the time before the n-th piece.
+		// gap returns the time before the n-th event.
 		gap  func(n int) time.Duration
 		want bool
 	}{
 		{name: "usual pace", gap: func(int) time.Duration { return usual }},
 		{name: "read late and then many at once", gap: func(n int) time.Duration {
-			if n%spanPieces == 0 {
-				return spanPieces * usual
+			if n%eventsPerSpan == 0 {
+				return eventsPerSpan * usual
 			}
 			return 0
 		}},
@@ -47,12 +48,12 @@
 		{name: "a slow server", gap: func(int) time.Duration { return 4 * usual }, want: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			watch := pieceWatch{book: newWatchedBook(), server: "a"}
+			monitor := paceMonitor{book: newPacedBook(), server: "a"}
 			now := time.Unix(1_700_000_000, 0)
 			moved := false
 			for n := range 60 {
 				now = now.Add(test.gap(n))
-				moved = moved || watch.piece(now)
+				moved = moved || monitor.eventReceived(now)
 			}
 			if moved != test.want {
 				t.Errorf("moved: %v", moved)
--- a/internal/edge/batchjob/job.go
+++ b/internal/edge/batchjob/job.go
@@ -11,7 +11,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/batch"
 )
 
-// job is a batch job that this process knows: it runs it, or has read it from the store.
+// job is a batch job in the memory of this process, which runs it or has read it from the store.
 type job struct {
 	spec *batch.Job
 	// tokenRate is computed once; see batch.Job.TokenRate.
@@ -19,138 +19,140 @@
 
 	mu       sync.Mutex
 	progress *batch.Progress
-	// runs is set while this process runs the job, ran once it has; stop ends the job's items.
-	runs bool
-	ran  bool
-	stop context.CancelFunc
-	// routeMissing is set once no route served a reward call of the job.
-	routeMissing bool
-	// changed is closed when results are listed or the job ends; poke wakes the runner.
+	// running is set while this process runs the job, hasRun from its first start on; cancel stops the job's items.
+	running bool
+	hasRun  bool
+	cancel  context.CancelFunc
+	// noRouteLogged is set once a reward call of the job without a route was logged.
+	noRouteLogged bool
+	// changed is closed and replaced when results are listed or the job ends; wakeup wakes the control loop.
 	changed chan struct{}
-	poke    chan struct{}
-	// asked is when the store was last asked for a page after those known, and had none.
-	asked time.Time
-	// asking is held by the reader that asks the store.
-	asking chan struct{}
-	// used is when the job was last used, for forgetting.
-	used time.Time
-	work conc.WaitGroup
+	wakeup  chan struct{}
+	// noNewPageAt is when the last query of the store began that found no page after those known.
+	noNewPageAt time.Time
+	// storeQuery is a semaphore, held by the reader that queries the store for new pages.
+	storeQuery chan struct{}
+	// lastUse is when the job was last used; jobs unused for long are evicted.
+	lastUse time.Time
+	wg      conc.WaitGroup
 }
 
 // newJob returns a job of which no page is known yet.
 //
-// Guard: pages are marked with their writer, so that a page whose answer was lost is recognised. A process that forgets a job and runs it again
-// counts its pages anew; under the mark of the process it would take a former page, carried out late, for its new one.
+// Each page names its writer, so that a page is recognised whose create was carried out though the answer was lost. Every job in memory
+// gets a writer of its own: a process that drops a job and runs it again numbers its writes from the start, and if the writer named the
+// process, an earlier page that was carried out late would be mistaken for the new one.
 func newJob(spec *batch.Job) *job {
 	return &job{
-		spec:      spec,
-		tokenRate: spec.TokenRate(),
-		progress:  batch.NewProgress(spec, rand.Uint64()),
-		changed:   make(chan struct{}),
-		poke:      make(chan struct{}, 1),
-		asking:    make(chan struct{}, 1),
-		used:      time.Now(),
+		spec:       spec,
+		tokenRate:  spec.TokenRate(),
+		progress:   batch.NewProgress(spec, rand.Uint64()),
+		changed:    make(chan struct{}),
+		wakeup:     make(chan struct{}, 1),
+		storeQuery: make(chan struct{}, 1),
+		lastUse:    time.Now(),
 	}
 }
 
-// tell wakes the readers of results. The caller holds the lock.
-func (j *job) tell() {
+// notifyReaders wakes the readers that wait for results. The caller holds the lock.
+func (j *job) notifyReaders() {
 	close(j.changed)
 	j.changed = make(chan struct{})
 }
 
-// wake wakes the runner.
+// wake wakes the control loop.
 func (j *job) wake() {
 	select {
-	case j.poke <- struct{}{}:
+	case j.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// end stops the job.
+// end stops the job for good.
 func (j *job) end() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.endLocked()
 }
 
-// endLocked does what end does. The caller holds the lock.
+// endLocked is end for callers that hold the lock.
 func (j *job) endLocked() {
 	if j.progress.Ended() {
 		return
 	}
 	j.progress.End()
-	if j.stop != nil {
-		j.stop()
+	if j.cancel != nil {
+		j.cancel()
 	}
-	j.tell()
+	j.notifyReaders()
 	j.wake()
 }
 
-// yield stops running the job here without ending it.
-func (j *job) yield() {
+// stopRunning stops running the job here without ending it.
+func (j *job) stopRunning() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.runs = false
-	if j.stop != nil {
-		j.stop()
+	j.running = false
+	if j.cancel != nil {
+		j.cancel()
 	}
 	j.wake()
 }
 
-func (j *job) running() bool {
+func (j *job) isRunning() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.runs
+	return j.running
 }
 
-// whole says that this process ran the job to its last result, and its trainer hasn't ended it yet.
-func (j *job) whole() bool {
+// completedHere reports whether this process ran the job to its last result and the trainer hasn't ended it yet.
+func (j *job) completedHere() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.ran && j.progress.Complete() && !j.progress.Ended()
+	return j.hasRun && j.progress.Complete() && !j.progress.Ended()
 }
 
-// over says that nothing is left to run.
-func (j *job) over() bool {
+// finished reports whether nothing is left to run.
+func (j *job) finished() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.progress.Ended() || j.progress.Complete()
 }
 
-// shows says that a read from the position is best answered here: its results are known, or this process runs the job and hears of new
-// ones first.
-func (j *job) shows(from int) bool {
+// canAnswer reports whether a read from the position is best answered here: its results are known, or this process runs the job and learns
+// of new results first.
+func (j *job) canAnswer(from int) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.runs || j.progress.Complete() || from < j.progress.Listed()
+	return j.running || j.progress.Complete() || from < j.progress.Listed()
 }
 
-// caughtUp takes in that the store, asked at a time, had no page after those known.
-func (j *job) caughtUp(asked time.Time) {
+// recordNoNewPage records that a store query that began at the given time found no page after those known.
+func (j *job) recordNoNewPage(queried time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if asked.After(j.asked) {
-		j.asked = asked
+	if queried.After(j.noNewPageAt) {
+		j.noNewPageAt = queried
 	}
 }
 
-// show returns the number of items, and what a read that came in at a time may be told; false if the store must be asked first.
-func (j *job) show(came time.Time, from, maxBytes int) (int, []batch.Result, bool) {
+// resultsFrom returns the number of items, and the results from a position on that a read received at the given time may be shown. It
+// returns false if the store must be queried first.
+func (j *job) resultsFrom(received time.Time, from, maxBytes int) (int, []batch.Result, bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.used = time.Now()
-	results, ok := j.progress.Show(from, maxBytes, !j.asked.Before(came))
+	j.lastUse = time.Now()
+	results, ok := j.progress.Show(from, maxBytes, !j.noNewPageAt.Before(received))
 	return j.progress.Total(), results, ok
 }
 
-// await waits until there are results from the position on, for up to wait, or the job is over.
-func (j *job) await(ctx context.Context, from int, wait time.Duration) {
+// awaitResults waits until results are listed from the position on or the job is finished, for up to wait.
+func (j *job) awaitResults(ctx context.Context, from int, wait time.Duration) {
 	timer := time.NewTimer(max(0, wait))
 	defer timer.Stop()
 	for {
 		j.mu.Lock()
-		j.used = time.Now()
+		j.lastUse = time.Now()
 		known := j.progress.Listed() > from || j.progress.Ended() || j.progress.Complete()
 		changed := j.changed
 		j.mu.Unlock()
--- a/internal/edge/batchjob/deny_test.go
+++ b/internal/edge/batchjob/listed_test.go
@@ -10,53 +10,54 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/gossip"
 )
 
-// A trainer had read 68 results of a job at one entry; another one showed it an empty list at position 67. Two entries ran the job: its
-// acceptance had gone to the second as well, late, and that one took itself for alone, though the first had written pages long ago.
-// Cause: what no entry had been told of was taken not to exist. Three of these states denied the position until the store was asked.
-func TestNoEntryDeniesAListedPosition(t *testing.T) {
+// Guards against an empty list at a position whose result another entry has shown. Two entries ran a job, the second since it received the
+// acceptance late, and knew nothing of the pages that the first had written: a trainer had read 68 results at one and was shown an empty
+// list at position 67 by the other. Pages that an entry had not been told of were assumed not to exist; in three of these states an entry
+// returned an empty list without querying the store.
+func TestListedPositionIsNeverReportedEmpty(t *testing.T) {
 	run := func(ctx context.Context, m *Manager, spec *batch.Job) {
-		fresh, err := json.Marshal(spec)
+		specJSON, err := json.Marshal(spec)
 		if err != nil {
 			t.Error(err)
 		}
-		if err := m.runFor(ctx, RunRequest{Job: spec.ID, Organisation: spec.Organisation, From: "other", Fresh: fresh}); err != nil {
+		if err := m.handleRun(ctx, RunRequest{Job: spec.ID, Organisation: spec.Organisation, From: "other", SpecJSON: specJSON}); err != nil {
 			t.Error(err)
 		}
 	}
 	for _, test := range []struct {
 		name string
-		// before is what the entry does before another one writes a page and shows it.
+		// before is what the entry does before another one writes and shows a page.
 		before func(ctx context.Context, m *Manager, spec *batch.Job)
-		// after is what it does then, before it is read.
+		// after is what it does between that and the read.
 		after func(ctx context.Context, m *Manager, spec *batch.Job)
 	}{
 		{name: "it has just started"},
-		{name: "it was given the job as a fresh one, late", after: run},
-		{name: "it runs the job, and stood still while another took the job over", before: run},
+		{name: "it is asked late to run the new job", after: run},
+		{name: "it runs the job, and was frozen while another took the job over", before: run},
 		{name: "it read the job while another ran it", before: func(ctx context.Context, m *Manager, spec *batch.Job) {
-			if _, err := m.read(ctx, spec.ID, spec.Organisation); err != nil {
+			if _, err := m.readJob(ctx, spec.ID, spec.Organisation); err != nil {
 				t.Error(err)
 			}
 		}},
 		{name: "it ended the job, and read it once more long after", before: func(ctx context.Context, m *Manager, spec *batch.Job) {
 			run(ctx, m, spec)
-			m.endHere(spec.ID)
+			m.markEnded(spec.ID)
 			j, _ := m.find(spec.ID)
-			if err := m.catchUp(ctx, j); err != nil {
+			if err := m.readNewPages(ctx, j); err != nil {
 				t.Error(err)
 			}
 			j.mu.Lock()
-			j.asked = j.asked.Add(-time.Minute)
+			j.noNewPageAt = j.noNewPageAt.Add(-time.Minute)
 			j.mu.Unlock()
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			spec := storedSpec()
+			spec := newStoredSpec()
 			spec.Owner = "other"
-			store := newSharedStore()
+			store := newMemoryStore()
 			store.put(t, KindJobs, spec.ID, spec)
-			m := entryOf(ctx, store.door(), entries{self: "self", others: []gossip.Member{{HostID: "other"}}})
+			m := newTestManager(ctx, store.client(), fakeMembers{self: "self", others: []gossip.Member{{HostID: "other"}}})
 			defer m.Wait()
 			defer cancel()
 			if test.before != nil {
@@ -68,7 +69,7 @@
 			}
 			total, results, err := m.Results(ctx, spec.ID, spec.Organisation, 0, 0, 1<<20)
 			if err != nil || total != 2 || len(results) != 1 || results[0].ID != "a" {
-				t.Errorf("%d items, %v, %v; position 0 was shown elsewhere", total, results, err)
+				t.Errorf("%d items, results %v, error %v; position 0 was shown elsewhere", total, results, err)
 			}
 		})
 	}
--- a/internal/edge/batchjob/load.go
+++ b/internal/edge/batchjob/load.go
@@ -14,11 +14,11 @@
 	product "github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// pageName names the page with the number, from 1, of a job's log.
+// pageName returns the name in the store of a job's page with the number, from 1.
 func pageName(job string, number int) string { return fmt.Sprintf("%s-%06d", job, number) }
 
-// peek reads a job without its pages.
-func (m *Manager) peek(ctx context.Context, id string) (*job, error) {
+// readSpec reads a job without its pages from the store.
+func (m *Manager) readSpec(ctx context.Context, id string) (*job, error) {
 	object, err := m.store.Get(ctx, KindJobs, id)
 	if errors.Is(err, product.ErrNotFound) {
 		return nil, notFound(id)
@@ -33,34 +33,34 @@
 	return newJob(&spec), nil
 }
 
-// read reads a job with all its pages.
-func (m *Manager) read(ctx context.Context, id, organisation string) (*job, error) {
-	j, err := m.known(ctx, id)
+// readJob returns a job with all its pages; what isn't in memory is read from the store. An empty organisation allows every job.
+func (m *Manager) readJob(ctx context.Context, id, organisation string) (*job, error) {
+	j, err := m.findOrRead(ctx, id)
 	if err != nil {
 		return nil, err
 	}
 	if organisation != "" && j.spec.Organisation != organisation {
 		return nil, notFound(id)
 	}
-	if err := m.catchUp(ctx, j); err != nil {
+	if err := m.readNewPages(ctx, j); err != nil {
 		return nil, storeRefusal(err)
 	}
-	if j.over() {
+	if j.finished() {
 		return j, nil
 	}
-	ended, err := m.endInStore(ctx, id)
+	ended, err := m.isEndedInStore(ctx, id)
 	if err != nil {
 		return nil, storeRefusal(err)
 	}
 	if ended {
 		j.end()
-		m.endHere(id)
+		m.markEnded(id)
 	}
 	return j, nil
 }
 
-// endInStore says whether the store holds the end of a job.
-func (m *Manager) endInStore(ctx context.Context, id string) (bool, error) {
+// isEndedInStore reports whether the store holds the end of a job.
+func (m *Manager) isEndedInStore(ctx context.Context, id string) (bool, error) {
 	_, err := m.store.Get(ctx, KindEnds, id)
 	if errors.Is(err, product.ErrNotFound) {
 		return false, nil
@@ -68,23 +68,23 @@
 	return err == nil, err
 }
 
-// known returns a job that is in memory, or reads it without its pages and remembers it.
+// findOrRead returns a job that is in memory, or reads it without its pages and caches it.
 //
-// Guard: a store that is slow takes longer for the pages of a job than a call lasts. Read from the first page at each call, the job was never
-// shown nor taken over; remembered, each call goes on where the one before ended.
-func (m *Manager) known(ctx context.Context, id string) (*job, error) {
+// Reading all pages of a job from a slow store takes longer than a call lasts. Since the job is cached, each call continues where the one
+// before stopped; when every call began at the first page, such a job was neither shown nor taken over.
+func (m *Manager) findOrRead(ctx context.Context, id string) (*job, error) {
 	if j, ok := m.find(id); ok {
 		return j, nil
 	}
-	j, err := m.peek(ctx, id)
+	j, err := m.readSpec(ctx, id)
 	if err != nil {
 		return nil, err
 	}
-	return m.keep(j), nil
+	return m.cache(j), nil
 }
 
-// catchUp reads the pages that follow those known.
-func (m *Manager) catchUp(ctx context.Context, j *job) error {
+// readNewPages reads the pages that follow those known.
+func (m *Manager) readNewPages(ctx context.Context, j *job) error {
 	for {
 		j.mu.Lock()
 		next := j.progress.Pages() + 1
@@ -93,10 +93,10 @@
 		if complete {
 			return nil
 		}
-		asked := time.Now()
+		queried := time.Now()
 		object, err := m.store.Get(ctx, KindPages, pageName(j.spec.ID, next))
 		if errors.Is(err, product.ErrNotFound) {
-			j.caughtUp(asked)
+			j.recordNoNewPage(queried)
 			return nil
 		}
 		if err != nil {
@@ -106,53 +106,54 @@
 		if err := json.Unmarshal(object.Value, &page); err != nil {
 			return errors.Wrapf(err, "page %s", object.Name)
 		}
-		j.absorb(next, page)
+		j.applyPage(next, page)
 	}
 }
 
-// absorb takes in the page with the number, unless another goroutine was faster.
-func (j *job) absorb(number int, page batch.Page) {
+// applyPage adds the page with the number that was read from the store, unless another goroutine has added it already.
+func (j *job) applyPage(number int, page batch.Page) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.progress.Pages()+1 != number {
 		return
 	}
 	j.progress.Lose(page)
-	j.tell()
+	j.notifyReaders()
 }
 
-// keep remembers a job, and forgets others that are over or unused. It returns the one that is remembered under the id.
-func (m *Manager) keep(j *job) *job {
+// cache adds a job to those in memory and evicts idle ones. It returns the job that is in memory under the id.
+func (m *Manager) cache(j *job) *job {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.keepLocked(j)
+	return m.cacheLocked(j)
 }
 
-// keepLocked does what keep does. The caller holds the lock.
-func (m *Manager) keepLocked(j *job) *job {
+// cacheLocked is cache for callers that hold the lock.
+func (m *Manager) cacheLocked(j *job) *job {
 	if known, ok := m.jobs[j.spec.ID]; ok {
 		return known
 	}
 	m.jobs[j.spec.ID] = j
-	m.forget(time.Now())
+	m.evictIdle(time.Now())
 	return j
 }
 
-// forget drops jobs that this process doesn't run: those unused for long, and the longest unused beyond the most kept.
-func (m *Manager) forget(now time.Time) {
+// evictIdle drops jobs that this process doesn't run: those unused for longer than cacheTTL, and the least recently used beyond
+// maxIdleJobs.
+func (m *Manager) evictIdle(now time.Time) {
 	var idle []*job
 	for id, j := range m.jobs {
-		if j.running() {
+		if j.isRunning() {
 			continue
 		}
-		if now.Sub(j.lastUsed()) > keepTime {
+		if now.Sub(j.lastUsed()) > cacheTTL {
 			delete(m.jobs, id)
 			continue
 		}
 		idle = append(idle, j)
 	}
 	slices.SortFunc(idle, func(a, b *job) int { return cmp.Compare(a.lastUsed().UnixNano(), b.lastUsed().UnixNano()) })
-	for len(idle) > keepMost {
+	for len(idle) > maxIdleJobs {
 		delete(m.jobs, idle[0].spec.ID)
 		idle = idle[1:]
 	}
@@ -161,5 +162,5 @@
 func (j *job) lastUsed() time.Time {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.used
+	return j.lastUse
 }
--- a/internal/edge/batchjob/manager.go
+++ b/internal/edge/batchjob/manager.go
@@ -1,7 +1,11 @@
-// Package batchjob accepts, runs, lists and ends batch jobs over the platform's store. The decisions are those of core/batch.
+// Package batchjob accepts, runs, lists and ends batch jobs, and keeps them in the platform's store. The decisions are those of
+// core/batch.
 //
-// A job, the pages of its results and its end are objects of the store, each created once. Which entry runs a job is a
-// matter of liveness only: the one that accepted it, or one that is asked for results of a job that no living entry runs.
+// An entry is a gateway process. Entries share the store, call each other and exchange gossip; a trainer may call any of them. A job, the
+// pages of its results and its end are objects of the store, each created once.
+//
+// The entry that runs a job is its owner. Who that is matters for liveness only: normally it is the job's home (see batch.Home), and if no
+// living entry runs a job, an entry that is asked for its results has it run again.
 package batchjob
 
 import (
@@ -25,7 +29,7 @@
 	product "github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// Kinds of the objects that batch jobs are kept in.
+// Kinds of the objects of the store: jobs, the pages of their results, and their ends.
 const (
 	KindJobs  = "jobs"
 	KindPages = "pages"
@@ -33,28 +37,28 @@
 )
 
 const (
-	// storeRetry is when a caller should come back if the store can't be reached; its outages take seconds.
-	storeRetry = time.Second
-	// outageRetry is when to come back while no entry reaches the store: a refusal costs nothing, and the step waits.
-	outageRetry = 500 * time.Millisecond
-	// endedTime is for how long others are told that a job ended: many beats. It is remembered for endedMemory.
-	endedTime   = 10 * time.Second
-	endedMemory = 3 * time.Minute
-	// keepTime is how long a job that isn't run or read stays in memory. Results are read again for minutes after a job's
-	// end, and to have them anew costs a call to the store for each page.
-	keepTime = 2 * time.Minute
-	// keepMost is how many jobs that are over stay in memory at most, bodies included. Bodies are asked for until the end of a job, and had anew
-	// they cost a read of the store each.
-	keepMost = 24
-	// settleTime bounds how long a lost answer to an acceptance is looked into; the store may carry a call out seconds late.
-	settleTime  = 8 * time.Second
-	settlePause = 500 * time.Millisecond
-	// askTime bounds a question to another entry on a caller's behalf, beside the wait that it asks for: entries answer within milliseconds,
-	// and an entry that is frozen and not noticed yet must leave time to answer without it.
-	askTime = 600 * time.Millisecond
+	// storeRetryAfter is when a caller should retry if the store can't be reached; its outages take seconds.
+	storeRetryAfter = time.Second
+	// outageRetryAfter is when to retry while no entry reaches the store: a refusal costs nothing, and the trainer's step waits.
+	outageRetryAfter = 500 * time.Millisecond
+	// endAnnounceTime is for how long gossip announces that a job ended: many messages. The end is remembered for endRetention.
+	endAnnounceTime = 10 * time.Second
+	endRetention    = 3 * time.Minute
+	// cacheTTL is how long a job that isn't run or read stays in memory. Results are read again for minutes after a job's end, and reading
+	// them again costs a call to the store for each page.
+	cacheTTL = 2 * time.Minute
+	// maxIdleJobs is how many jobs that this process doesn't run stay in memory at most, bodies included. Bodies are requested until the end
+	// of a job, and each that isn't in memory costs a read of the store.
+	maxIdleJobs = 24
+	// lostAnswerTimeout bounds the polling for a job whose create had no answer; the store may carry a call out seconds late.
+	lostAnswerTimeout      = 8 * time.Second
+	lostAnswerPollInterval = 500 * time.Millisecond
+	// peerTimeout bounds a request to another entry on a caller's behalf, in addition to the wait that it asks for. Entries answer within
+	// milliseconds, and if an entry is frozen but not yet detected as lost, time must be left to answer without it.
+	peerTimeout = 600 * time.Millisecond
 )
 
-// Store is the platform's store as far as batch jobs need it.
+// Store is the part of the platform's store that batch jobs use.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (product.Object, error)
 	Create(ctx context.Context, kind, name string, value json.RawMessage) (product.Version, error)
@@ -62,14 +66,14 @@
 	Delete(ctx context.Context, kind, name string, version product.Version) error
 }
 
-// Members are the other entries.
+// Members gives this entry and the other living ones.
 type Members interface {
 	Self() gossip.Member
 	Find(now time.Time, hostID string) (gossip.Member, bool)
 	Alive(now time.Time) []gossip.Member
 }
 
-// Manager keeps the batch jobs of an entry. It is safe for concurrent use.
+// Manager manages the batch jobs of an entry. It is safe for concurrent use.
 type Manager struct {
 	ctx     context.Context
 	store   Store
@@ -83,77 +87,77 @@
 	demand  func() batch.Demand
 	metrics *Metrics
 	log     zerolog.Logger
-	work    conc.WaitGroup
+	wg      conc.WaitGroup
 
 	mu   sync.Mutex
 	jobs map[string]*job
-	// owners are the entries that run a job, as they or others said.
+	// owners are the entries that run a job, by job, as announced by them or by others.
 	owners map[string]owner
-	// keepers are entries that ran a job and still have its results.
-	keepers map[string]owner
-	ended   map[string]time.Time
-	// reopened are jobs that were open before this process was started and have been looked into, in the first seconds after that.
+	// lastOwners are the entries that ran a job until its end and still have its results in memory, by job.
+	lastOwners map[string]owner
+	ended      map[string]time.Time
+	// reopened are the jobs that this process, in its first seconds, has set out to run again since they were open before its start.
 	reopened map[string]bool
 	started  time.Time
 	// leaving is set once the process hands its jobs over.
 	leaving bool
 }
 
-// Deps is what a manager stands on.
+// Deps are the dependencies of a manager.
 type Deps struct {
 	Store   Store
 	Book    *backend.Book
 	Servers *exchange.Client
-	// Calls sends reward calls, and Route finds the route of one in the configuration in force.
+	// Calls sends reward calls, and Route finds the route of one in the active configuration.
 	Calls   *call.Sender
 	Route   func(host, path string) (routing.Route, bool)
 	Peers   *peer.Client
 	Members Members
-	// Outage says whether the store is known to be out of every entry's reach.
+	// Outage reports whether the store is known to be unreachable from every entry.
 	Outage func(now time.Time) bool
-	// Demand returns what is trained.
+	// Demand returns the models that are trained and the slots of their servers.
 	Demand  func() batch.Demand
 	Metrics *Metrics
 	Log     zerolog.Logger
 }
 
-// NewManager returns a manager whose work ends with ctx; it serves other entries through the registry.
+// NewManager returns a manager whose work ends with ctx; other entries call it through the registry.
 func NewManager(ctx context.Context, deps Deps, registry *peer.Registry) *Manager {
 	m := &Manager{
-		ctx:      ctx,
-		store:    deps.Store,
-		book:     deps.Book,
-		servers:  deps.Servers,
-		calls:    deps.Calls,
-		route:    deps.Route,
-		peers:    deps.Peers,
-		members:  deps.Members,
-		outage:   deps.Outage,
-		demand:   deps.Demand,
-		metrics:  deps.Metrics,
-		log:      deps.Log,
-		jobs:     map[string]*job{},
-		owners:   map[string]owner{},
-		keepers:  map[string]owner{},
-		ended:    map[string]time.Time{},
-		reopened: map[string]bool{},
-		started:  time.Now(),
+		ctx:        ctx,
+		store:      deps.Store,
+		book:       deps.Book,
+		servers:    deps.Servers,
+		calls:      deps.Calls,
+		route:      deps.Route,
+		peers:      deps.Peers,
+		members:    deps.Members,
+		outage:     deps.Outage,
+		demand:     deps.Demand,
+		metrics:    deps.Metrics,
+		log:        deps.Log,
+		jobs:       map[string]*job{},
+		owners:     map[string]owner{},
+		lastOwners: map[string]owner{},
+		ended:      map[string]time.Time{},
+		reopened:   map[string]bool{},
+		started:    time.Now(),
 	}
 	m.register(registry)
 	return m
 }
 
 func (m *Manager) register(registry *peer.Registry) {
-	peer.Handle(registry, MethodRead, m.readFor)
-	peer.Handle(registry, MethodBody, m.bodyFor)
-	peer.Handle(registry, MethodEnd, m.endFor)
+	peer.Handle(registry, MethodRead, m.handleRead)
+	peer.Handle(registry, MethodBody, m.handleBody)
+	peer.Handle(registry, MethodEnd, m.handleEnd)
 	peer.Handle(registry, MethodRun, func(ctx context.Context, q RunRequest) (RunAnswer, error) {
-		return RunAnswer{}, m.runFor(ctx, q)
+		return RunAnswer{}, m.handleRun(ctx, q)
 	})
 }
 
-// Wait returns once all goroutines have ended, after the context has.
-func (m *Manager) Wait() { m.work.Wait() }
+// Wait returns once all goroutines have ended, which happens after the context has ended.
+func (m *Manager) Wait() { m.wg.Wait() }
 
 func (m *Manager) find(id string) (*job, bool) {
 	m.mu.Lock()
@@ -168,16 +172,16 @@
 
 func isNotFound(err error) bool { return verdict.From(err).Reason == verdict.ReasonNotFound }
 
-// outageRefusal tells a caller that the store is out of every entry's reach.
+// outageRefusal refuses a call because no entry reaches the store.
 func outageRefusal() error {
-	return verdict.Refuse(verdict.NotRun, verdict.ReasonPlatformUnavailable, outageRetry, "no entry reaches the store")
+	return verdict.Refuse(verdict.NotRun, verdict.ReasonPlatformUnavailable, outageRetryAfter, "no entry reaches the store")
 }
 
-// storeRefusal tells a caller that the store could not be asked.
+// storeRefusal refuses a call because a call to the store failed.
 func storeRefusal(err error) error {
 	outcome := verdict.NotRun
 	if errors.Is(err, product.ErrUnsettled) {
 		outcome = verdict.MayHaveRun
 	}
-	return verdict.Refuse(outcome, verdict.ReasonPlatformUnavailable, storeRetry, "%v", err)
+	return verdict.Refuse(outcome, verdict.ReasonPlatformUnavailable, storeRetryAfter, "%v", err)
 }
--- a/internal/edge/batchjob/message.go
+++ b/internal/edge/batchjob/message.go
@@ -7,7 +7,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// Methods between entries.
+// Methods that entries call at each other.
 const (
 	MethodRead peer.Method = "batch.read"
 	MethodBody peer.Method = "batch.body"
@@ -15,7 +15,7 @@
 	MethodRun  peer.Method = "batch.run"
 )
 
-// ReadRequest asks the entry that runs a job for results.
+// ReadRequest asks the entry that holds a job in memory for results.
 type ReadRequest struct {
 	Job          string        `msgpack:"j"`
 	Organisation string        `msgpack:"o"`
@@ -26,16 +26,16 @@
 	Load bool `msgpack:"l"`
 }
 
-// ReadAnswer holds listed results. Known is false if the entry doesn't run the job.
+// ReadAnswer holds listed results. Known is false if the entry can't answer for the job.
 type ReadAnswer struct {
-	// Waited is set if the answer was given after the whole wait, right before which the store was asked.
+	// Waited is set if the answer was given after the whole wait; the store was then queried right before it.
 	Waited  bool           `msgpack:"w"`
 	Known   bool           `msgpack:"k"`
 	Total   int            `msgpack:"t"`
 	Results []batch.Result `msgpack:"r"`
 }
 
-// BodyRequest asks the entry that runs a job for the body of an item.
+// BodyRequest asks the entry that holds a job in memory for the body of an item.
 type BodyRequest struct {
 	Job          string `msgpack:"j"`
 	Organisation string `msgpack:"o"`
@@ -44,37 +44,37 @@
 	Load bool `msgpack:"l"`
 }
 
-// BodyAnswer holds the body of an item. Known is false if the entry doesn't run the job, Found if the job has no such item.
+// BodyAnswer holds the body of an item. Known is false if the entry doesn't have the job in memory, Found if the job has no such item.
 type BodyAnswer struct {
 	Known bool   `msgpack:"k"`
 	Found bool   `msgpack:"f"`
 	Body  []byte `msgpack:"b"`
 }
 
-// EndRequest asks the entry that runs a job to end it.
+// EndRequest asks the entry that holds a job in memory to end it.
 type EndRequest struct {
 	Job          string `msgpack:"j"`
 	Organisation string `msgpack:"o"`
-	// Written is set if the store holds the end already.
-	Written bool `msgpack:"w"`
+	// Stored is set if the store holds the end already.
+	Stored bool `msgpack:"w"`
 }
 
-// EndAnswer says that the job has ended. Known is false if the entry doesn't know it.
+// EndAnswer confirms that the job has ended. Known is false if the entry doesn't have it in memory.
 type EndAnswer struct {
 	Known bool `msgpack:"k"`
 }
 
-// RunRequest asks another entry to run a job that this one leaves, or doesn't run at all.
+// RunRequest asks another entry to run a job that the sender hands over, or doesn't run at all.
 type RunRequest struct {
 	Job          string `msgpack:"j"`
 	Organisation string `msgpack:"o"`
-	// From is the host that asks, and so doesn't run the job.
+	// From is the host id of the sender, which doesn't run the job.
 	From string `msgpack:"h"`
-	// Sure is set if no other entry need be asked whether it runs the job.
-	Sure bool `msgpack:"s"`
-	// Fresh is the job as the store keeps it, in JSON, if it was accepted just now and has no page yet; else the entry reads the store.
-	Fresh []byte `msgpack:"f"`
-	// Partials are what the entry that leaves the job had received of items that didn't end.
+	// SkipOwnerCheck is set if no other entry need be asked whether it runs the job.
+	SkipOwnerCheck bool `msgpack:"s"`
+	// SpecJSON is the job as the store keeps it if it was accepted just now and has no page yet; else the receiver reads the store.
+	SpecJSON []byte `msgpack:"f"`
+	// Partials are what a leaving sender had received of unfinished items.
 	Partials []batch.Partial `msgpack:"p"`
 }
 
--- a/internal/edge/batchjob/owner.go
+++ b/internal/edge/batchjob/owner.go
@@ -10,19 +10,19 @@
 // owner is an entry that runs a job.
 type owner struct {
 	hostID string
-	// since is when that was learned.
-	since time.Time
+	// learnedAt is when this process learned that.
+	learnedAt time.Time
 }
 
 const (
-	// ownerNews is for how long an entry passes on who runs a job: long enough to reach all.
-	ownerNews = 4 * time.Second
-	// ownerMost bounds the memory of an owner whose job's end was never heard of.
-	ownerMost = 10 * time.Minute
+	// ownerAnnounceTime is for how long an entry passes on who runs a job: long enough to reach all.
+	ownerAnnounceTime = 4 * time.Second
+	// maxOwnerAge is how long an owner is kept whose job's end was never announced.
+	maxOwnerAge = 10 * time.Minute
 )
 
-// owner returns the living entry that is known to run the job, or that ran it to its last result.
-func (m *Manager) owner(id string) (gossip.Member, bool) {
+// livingOwner returns the living entry that is recorded as running the job, or as having run it to its last result.
+func (m *Manager) livingOwner(id string) (gossip.Member, bool) {
 	m.mu.Lock()
 	known, ok := m.owners[id]
 	m.mu.Unlock()
@@ -32,21 +32,21 @@
 	return m.members.Find(time.Now(), known.hostID)
 }
 
-// noteOwner remembers that an entry runs a job.
-func (m *Manager) noteOwner(id, hostID string) {
+// recordOwner records that an entry runs a job.
+func (m *Manager) recordOwner(id, hostID string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.setOwner(id, hostID)
+	m.recordOwnerLocked(id, hostID)
 }
 
-// setOwner does what noteOwner does. The caller holds the lock.
-func (m *Manager) setOwner(id, hostID string) {
+// recordOwnerLocked is recordOwner for callers that hold the lock.
+func (m *Manager) recordOwnerLocked(id, hostID string) {
 	if m.owners[id].hostID != hostID {
-		m.owners[id] = owner{hostID: hostID, since: time.Now()}
+		m.owners[id] = owner{hostID: hostID, learnedAt: time.Now()}
 	}
 }
 
-// forgetOwner drops that the entry runs the job.
+// forgetOwner removes the record that the entry runs the job.
 func (m *Manager) forgetOwner(id, hostID string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -55,55 +55,55 @@
 	}
 }
 
-// reader returns a living entry that has the job in memory: the one that runs it, or the one that did until its end.
-func (m *Manager) reader(id string) (gossip.Member, bool) {
-	if owner, ok := m.owner(id); ok {
+// holder returns a living entry that has the job in memory: the one that runs it, or the one that ran it until its end.
+func (m *Manager) holder(id string) (gossip.Member, bool) {
+	if owner, ok := m.livingOwner(id); ok {
 		return owner, true
 	}
 	m.mu.Lock()
-	known, ok := m.keepers[id]
+	known, ok := m.lastOwners[id]
 	m.mu.Unlock()
-	if !ok || time.Since(known.since) > keepTime {
+	if !ok || time.Since(known.learnedAt) > cacheTTL {
 		return gossip.Member{}, false
 	}
 	return m.members.Find(time.Now(), known.hostID)
 }
 
-// Owners returns the entries that run jobs, by job: those that were learned of lately, or all.
+// Owners returns the entries that run jobs, by job: those that were learned of recently, or all.
 func (m *Manager) Owners(now time.Time, all bool) map[string]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	owners := map[string]string{}
 	for id, known := range m.owners {
-		switch age := now.Sub(known.since); {
-		case age > ownerMost:
+		switch age := now.Sub(known.learnedAt); {
+		case age > maxOwnerAge:
 			delete(m.owners, id)
-		case all || age < ownerNews:
+		case all || age < ownerAnnounceTime:
 			owners[id] = known.hostID
 		}
 	}
-	for id, known := range m.keepers {
-		if now.Sub(known.since) > keepTime {
-			delete(m.keepers, id)
+	for id, known := range m.lastOwners {
+		if now.Sub(known.learnedAt) > cacheTTL {
+			delete(m.lastOwners, id)
 		}
 	}
 	return owners
 }
 
-// Jobs returns the jobs that run here or ran here to their last result, and those that ended lately, sorted.
+// Jobs returns the jobs that run here or ran here to their last result, and those that ended recently, sorted.
 func (m *Manager) Jobs(now time.Time) (jobs, ended []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for id, j := range m.jobs {
-		if j.running() || j.whole() {
+		if j.isRunning() || j.completedHere() {
 			jobs = append(jobs, id)
 		}
 	}
 	for id, at := range m.ended {
-		if now.Sub(at) < endedTime {
+		if now.Sub(at) < endAnnounceTime {
 			ended = append(ended, id)
 		}
-		if now.Sub(at) > endedMemory {
+		if now.Sub(at) > endRetention {
 			delete(m.ended, id)
 		}
 	}
@@ -118,40 +118,40 @@
 	defer m.mu.Unlock()
 	rates := map[string]float64{}
 	for _, j := range m.jobs {
-		if j.running() && j.spec.Model != "" {
+		if j.isRunning() && j.spec.Model != "" {
 			rates[j.spec.Model] += j.tokenRate
 		}
 	}
 	return rates
 }
 
-// Heard takes in which jobs another entry runs, which have ended, and which entries it says run others.
+// Heard records which jobs another entry runs, which have ended, and which entries it has recorded as running others.
 func (m *Manager) Heard(from gossip.Member, running, ended []string, others map[string]string) {
 	for _, id := range ended {
-		m.endHere(id)
+		m.markEnded(id)
 	}
-	m.hearOwners(from, others)
+	m.mergeOwners(from, others)
 	self := m.members.Self()
 	for _, id := range running {
-		if m.tellEnd(id) {
+		if m.reannounceEnd(id) {
 			m.log.Info().Str("request", id).Str("entry", from.HostID).Msg("entry runs a job that has ended")
 			continue
 		}
-		m.noteOwner(id, from.HostID)
+		m.recordOwner(id, from.HostID)
 		j, ok := m.find(id)
-		// Two entries that both took a job over do its work twice until one of them yields.
-		if ok && j.running() && !from.Leaving && from.HostID < self.HostID {
+		// Two entries that run the same job do its work twice until one of them stops.
+		if ok && j.isRunning() && !from.Leaving && from.HostID < self.HostID {
 			m.log.Info().Str("request", id).Str("entry", from.HostID).Msg("batch job left to another entry")
-			j.yield()
+			j.stopRunning()
 		}
 	}
-	m.hearDropped(from, running)
+	m.removeStaleOwners(from, running)
 }
 
-// tellEnd has the others told once more that a job ended; false if it isn't known to have.
+// reannounceEnd has the end of a job announced once more; false if the job isn't known to have ended.
 //
-// Guard: an entry that was cut off while the end went round hears of it from nobody later, and runs the job on.
-func (m *Manager) tellEnd(id string) bool {
+// An entry that was partitioned while the end was announced is not told of it later, and would continue to run the job.
+func (m *Manager) reannounceEnd(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, ended := m.ended[id]; !ended {
@@ -161,33 +161,33 @@
 	return true
 }
 
-// hearDropped forgets jobs that an entry doesn't run any more, as it says itself. One that was given a job a moment ago may not name
-// it yet.
-func (m *Manager) hearDropped(from gossip.Member, running []string) {
+// removeStaleOwners removes an entry as the owner of jobs that it doesn't announce as running any more. One that was given a job a moment
+// ago may not announce it yet.
+func (m *Manager) removeStaleOwners(from gossip.Member, running []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for id, known := range m.owners {
-		if known.hostID == from.HostID && time.Since(known.since) > ownerNews && !slices.Contains(running, id) {
+		if known.hostID == from.HostID && time.Since(known.learnedAt) > ownerAnnounceTime && !slices.Contains(running, id) {
 			delete(m.owners, id)
 		}
 	}
 }
 
-// hearOwners takes in what an entry heard from others. It doesn't count as news of jobs that are known to have an owner who lives, or
-// the entries would tell each other for ever of an owner that runs a job no more.
-func (m *Manager) hearOwners(from gossip.Member, others map[string]string) {
+// mergeOwners records the owners that another entry has recorded, except for jobs with a living owner on record here: otherwise the
+// entries would pass on to each other forever an owner that doesn't run the job any more.
+func (m *Manager) mergeOwners(from gossip.Member, others map[string]string) {
 	self := m.members.Self().HostID
 	for id, hostID := range others {
 		if hostID == self {
-			m.rerunOwn(id)
+			m.rerunOwnJob(id)
 			continue
 		}
-		if _, lives := m.owner(id); lives || hostID == from.HostID {
+		if _, alive := m.livingOwner(id); alive || hostID == from.HostID {
 			continue
 		}
 		m.mu.Lock()
-		if _, over := m.ended[id]; !over {
-			m.setOwner(id, hostID)
+		if _, ended := m.ended[id]; !ended {
+			m.recordOwnerLocked(id, hostID)
 		}
 		m.mu.Unlock()
 	}
--- a/internal/edge/batchjob/run.go
+++ b/internal/edge/batchjob/run.go
@@ -14,46 +14,48 @@
 )
 
 const (
-	// checkPause is how often a runner looks at what the time decides: pages that wait, and items to give up.
-	checkPause = 100 * time.Millisecond
-	// writePause is the pause before a page is written again after a failure.
-	writePause = 300 * time.Millisecond
-	// endPause is how often a runner asks the store whether its job has ended; nothing of it may begin three seconds after the end.
-	endPause = 2 * time.Second
+	// checkInterval is how often the control loop checks what depends on the time: pages that are due, and items to give up.
+	checkInterval = 100 * time.Millisecond
+	// writeRetryDelay is the pause before a page is written again after a failure.
+	writeRetryDelay = 300 * time.Millisecond
+	// endCheckInterval is how often the control loop queries the store for the end of its job; no item or reward call of it may start three
+	// seconds after the end.
+	endCheckInterval = 2 * time.Second
 )
 
-// run runs a job here.
-func (m *Manager) run(spec *batch.Job) {
-	m.runJob(newJob(spec))
+// runNewJob runs a job here that has no pages yet.
+func (m *Manager) runNewJob(spec *batch.Job) {
+	m.startJob(newJob(spec))
 }
 
-// runJob runs a job.
+// startJob runs a job here, unless it has ended, runs already or this process is leaving. It returns the job that is in memory under the
+// id.
 //
-// Guard: the request to run a job may be overtaken by its end, which was heard of before the job was known here. Its items would
-// then run at servers until their time was up, long after the trainer was told that nothing of it runs.
-func (m *Manager) runJob(j *job) *job {
+// The end of a job may arrive before the request to run it. Without the check for a known end its items would run at servers until their
+// time is up, long after the trainer was told that nothing of it runs.
+func (m *Manager) startJob(j *job) *job {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	j = m.keepLocked(j)
+	j = m.cacheLocked(j)
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if _, ended := m.ended[j.spec.ID]; ended {
 		j.endLocked()
 	}
-	if j.runs || m.leaving || j.progress.Ended() || m.ctx.Err() != nil {
+	if j.running || m.leaving || j.progress.Ended() || m.ctx.Err() != nil {
 		return j
 	}
-	ctx, stop := context.WithCancel(m.ctx)
-	j.runs = true
-	j.ran = true
-	j.stop = stop
-	m.work.Go(func() { m.control(ctx, j) })
+	ctx, cancel := context.WithCancel(m.ctx)
+	j.running = true
+	j.hasRun = true
+	j.cancel = cancel
+	m.wg.Go(func() { m.controlLoop(ctx, j) })
 	return j
 }
 
-// control is the one goroutine that starts a job's items and has its pages written.
-func (m *Manager) control(ctx context.Context, j *job) {
-	timer := time.NewTicker(checkPause)
+// controlLoop is the one goroutine that starts a job's items and reward calls and has its pages written.
+func (m *Manager) controlLoop(ctx context.Context, j *job) {
+	timer := time.NewTicker(checkInterval)
 	defer timer.Stop()
 	checked := time.Now()
 	writing := false
@@ -62,20 +64,20 @@
 		changed := m.book.Changed()
 		m.startItems(ctx, j)
 		m.startRewards(ctx, j)
-		if page, ok := j.commit(time.Now(), writing); ok {
+		if page, ok := j.nextPage(time.Now(), writing); ok {
 			writing = true
-			j.work.Go(func() { written <- m.write(ctx, j, page) })
+			j.wg.Go(func() { written <- m.writePage(ctx, j, page) })
 		}
-		if j.over() {
+		if j.finished() {
 			break
 		}
-		if now := time.Now(); now.Sub(checked) >= endPause {
+		if now := time.Now(); now.Sub(checked) >= endCheckInterval {
 			checked = now
-			j.work.Go(func() { m.checkEnd(ctx, j) })
+			j.wg.Go(func() { m.checkEnd(ctx, j) })
 		}
 		select {
 		case <-ctx.Done():
-		case <-j.poke:
+		case <-j.wakeup:
 		case <-changed:
 		case <-timer.C:
 		case <-written:
@@ -83,34 +85,34 @@
 		}
 	}
 	j.mu.Lock()
-	j.runs = false
-	j.stop()
+	j.running = false
+	j.cancel()
 	j.mu.Unlock()
-	j.work.Wait()
-	m.log.Info().Str("request", j.spec.ID).Interface("job", j.state()).Msg("batch job not run any more here")
+	j.wg.Wait()
+	m.log.Info().Str("request", j.spec.ID).Interface("job", j.state()).Msg("stopped running batch job")
 }
 
-// checkEnd ends a job here whose end stands in the store.
+// checkEnd ends a job here if the store holds its end.
 //
-// Guard: the entry at which a job was ended is cut off from the one that runs it, and both reach the store. No news of the end comes, and its items
-// would run on until their time is up.
+// The entry at which a job was ended may be partitioned from the one that runs it, while both reach the store. Gossip then doesn't
+// announce the end here, and the items would run until their time is up.
 func (m *Manager) checkEnd(ctx context.Context, j *job) {
-	if j.over() || m.outage(time.Now()) {
+	if j.finished() || m.outage(time.Now()) {
 		return
 	}
-	ended, err := m.endInStore(ctx, j.spec.ID)
+	ended, err := m.isEndedInStore(ctx, j.spec.ID)
 	if err != nil {
-		m.log.Debug().Err(err).Str("request", j.spec.ID).Msg("end not looked for")
+		m.log.Debug().Err(err).Str("request", j.spec.ID).Msg("could not check the store for the end of a batch job")
 		return
 	}
 	if ended {
 		m.log.Info().Str("request", j.spec.ID).Msg("end found in the store")
-		m.endHere(j.spec.ID)
+		m.markEnded(j.spec.ID)
 	}
 }
 
-// commit returns the page to write now.
-func (j *job) commit(now time.Time, writing bool) (batch.Page, bool) {
+// nextPage returns the page to write now; false if none is due or another one is being written. It also gives up overdue items.
+func (j *job) nextPage(now time.Time, writing bool) (batch.Page, bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.progress.GiveUp(now)
@@ -120,7 +122,7 @@
 	return j.progress.Commit(now)
 }
 
-// startItems starts items as long as servers have places.
+// startItems starts items as long as servers have free slots.
 func (m *Manager) startItems(ctx context.Context, j *job) {
 	need := backend.Need{Pool: j.spec.Pool, Model: j.spec.Model, MinVersion: j.spec.MinVersion, Within: true}
 	for {
@@ -137,87 +139,89 @@
 		}
 		output := j.progress.Start(item.ID)
 		j.mu.Unlock()
-		j.work.Go(func() { m.runItem(ctx, j, item, output, server) })
+		j.wg.Go(func() { m.runItem(ctx, j, item, output, server) })
 	}
 }
 
-// write writes a page until it is known which page stands at its number. It returns false if the job stopped first.
-func (m *Manager) write(ctx context.Context, j *job, page batch.Page) bool {
+// writePage writes a page until it is known which page has its number. It returns false if the job stopped first.
+func (m *Manager) writePage(ctx context.Context, j *job, page batch.Page) bool {
 	value, err := json.Marshal(page)
 	if err != nil {
 		m.log.Error().Err(err).Str("request", j.spec.ID).Msg("page can't be encoded")
 		return false
 	}
 	for {
-		if m.tryWrite(ctx, j, page, value) {
+		if m.tryWritePage(ctx, j, page, value) {
 			return true
 		}
-		if !ticker.Sleep(ctx, writePause) {
+		if !ticker.Sleep(ctx, writeRetryDelay) {
 			return false
 		}
 	}
 }
 
-// tryWrite creates the page under the next number. A page that is there already is either this one, whose answer was lost, or
-// another process's, which goes first.
-func (m *Manager) tryWrite(ctx context.Context, j *job, page batch.Page, value json.RawMessage) bool {
+// tryWritePage creates the page under the next number. A page that exists there is either this one, whose answer was lost, or one of
+// another process, which takes precedence.
+func (m *Manager) tryWritePage(ctx context.Context, j *job, page batch.Page, value json.RawMessage) bool {
 	j.mu.Lock()
 	number := j.progress.Pages() + 1
 	j.mu.Unlock()
 	name := pageName(j.spec.ID, number)
 	_, err := m.store.Create(ctx, KindPages, name, value)
-	m.metrics.written(err == nil)
+	m.metrics.countPageWrite(err == nil)
 	switch {
 	case err == nil:
-		j.wrote(number, page)
+		j.applyOwnPage(number, page)
 	case errors.Is(err, product.ErrConflict):
-		if !m.afterConflict(ctx, j, page, number, err) {
+		if !m.resolveConflict(ctx, j, page, number, err) {
 			return false
 		}
 	default:
 		m.log.Warn().Err(err).Str("request", j.spec.ID).Int("page", number).Msg("page not written yet")
 		return false
 	}
-	m.log.Info().Str("request", j.spec.ID).Int("page", number).Int("results", len(page.Results)).Int("partials", len(page.Partials)).AnErr("store", err).Msg("page settled")
+	m.log.Info().Str("request", j.spec.ID).Int("page", number).Int("results", len(page.Results)).
+		Int("partials", len(page.Partials)).AnErr("store", err).Msg("page write resolved")
 	return true
 }
 
-func (m *Manager) afterConflict(ctx context.Context, j *job, page batch.Page, number int, conflict error) bool {
-	value, err := m.conflicting(ctx, KindPages, pageName(j.spec.ID, number), conflict)
+// resolveConflict applies the page that the store already has under the number; false if that page can't be read.
+func (m *Manager) resolveConflict(ctx context.Context, j *job, page batch.Page, number int, conflict error) bool {
+	value, err := m.existingValue(ctx, KindPages, pageName(j.spec.ID, number), conflict)
 	if err != nil {
 		return false
 	}
-	var kept batch.Page
-	if err := json.Unmarshal(value, &kept); err != nil {
+	var existing batch.Page
+	if err := json.Unmarshal(value, &existing); err != nil {
 		m.log.Error().Err(err).Str("request", j.spec.ID).Int("page", number).Msg("page can't be read")
 		return false
 	}
-	if kept.Same(page) {
-		j.wrote(number, page)
+	if existing.Same(page) {
+		j.applyOwnPage(number, page)
 		return true
 	}
-	j.absorb(number, kept)
+	j.applyPage(number, existing)
 	return true
 }
 
-// wrote takes in that the page is the one with the number.
-func (j *job) wrote(number int, page batch.Page) {
+// applyOwnPage records that the store has this process's page under the number.
+func (j *job) applyOwnPage(number int, page batch.Page) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.progress.Pages()+1 != number {
 		return
 	}
 	j.progress.Wrote(time.Now(), page)
-	j.tell()
+	j.notifyReaders()
 }
 
-// flush writes what is finished when the process leaves.
-func (m *Manager) flush(ctx context.Context, j *job) {
-	j.work.Wait()
+// flushResults writes the finished items before the process leaves.
+func (m *Manager) flushResults(ctx context.Context, j *job) {
+	j.wg.Wait()
 	j.mu.Lock()
 	page, ok := j.progress.Flush(time.Now())
 	j.mu.Unlock()
-	if ok && !m.write(ctx, j, page) {
-		m.log.Warn().Str("request", j.spec.ID).Msg("finished items not written at the end")
+	if ok && !m.writePage(ctx, j, page) {
+		m.log.Warn().Str("request", j.spec.ID).Msg("could not write finished items before leaving")
 	}
 }
--- a/internal/edge/batchjob/run_test.go
+++ b/internal/edge/batchjob/run_test.go
@@ -8,7 +8,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/batch"
 )
 
-// finishItem completes an item of a job that runs and returns the page that would be written.
+// finishItem completes an item of a running job and returns the page to be written.
 func finishItem(t *testing.T, j *job, item string) batch.Page {
 	t.Helper()
 	now := time.Now()
@@ -23,33 +23,34 @@
 	return page
 }
 
-// A page was written and its answer lost; the job was left to another entry, forgotten, read again and run again by the same process. The late
-// page stood at the number of the process's first new one, with the same mark, so that the process took it for its own and listed other results
-// at those positions than the store does. Cause: the mark named the run of the process, not the one that wrote.
-func TestAJobThatIsReadAgainDoesNotTakeAFormerPageForItsOwn(t *testing.T) {
+// Guards against taking an earlier page for a new one. A page was written and its answer lost; the job was left to another entry, dropped
+// from memory, read again and run again by the same process. The late page had the number and the writer of the process's first new page,
+// so that the process took it for its own and listed other results than the store. The writer identified the process and not the job in
+// its memory.
+func TestReloadedJobDoesNotTakeAnEarlierPageForItsOwn(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	spec := batch.Job{ID: "j", Accepted: time.Now(), Terms: batch.Terms{ItemTimeout: time.Hour}, Submission: batch.Submission{Items: []batch.Item{{ID: "a"}, {ID: "b"}}}}
-	store := newSharedStore()
+	store := newMemoryStore()
 	store.put(t, KindJobs, spec.ID, spec)
-	door := store.door()
-	m := entryOf(ctx, door, entries{self: "self"})
+	client := store.client()
+	m := newTestManager(ctx, client, fakeMembers{self: "self"})
 	defer m.Wait()
 	defer cancel()
-	m.run(&spec)
+	m.runNewJob(&spec)
 	former, _ := m.find(spec.ID)
 	late := finishItem(t, former, "a")
-	former.yield()
+	former.stopRunning()
 	m.mu.Lock()
 	delete(m.jobs, spec.ID)
 	m.mu.Unlock()
-	m.run(&spec)
-	again, _ := m.find(spec.ID)
-	page := finishItem(t, again, "b")
+	m.runNewJob(&spec)
+	reloaded, _ := m.find(spec.ID)
+	page := finishItem(t, reloaded, "b")
 	store.put(t, KindPages, pageName(spec.ID, 1), late)
-	if !m.tryWrite(ctx, again, page, nil) {
-		t.Fatal("the page is not settled")
+	if !m.tryWritePage(ctx, reloaded, page, nil) {
+		t.Fatal("the page write is not resolved")
 	}
-	if _, results, _ := again.show(time.Now(), 0, 1000); len(results) != 1 || results[0].ID != "a" {
+	if _, results, _ := reloaded.resultsFrom(time.Now(), 0, 1000); len(results) != 1 || results[0].ID != "a" {
 		t.Errorf("position 0 holds %v here, and a in the store", results)
 	}
 }
--- a/internal/edge/batchjob/slow_test.go
+++ b/internal/edge/batchjob/slowstore_test.go
@@ -10,52 +10,52 @@
 	product "github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// slowDoor is a door of a store that is slow: each read takes a third of a second, and ends with its context.
-type slowDoor struct{ *storeDoor }
+// slowStore is a store client whose reads take a third of a second, and end with their context.
+type slowStore struct{ *storeClient }
 
-func (d slowDoor) Get(ctx context.Context, kind, name string) (product.Object, error) {
+func (c slowStore) Get(ctx context.Context, kind, name string) (product.Object, error) {
 	timer := time.NewTimer(330 * time.Millisecond)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		return d.storeDoor.Get(ctx, kind, name)
+		return c.storeClient.Get(ctx, kind, name)
 	case <-ctx.Done():
 		return product.Object{}, product.ErrUnavailable
 	}
 }
 
-// The store is slow, and the entry that ran a job of some pages is gone. What was read of it for one call must help the next one: a trainer that
-// asks again and again must be shown the job, and the job must be taken over.
-func TestAJobOfSomePagesIsReadFromASlowStore(t *testing.T) {
+// The store is slow, and the entry that ran a job of several pages is lost. Pages that were read during one call must count for the next:
+// a trainer that retries must be shown the job, and the job must be taken over.
+func TestJobOfSeveralPagesIsReadFromASlowStore(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		call func(ctx context.Context, m *Manager, spec *batch.Job) bool
 	}{
 		{name: "read", call: func(ctx context.Context, m *Manager, spec *batch.Job) bool {
-			began := time.Now()
+			started := time.Now()
 			_, results, err := m.Results(ctx, spec.ID, spec.Organisation, 0, time.Second, 1<<20)
-			t.Logf("%d results, %v, after %v", len(results), err, time.Since(began))
+			t.Logf("%d results, %v, after %v", len(results), err, time.Since(started))
 			return len(results) > 0
 		}},
 		{name: "taken over", call: func(_ context.Context, m *Manager, spec *batch.Job) bool {
 			m.rerun(spec.ID, "gone")
 			j, ok := m.find(spec.ID)
-			return ok && j.running()
+			return ok && j.isRunning()
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			ctx, cancel := context.WithCancel(t.Context())
-			spec := storedSpec()
+			spec := newStoredSpec()
 			spec.Accepted = time.Now().Add(-time.Minute)
-			store := newSharedStore()
+			store := newMemoryStore()
 			for number := 1; number <= 8; number++ {
 				id := fmt.Sprint("item", number)
 				spec.Items = append(spec.Items, batch.Item{ID: id})
 				store.put(t, KindPages, pageName(spec.ID, number), batch.Page{Writer: 9, Serial: number, Results: []batch.Result{{ID: id}}})
 			}
 			store.put(t, KindJobs, spec.ID, spec)
-			m := entryOf(ctx, slowDoor{store.door()}, entries{self: "self"})
+			m := newTestManager(ctx, slowStore{store.client()}, fakeMembers{self: "self"})
 			defer m.Wait()
 			defer cancel()
 			for range 4 {
@@ -63,32 +63,32 @@
 					return
 				}
 			}
-			t.Error("not in four tries")
+			t.Error("no success in four tries")
 		})
 	}
 }
 
-// stuckDoor is a door of a store whose reads end with their context only.
-type stuckDoor struct{ *storeDoor }
+// hangingStore is a store client whose reads end with their context only.
+type hangingStore struct{ *storeClient }
 
-func (d stuckDoor) Get(ctx context.Context, _, _ string) (product.Object, error) {
+func (c hangingStore) Get(ctx context.Context, _, _ string) (product.Object, error) {
 	<-ctx.Done()
 	return product.Object{}, product.ErrUnavailable
 }
 
 // The store hangs. A trainer gives up 1.5 s after the wait that it allows, and must have an answer by then.
-func TestAReadEndsBeforeItsTrainerGivesUp(t *testing.T) {
+func TestReadEndsBeforeTheTrainerGivesUp(t *testing.T) {
 	for _, known := range []bool{false, true} {
 		ctx, cancel := context.WithCancel(t.Context())
-		spec := storedSpec()
-		m := entryOf(ctx, stuckDoor{newSharedStore().door()}, entries{self: "self"})
+		spec := newStoredSpec()
+		m := newTestManager(ctx, hangingStore{newMemoryStore().client()}, fakeMembers{self: "self"})
 		if known {
-			m.run(spec)
+			m.runNewJob(spec)
 		}
 		const wait = 200 * time.Millisecond
-		began := time.Now()
+		started := time.Now()
 		_, _, err := m.Results(ctx, spec.ID, spec.Organisation, 0, wait, 1000)
-		if took := time.Since(began); err == nil || took > wait+1400*time.Millisecond {
+		if took := time.Since(started); err == nil || took > wait+1400*time.Millisecond {
 			t.Errorf("known %v: %v after %v", known, err, took)
 		}
 		cancel()
@@ -96,46 +96,46 @@
 	}
 }
 
-// A read of the store takes a third of a second, and a page is written right after it found none. What the store said then must not answer a read
+// A read of the store takes a third of a second, and a page is written right after that read found none. The result must not answer a read
 // that comes in after the page was shown.
-func TestAnAnswerOfTheStoreIsAsOldAsItsQuestion(t *testing.T) {
+func TestStoreAnswerIsAsOldAsItsQuery(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	spec := storedSpec()
-	store := newSharedStore()
-	m := entryOf(ctx, slowDoor{store.door()}, entries{self: "self"})
+	spec := newStoredSpec()
+	store := newMemoryStore()
+	m := newTestManager(ctx, slowStore{store.client()}, fakeMembers{self: "self"})
 	j := newJob(spec)
-	asked := time.Now()
-	if err := m.catchUp(ctx, j); err != nil {
+	queried := time.Now()
+	if err := m.readNewPages(ctx, j); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, ok := j.show(asked.Add(100*time.Millisecond), 0, 1000); ok {
-		t.Error("a question that was asked before the read came in answers it")
+	if _, _, ok := j.resultsFrom(queried.Add(100*time.Millisecond), 0, 1000); ok {
+		t.Error("a store query from before the read was received confirms its empty list")
 	}
 }
 
-// The answer to an acceptance was lost, and its trainer is gone. The job was accepted, so it is found and run; that somebody reads the body of an
-// item here meanwhile, and the job is in memory by that, doesn't mean that anybody runs it.
-func TestALostAcceptanceIsFoundOut(t *testing.T) {
+// The answer to the create of a job was lost, and its trainer is gone. The job was stored, so it must be found and run. That the job is in
+// memory, since the body of an item is read here meanwhile, doesn't mean that an entry runs it.
+func TestJobRunsAfterALostStoreAnswer(t *testing.T) {
 	for _, read := range []bool{false, true} {
 		ctx, cancel := context.WithCancel(t.Context())
-		spec := storedSpec()
-		door := newSharedStore().door()
-		door.set(faultLost)
-		m := entryOf(ctx, door, entries{self: "self"})
+		spec := newStoredSpec()
+		client := newMemoryStore().client()
+		client.setFault(faultLost)
+		m := newTestManager(ctx, client, fakeMembers{self: "self"})
 		if err := m.Submit(ctx, spec); err == nil {
-			t.Fatal("accepted without an answer of the store")
+			t.Fatal("the job was accepted without an answer of the store")
 		}
-		door.set(faultNone)
+		client.setFault(faultNone)
 		if read {
 			if _, err := m.Body(ctx, spec.ID, spec.Organisation, "a"); err != nil {
 				t.Fatal(err)
 			}
 		}
 		runs := false
-		for end := time.Now().Add(4 * settlePause); !runs && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(4 * lostAnswerPollInterval); !runs && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			j, ok := m.find(spec.ID)
-			runs = ok && j.running()
+			runs = ok && j.isRunning()
 		}
 		if !runs {
 			t.Errorf("read %v: nobody runs the job", read)
--- a/internal/edge/batchjob/state.go
+++ b/internal/edge/batchjob/state.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// JobState is one job in the dump.
+// JobState is the state of one job in the debug dump.
 type JobState struct {
 	ID      string `json:"id"`
 	Owner   string `json:"owner"`
@@ -15,12 +15,12 @@
 	Listed  int    `json:"listed"`
 	Running int    `json:"running"`
 	Waiting int    `json:"waiting"`
-	// Scoring counts the items that have their whole text and no score.
+	// Scoring counts the items whose text is complete and has no score.
 	Scoring int `json:"scoring"`
 	Pages   int `json:"pages"`
 }
 
-// State returns the jobs in memory for the dump, sorted by id.
+// State returns the states of the jobs in memory for the debug dump, sorted by id.
 func (m *Manager) State() any {
 	m.mu.Lock()
 	jobs := make([]*job, 0, len(m.jobs))
@@ -42,7 +42,7 @@
 	return JobState{
 		ID:      j.spec.ID,
 		Owner:   j.spec.Owner,
-		Runs:    j.runs,
+		Runs:    j.running,
 		Ended:   j.progress.Ended(),
 		Total:   j.progress.Total(),
 		Listed:  j.progress.Listed(),
--- a/internal/edge/batchjob/sweep.go
+++ b/internal/edge/batchjob/sweep.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// SweepPause is how often jobs that are over are looked for. A list of ends costs a call for each 500.
+	// SweepPause is the time between two sweeps. Listing the ends costs a call for each 500.
 	SweepPause = 5 * time.Minute
-	// keptFor is how long after its acceptance an ended job is kept: results are read for two minutes, and a call to the store may
-	// be carried out seconds late.
-	keptFor = 10 * time.Minute
-	// sweepMost is how many jobs one sweep removes; each has some ten objects, and the store allows some hundred writes a second.
-	sweepMost = 40
+	// jobRetention is how long after its acceptance an ended job is kept: results are read for two minutes, and a call to the store may be
+	// carried out seconds late.
+	jobRetention = 10 * time.Minute
+	// maxSweptJobs is how many jobs one sweep removes; each has some ten objects, and the store allows some hundred writes a second.
+	maxSweptJobs = 40
 )
 
-// end is the object that says that a job ended.
-type end struct {
+// endRecord is the object of the store that marks a job as ended.
+type endRecord struct {
 	Accepted time.Time `json:"accepted"`
 }
 
-// Sweep removes ended jobs from the store whose results nobody may ask for any more; without it the store would fill by some
-// 700 KB a step. The end goes last, so that a sweep which breaks off is taken up again.
+// Sweep removes ended jobs from the store whose results may not be read any more; without it the store would grow by some 700 KB a step.
+// The end is deleted last, so that the next sweep continues one that broke off.
 func (m *Manager) Sweep(ctx context.Context, now time.Time) error {
 	ends, _, err := m.store.List(ctx, KindEnds)
 	if err != nil {
@@ -34,15 +34,15 @@
 	}
 	removed := 0
 	for _, object := range ends {
-		var ended end
+		var ended endRecord
 		if err := json.Unmarshal(object.Value, &ended); err != nil {
 			m.log.Warn().Err(err).Str("request", object.Name).Msg("end of a batch job can't be read")
 			continue
 		}
-		if now.Sub(ended.Accepted) < keptFor || removed == sweepMost {
+		if now.Sub(ended.Accepted) < jobRetention || removed == maxSweptJobs {
 			continue
 		}
-		if err := m.remove(ctx, object.Name); err != nil {
+		if err := m.deleteJob(ctx, object.Name); err != nil {
 			return errors.Wrapf(err, "sweep job %s", object.Name)
 		}
 		removed++
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// remove deletes a job, its pages and its end, in this order.
-func (m *Manager) remove(ctx context.Context, id string) error {
+// deleteJob deletes a job, its pages and its end, in this order.
+func (m *Manager) deleteJob(ctx context.Context, id string) error {
 	if err := m.delete(ctx, KindJobs, id); err != nil && !errors.Is(err, product.ErrNotFound) {
 		return err
 	}
--- a/internal/edge/batchjob/takeover.go
+++ b/internal/edge/batchjob/takeover.go
@@ -9,78 +9,83 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// load reads a job with all its pages, and has it run if no entry is known to. No organisation stands for the system itself.
-func (m *Manager) load(ctx context.Context, id, organisation string) (*job, error) {
-	j, err := m.read(ctx, id, organisation)
-	if err != nil || j.over() {
+// loadAndEnsureRun returns a job with all its pages, and has it run if no entry is known to. An empty organisation is the system itself.
+func (m *Manager) loadAndEnsureRun(ctx context.Context, id, organisation string) (*job, error) {
+	j, err := m.readJob(ctx, id, organisation)
+	if err != nil || j.finished() {
 		return j, err
 	}
-	if _, owned := m.ownerBut(j.spec, m.members.Self().HostID); owned {
+	if _, owned := m.ownerExcept(j.spec, m.members.Self().HostID); owned {
 		return j, nil
 	}
 	if m.home(j.spec).HostID == m.members.Self().HostID {
-		return m.takeHere(j, nil), nil
+		return m.resumeHere(j, nil), nil
 	}
-	// Entries that each know nobody who runs the job agree on its home, which may well run it already.
-	m.begin(j.spec, nil)
+	// All entries that know of no owner agree on the job's home, which may run it already.
+	m.assign(j.spec, nil)
 	return j, nil
 }
 
-// take reads a job and runs it here, unless an entry that is known to run it says so itself.
+// takeOver reads a job and runs it here, unless the entry that is recorded as its owner confirms that it runs the job.
 //
-// Guard: an entry was known to run a job and doesn't any more. The one that is asked to run it believed so, agreed, and nobody ran it.
-func (m *Manager) take(ctx context.Context, q RunRequest) error {
-	j, err := m.read(ctx, q.Job, q.Organisation)
-	if err != nil || j.over() {
+// The record may be outdated: when the owner wasn't asked, an entry agreed to run a job, left it to a recorded owner that didn't run it
+// any more, and nobody ran it.
+func (m *Manager) takeOver(ctx context.Context, q RunRequest) error {
+	j, err := m.readJob(ctx, q.Job, q.Organisation)
+	if err != nil || j.finished() {
 		return err
 	}
-	owner, owned := m.ownerBut(j.spec, q.From)
-	if owned && !q.Sure && m.askRun(ctx, owner, q) {
+	owner, owned := m.ownerExcept(j.spec, q.From)
+	if owned && !q.SkipOwnerCheck && m.requestRun(ctx, owner, q) {
 		return nil
 	}
-	m.takeHere(j, q.Partials)
+	m.resumeHere(j, q.Partials)
 	return nil
 }
 
-// askRun has an entry that is known to run a job say so, or run it. If it doesn't answer it isn't taken for the job's owner any more.
-func (m *Manager) askRun(ctx context.Context, owner gossip.Member, q RunRequest) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+// requestRun asks the recorded owner of a job to confirm that it runs the job, or to run it. If that fails, the record is removed.
+func (m *Manager) requestRun(ctx context.Context, owner gossip.Member, q RunRequest) bool {
+	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	q.From = m.members.Self().HostID
-	q.Sure = true
+	q.SkipOwnerCheck = true
 	_, err := peer.Ask[RunRequest, RunAnswer](ctx, m.peers, owner.Address, MethodRun, q)
 	if err != nil {
-		m.log.Info().Err(err).Str("request", q.Job).Str("entry", owner.HostID).Msg("entry doesn't run the job that it was known to run")
+		m.log.Info().Err(err).Str("request", q.Job).Str("entry", owner.HostID).
+			Msg("entry doesn't run the job that it was known to run")
 		m.forgetOwner(q.Job, owner.HostID)
 	}
 	return err == nil
 }
 
-// ownerBut returns the living entry that stays, other than except, that is known to run the job or was given it a moment ago.
+// ownerExcept returns a living entry other than except that is not leaving, and is recorded as running the job or was given it a moment
+// ago.
 //
-// Guard: an entry that is killed right after it was given a job is back at once, and knows nothing of it. Taken for its owner by its name it
-// was left to run the job for two seconds, in which nobody did.
-func (m *Manager) ownerBut(spec *batch.Job, except string) (gossip.Member, bool) {
-	if owner, ok := m.owner(spec.ID); ok && !owner.Leaving && owner.HostID != except {
+// An entry that is killed right after it was given a job restarts at once and knows nothing of the job. Its incarnation is therefore
+// compared: identified by its host id alone, it was left to run the job for two seconds, in which nobody did.
+func (m *Manager) ownerExcept(spec *batch.Job, except string) (gossip.Member, bool) {
+	if owner, ok := m.livingOwner(spec.ID); ok && !owner.Leaving && owner.HostID != except {
 		return owner, true
 	}
 	owner, ok := m.members.Find(time.Now(), spec.Owner)
-	given := ok && !owner.Leaving && owner.HostID != except && owner.Incarnation == spec.OwnerRun
-	return owner, given && time.Since(spec.Accepted) < ownerGrace
+	assigned := ok && !owner.Leaving && owner.HostID != except && owner.Incarnation == spec.OwnerRun
+	return owner, assigned && time.Since(spec.Accepted) < ownerGracePeriod
 }
 
-// takeHere runs a job here that another entry ran, or may still run. Given is what that one had received of unfinished items.
-func (m *Manager) takeHere(j *job, given []batch.Partial) *job {
-	if j.running() {
+// resumeHere runs a job here that another entry ran, or may still run. Given is what that one had received of unfinished items.
+func (m *Manager) resumeHere(j *job, given []batch.Partial) *job {
+	if j.isRunning() {
 		return j
 	}
 	j.mu.Lock()
 	j.progress.Resume(given)
-	goOn := len(j.progress.Partials())
+	resumed := len(j.progress.Partials())
 	j.mu.Unlock()
-	m.log.Info().Str("request", j.spec.ID).Str("owner", j.spec.Owner).Int("given", len(given)).Int("itemsGoOn", goOn).Msg("batch job taken over")
-	return m.runJob(j)
+	m.log.Info().Str("request", j.spec.ID).Str("owner", j.spec.Owner).Int("given", len(given)).Int("itemsGoOn", resumed).
+		Msg("batch job taken over")
+	return m.startJob(j)
 }
 
-// ownerGrace is how long after an acceptance the accepting entry is given to say that it runs the job: some beats.
-const ownerGrace = 2 * time.Second
+// ownerGracePeriod is how long after an acceptance the entry that was given the job has to announce that it runs it: several gossip
+// messages.
+const ownerGracePeriod = 2 * time.Second
