--- a/internal/edge/batchjob/handover.go
+++ b/internal/edge/batchjob/handover.go
@@ -17,11 +17,11 @@
 // handoverTimeout bounds each attempt to have another entry run a job, or to load a job and run it here.
 const handoverTimeout = 2 * time.Second
 
-// Leave writes the finished items of the jobs that run here and asks other entries to run the rest.
+// HandOverJobs writes the finished items of the jobs that run here and asks other entries to run the rest.
 //
 // Without it nobody would run these jobs until the trainers' connections end: the connections stay with the leaving entry, where reads
 // find no new results, and no other entry is asked for them.
-func (m *Manager) Leave(ctx context.Context) {
+func (m *Manager) HandOverJobs(ctx context.Context) {
 	m.mu.Lock()
 	m.leaving = true
 	var running []*job
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -301,7 +301,7 @@
 	g.admin.SetReady(false)
 	g.gateway.Leave()
 	g.gossip.Leave()
-	g.jobs.Leave(ctx)
+	g.jobs.HandOverJobs(ctx)
 	if err := g.keeper.Release(ctx); err != nil {
 		g.log.Warn().Err(err).Msg("duties not given back")
 	}
