--- a/internal/edge/batchjob/contradiction_test.go
+++ b/internal/edge/batchjob/contradiction_test.go
@@ -280,7 +280,7 @@
 	case "hear":
 		s.gossip(m)
 	case "orphan":
-		m.Orphaned(gossip.Member{HostID: testHostID((number + 1) % entryCount)})
+		m.RerunJobsOf(gossip.Member{HostID: testHostID((number + 1) % entryCount)})
 	case "start":
 		s.start(number)
 	case "fault":
--- a/internal/edge/batchjob/handover.go
+++ b/internal/edge/batchjob/handover.go
@@ -75,13 +75,13 @@
 	return members
 }
 
-// Orphaned has the jobs run again that the lost process of an entry ran. It doesn't wait for reads: a trainer may be connected to the
+// RerunJobsOf has the jobs run again that the lost process of an entry ran. It doesn't wait for reads: a trainer may be connected to the
 // lost entry, and then asks no other one for results for seconds.
 //
 // All living entries try one after the other until the job is known to run. If only the first in the job's order tried, a job could stand
 // still until its trainer asks: when several entries die at once and restart a moment later, the first may be one of them and know nothing
 // of the job.
-func (m *Manager) Orphaned(lost gossip.Member) {
+func (m *Manager) RerunJobsOf(lost gossip.Member) {
 	for _, id := range m.jobsOwnedBy(lost.HostID) {
 		m.forgetOwner(id, lost.HostID)
 		m.wg.Go(func() { m.rerunInTurn(id, lost.HostID) })
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -258,7 +258,7 @@
 	n.mu.Lock()
 	n.missed = now
 	n.mu.Unlock()
-	n.gateway.jobs.Orphaned(member)
+	n.gateway.jobs.RerunJobsOf(member)
 }
 
 // missing says whether an entry fell silent lately.
