--- a/internal/edge/batchjob/contradiction_test.go
+++ b/internal/edge/batchjob/contradiction_test.go
@@ -258,7 +258,7 @@
 	}
 	now := time.Now()
 	running, ended := sender.Jobs(now)
-	m.Heard(gossip.Member{HostID: testHostID(number)}, running, ended, sender.Owners(now, true))
+	m.ApplyGossip(gossip.Member{HostID: testHostID(number)}, running, ended, sender.Owners(now, true))
 }
 
 func (s *simulation) step() {
--- a/internal/edge/batchjob/end_test.go
+++ b/internal/edge/batchjob/end_test.go
@@ -20,7 +20,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		spec := batch.Job{ID: "j", Organisation: "north", Owner: "other", Submission: batch.Submission{Items: []batch.Item{{ID: "a"}}}}
 		m := newManagerWithJob(ctx, t, spec, fakeMembers{self: "self", others: []gossip.Member{{HostID: "other"}}})
-		m.Heard(gossip.Member{HostID: "other"}, nil, []string{"j"}, nil)
+		m.ApplyGossip(gossip.Member{HostID: "other"}, nil, []string{"j"}, nil)
 		q := RunRequest{Job: "j", Organisation: "north", From: "other"}
 		if withSpec {
 			value, err := json.Marshal(spec)
@@ -54,7 +54,7 @@
 	if _, ended := m.Jobs(time.Now()); len(ended) != 0 {
 		t.Errorf("still announced: %v", ended)
 	}
-	m.Heard(gossip.Member{HostID: "other"}, []string{"j"}, nil, nil)
+	m.ApplyGossip(gossip.Member{HostID: "other"}, []string{"j"}, nil, nil)
 	if _, ended := m.Jobs(time.Now()); !slices.Equal(ended, []string{"j"}) {
 		t.Errorf("announced: %v", ended)
 	}
--- a/internal/edge/batchjob/home_test.go
+++ b/internal/edge/batchjob/home_test.go
@@ -119,7 +119,7 @@
 			defer cancel()
 			m.started = time.Now().Add(-test.age)
 			for range 3 {
-				m.Heard(gossip.Member{HostID: "other"}, nil, nil, map[string]string{"j": "self"})
+				m.ApplyGossip(gossip.Member{HostID: "other"}, nil, nil, map[string]string{"j": "self"})
 			}
 			found := false
 			for end := time.Now().Add(500 * time.Millisecond); !found && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
--- a/internal/edge/batchjob/owner.go
+++ b/internal/edge/batchjob/owner.go
@@ -125,8 +125,8 @@
 	return rates
 }
 
-// Heard records which jobs another entry runs, which have ended, and which entries it has recorded as running others.
-func (m *Manager) Heard(from gossip.Member, running, ended []string, others map[string]string) {
+// ApplyGossip records which jobs another entry runs, which have ended, and which entries it has recorded as running others.
+func (m *Manager) ApplyGossip(from gossip.Member, running, ended []string, others map[string]string) {
 	for _, id := range ended {
 		m.markEnded(id)
 	}
--- a/internal/edge/batchjob/owner_test.go
+++ b/internal/edge/batchjob/owner_test.go
@@ -32,7 +32,7 @@
 	if j, _ := m.find(spec.ID); !j.finished() {
 		t.Fatal("the end wasn't read")
 	}
-	m.Heard(gossip.Member{HostID: "other"}, []string{"j"}, nil, nil)
+	m.ApplyGossip(gossip.Member{HostID: "other"}, []string{"j"}, nil, nil)
 	if owner, ok := m.livingOwner("j"); ok {
 		t.Errorf("%s is recorded as the owner of a job whose end this entry has read", owner.HostID)
 	}
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -160,7 +160,7 @@
 	for _, count := range beat.Counts {
 		g.ledger.Merge(count)
 	}
-	g.jobs.Heard(beat.From, beat.Jobs, beat.Ended, beat.Owners)
+	g.jobs.ApplyGossip(beat.From, beat.Jobs, beat.Ended, beat.Owners)
 	g.follower.HeardContacts(now, beat.Contacts)
 	n.hearHolder(beat.Holder)
 	n.observeTokenRates(now, beat.TokenRates)
