--- a/internal/edge/batchjob/reopen.go
+++ b/internal/edge/batchjob/reopen.go
@@ -20,8 +20,8 @@
 	reopenWindow = 5 * time.Second
 )
 
-// Open returns a note for each job that some entry is known to run, sorted by job, for entries that start later.
-func (m *Manager) Open() []string {
+// OpenNotes returns a note for each job that some entry is known to run, sorted by job, for entries that start later.
+func (m *Manager) OpenNotes() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	open := map[string]string{}
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -221,7 +221,7 @@
 	leases := store.NewLeases(g.store, heard)
 	g.keeper = duty.NewKeeper(ctx, leases, leader.Lease, holder, duty.WithTiming(leader.Timing()), duty.WithOneProcess(),
 		// Entries that start read there which batch jobs were open.
-		duty.WithNotes(g.jobs.Open, func(notes []string) { g.jobs.Reopen(notes, g.dutyPlace()) }),
+		duty.WithNotes(g.jobs.OpenNotes, func(notes []string) { g.jobs.Reopen(notes, g.dutyPlace()) }),
 		duty.WithStartIf(func() bool {
 			return roster.Settled(time.Since(started), g.gossip.Alive(time.Now())) && g.contends()
 		}),
