--- a/internal/edge/batchjob/sweep.go
+++ b/internal/edge/batchjob/sweep.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// SweepPause is the time between two sweeps. Listing the ends costs a call for each 500.
-	SweepPause = 5 * time.Minute
+	// SweepInterval is the time between two sweeps. Listing the ends costs a call for each 500.
+	SweepInterval = 5 * time.Minute
 	// jobRetention is how long after its acceptance an ended job is kept: results are read for two minutes, and a call to the store may be
 	// carried out seconds late.
 	jobRetention = 10 * time.Minute
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -238,7 +238,7 @@
 		Book:       g.book,
 		Ledger:     g.ledger,
 		Sweep:      g.jobs.Sweep,
-		SweepPause: batchjob.SweepPause,
+		SweepPause: batchjob.SweepInterval,
 		Missing:    g.news.missing,
 		TokenRates: g.news.tokenRates,
 		Window:     g.set.UsageWindow,
