--- a/internal/core/queue/item.go
+++ b/internal/core/queue/item.go
@@ -9,15 +9,15 @@
 // Item is one queued request.
 type Item[T any] struct {
 	Organisation string
-	// Weight is the organisation's share; 0 counts as 1.
+	// Weight is the organisation's relative share; 0 counts as 1.
 	Weight float64
 	// Cost is the estimated work, in tokens for a model pool and 1 for a plain call; 0 counts as 1.
 	Cost     float64
 	Priority request.Priority
 	Enqueued time.Time
-	// Deadline is the time by which the caller wants the whole answer; zero is none.
+	// Deadline is when the caller needs the whole answer; zero means no deadline.
 	Deadline time.Time
 	Value    T
-	// long is set by Pop, so that Finished counts the same as Pop did, though the typical cost moves.
+	// long is set by Pop, so that Finished classifies the item as Pop did even if the typical cost has changed.
 	long bool
 }
--- a/internal/core/queue/lane.go
+++ b/internal/core/queue/lane.go
@@ -6,91 +6,91 @@
 	"time"
 )
 
-// ranked is an item with its place in its lane.
-type ranked[T any] struct {
+// rankedItem is an item with its sort key within its flow.
+type rankedItem[T any] struct {
 	item     Item[T]
 	rank     time.Time
 	sequence uint64
 }
 
-func compareRanked[T any](a, b ranked[T]) int {
+func compareRank[T any](a, b rankedItem[T]) int {
 	return cmp.Or(a.rank.Compare(b.rank), cmp.Compare(a.sequence, b.sequence))
 }
 
-// lane holds the items of one organisation, sorted by rank.
-type lane[T any] struct {
+// flow holds the queued items of one organisation, sorted by rank.
+type flow[T any] struct {
 	organisation string
 	weight       float64
-	// start is the virtual time at which the first item may start.
-	start float64
-	cost  float64
-	items []ranked[T]
-	// place is the lane's index in the heap, -1 if it is not in it.
-	place int
+	// start is the virtual start time of the first item.
+	start     float64
+	totalCost float64
+	items     []rankedItem[T]
+	// heapIndex is the flow's index in the heap, -1 if it is not in it.
+	heapIndex int
 }
 
-func (l *lane[T]) insert(added ranked[T]) {
-	at, _ := slices.BinarySearchFunc(l.items, added, compareRanked[T])
-	l.items = slices.Insert(l.items, at, added)
-	l.cost += added.item.Cost
+func (f *flow[T]) insert(added rankedItem[T]) {
+	at, _ := slices.BinarySearchFunc(f.items, added, compareRank[T])
+	f.items = slices.Insert(f.items, at, added)
+	f.totalCost += added.item.Cost
 }
 
-func (l *lane[T]) take(at int) Item[T] {
-	item := l.items[at].item
-	l.items = slices.Delete(l.items, at, at+1)
-	l.cost -= item.Cost
-	if len(l.items) == 0 {
-		l.cost = 0
+func (f *flow[T]) deleteAt(at int) Item[T] {
+	item := f.items[at].item
+	f.items = slices.Delete(f.items, at, at+1)
+	f.totalCost -= item.Cost
+	if len(f.items) == 0 {
+		f.totalCost = 0
 	}
 	return item
 }
 
-// newest returns the index of the item that came last.
-func (l *lane[T]) newest() int {
+// newestIndex returns the index of the item that was added last.
+func (f *flow[T]) newestIndex() int {
 	newest := 0
-	for i := range l.items {
-		if l.items[i].sequence > l.items[newest].sequence {
+	for i := range f.items {
+		if f.items[i].sequence > f.items[newest].sequence {
 			newest = i
 		}
 	}
 	return newest
 }
 
-// firstShort returns the index of the first item below the cost of a long one, or -1.
-func (l *lane[T]) firstShort(long float64) int {
-	return slices.IndexFunc(l.items, func(r ranked[T]) bool { return r.item.Cost < long })
+// firstShortIndex returns the index of the first item that costs less than longCost, or -1.
+func (f *flow[T]) firstShortIndex(longCost float64) int {
+	return slices.IndexFunc(f.items, func(r rankedItem[T]) bool { return r.item.Cost < longCost })
 }
 
-// laneHeap orders the lanes that have items by virtual start time. It implements heap.Interface.
-type laneHeap[T any] []*lane[T]
+// flowHeap orders the flows that have items by virtual start time. It implements heap.Interface.
+type flowHeap[T any] []*flow[T]
 
-func (h laneHeap[T]) Len() int { return len(h) }
+func (h flowHeap[T]) Len() int { return len(h) }
 
-func (h laneHeap[T]) Less(i, j int) bool {
+func (h flowHeap[T]) Less(i, j int) bool {
 	if h[i].start != h[j].start {
 		return h[i].start < h[j].start
 	}
 	return h[i].organisation < h[j].organisation
 }
 
-func (h laneHeap[T]) Swap(i, j int) {
+func (h flowHeap[T]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place = i
-	h[j].place = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
-// Push adds a lane for heap.Push.
-func (h *laneHeap[T]) Push(x any) {
-	added, _ := x.(*lane[T])
-	added.place = len(*h)
+// Push appends a flow; it is called by heap.Push.
+func (h *flowHeap[T]) Push(x any) {
+	added, _ := x.(*flow[T])
+	added.heapIndex = len(*h)
 	*h = append(*h, added)
 }
 
-// Pop takes the last lane for heap.Pop.
-func (h *laneHeap[T]) Pop() any {
+// Pop removes the last flow; it is called by heap.Pop and heap.Remove.
+func (h *flowHeap[T]) Pop() any {
 	last := (*h)[len(*h)-1]
 	(*h)[len(*h)-1] = nil
 	*h = (*h)[:len(*h)-1]
-	last.place = -1
+	last.heapIndex = -1
 	return last
 }
--- a/internal/core/queue/leave.go
+++ b/internal/core/queue/leave.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Expire takes out the items whose answer can't come before their deadline any more, and returns them
-// with those that made room for others since the last call. None of them ran. It guards against work for
-// callers that have given up: under overload that work would take the server's time from others.
+// Expire removes the items whose answer can no longer arrive before their deadline. It returns them together
+// with the items evicted since the last call; none of them has run. Without it an overloaded server would
+// spend time on callers that have given up, at the expense of the others.
 func (q *Queue[T]) Expire(now time.Time) []Item[T] {
-	out := q.lost
-	q.lost = nil
-	late := q.Remove(func(item Item[T]) bool {
+	out := q.evicted
+	q.evicted = nil
+	expired := q.Remove(func(item Item[T]) bool {
 		return !item.Deadline.IsZero() && now.Add(q.service(item.Cost)).After(item.Deadline)
 	})
-	return append(out, late...)
+	return append(out, expired...)
 }
 
-// Remove takes out the items for which drop is true, sorted by the time they came.
+// Remove removes and returns the items for which drop returns true, in the order in which they were added.
 func (q *Queue[T]) Remove(drop func(Item[T]) bool) []Item[T] {
-	var out []ranked[T]
+	var out []rankedItem[T]
 	for _, from := range slices.Clone(q.heap) {
 		for at := len(from.items) - 1; at >= 0; at-- {
 			candidate := from.items[at]
 			if drop(candidate.item) {
 				out = append(out, candidate)
-				q.remove(from, at)
+				q.removeAt(from, at)
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b ranked[T]) int { return int(a.sequence) - int(b.sequence) })
+	slices.SortFunc(out, func(a, b rankedItem[T]) int { return int(a.sequence) - int(b.sequence) })
 	items := make([]Item[T], 0, len(out))
 	for _, r := range out {
 		items = append(items, r.item)
@@ -37,86 +37,89 @@
 	return items
 }
 
-// Wait estimates how long a new item of the organisation, of typical cost, would wait, from the work that
-// goes before it and the pace of the last seconds, one item's turn at least; 0 while nothing waits or
-// no pace is known.
+// Wait estimates how long a new item of the organisation, of typical cost, would wait. The estimate is the
+// work ahead of it at the recent throughput, and at least the time of one typical item. It is 0 while the
+// queue is empty or the throughput is unknown.
 func (q *Queue[T]) Wait(now time.Time, organisation string, weight float64) time.Duration {
-	return q.wait(now, Item[T]{
+	return q.estimateWait(now, Item[T]{
 		Organisation: organisation,
-		Weight:       positive(weight),
-		Cost:         q.pace.typicalCost(),
+		Weight:       positiveOrOne(weight),
+		Cost:         q.throughput.typicalCost(),
 		Enqueued:     now,
 	})
 }
 
-func (q *Queue[T]) wait(now time.Time, item Item[T]) time.Duration {
+func (q *Queue[T]) estimateWait(now time.Time, item Item[T]) time.Duration {
 	if q.length == 0 {
 		return 0
 	}
-	start, own := q.clock, 0.0
-	found := q.lanes[item.Organisation]
+	start, own := q.virtualTime, 0.0
+	found := q.flows[item.Organisation]
 	if found != nil {
-		own = q.ownAhead(now, found, item)
-		start = max(found.start, q.clock) + own/item.Weight
+		own = q.workAheadInFlow(now, found, item)
+		start = max(found.start, q.virtualTime) + own/item.Weight
 	}
-	wait := q.pace.duration(max(own+q.ahead(start, found), q.pace.typicalCost()))
-	if q.pace.sure() {
+	wait := q.throughput.duration(max(own+q.workAheadInOtherFlows(start, found), q.throughput.typicalCost()))
+	if q.throughput.reliable() {
 		return wait
 	}
-	if turns, known := q.turns(now); known {
-		return min(wait, turns)
+	if bound, known := q.serviceTimeBound(now); known {
+		return min(wait, bound)
 	}
 	return wait
 }
 
-// turns bounds a new item's wait at a server that works as it did of late: with each turn of the slots, which takes as long as the
-// longest item that runs or waits, as many start as there are slots. false if the service time of one isn't known.
+// serviceTimeBound returns an upper bound on a new item's wait, derived from service times: the queue drains in
+// rounds, each of which fills all slots and takes as long as the longest item that is running or queued. It
+// returns false if the service time of any of these items is unknown.
 //
-// Failure: the server stands still for some seconds while an item waits, and works on. The pace is measured while items wait only,
-// so that in a queue that is seldom used the stall remains most of what it knows: minutes later calls were refused for a wait of
-// seconds that would have taken a fraction of one. The service time is learnt from each item that ends, whether others wait or
-// not; and a server that stands still now shows in the age of its items.
-func (q *Queue[T]) turns(now time.Time) (time.Duration, bool) {
+// It guards against a stall that distorts the throughput: if the server stops for some seconds while an item
+// waits, the stall makes up most of the measured time in a queue that is seldom used, because throughput is
+// measured only while items wait. Minutes later calls were refused for an estimated wait of seconds that would
+// have taken a fraction of one. Service times are measured on every item that finishes, whether others wait or
+// not, and a server that is stalled now shows in the age of its running items.
+func (q *Queue[T]) serviceTimeBound(now time.Time) (time.Duration, bool) {
 	if q.slots == nil {
 		return 0, false
 	}
-	longest, known := q.running.longest(now, q.service)
-	for _, lane := range q.heap {
-		for i := range lane.items {
-			took := q.service(lane.items[i].item.Cost)
-			longest, known = max(longest, took), known && took > 0
+	longest, known := q.running.longestTime(now, q.service)
+	for _, flow := range q.heap {
+		for i := range flow.items {
+			serviceTime := q.service(flow.items[i].item.Cost)
+			longest, known = max(longest, serviceTime), known && serviceTime > 0
 		}
 	}
-	turns := q.length/max(1, q.slots()) + 1
-	return time.Duration(turns) * longest, known
+	rounds := q.length/max(1, q.slots()) + 1
+	return time.Duration(rounds) * longest, known
 }
 
-// ownAhead is the work of the item's lane that goes before it. Long items that may not start now don't: a
-// short call would else be refused for the long jobs of its organisation that it overtakes.
-func (q *Queue[T]) ownAhead(now time.Time, lane *lane[T], item Item[T]) float64 {
-	long := q.pace.longCost()
-	overtakes := item.Cost < long && q.longFull(now)
+// workAheadInFlow returns the cost of the items in the item's own flow that go before it. It leaves out long
+// items that may not start now if the new item is short; otherwise a short call would be refused because of the
+// long jobs of its organisation that it overtakes.
+func (q *Queue[T]) workAheadInFlow(now time.Time, flow *flow[T], item Item[T]) float64 {
+	longCost := q.throughput.longCost()
+	overtakes := item.Cost < longCost && q.longSlotsFull(now)
 	rank := q.rank(item)
 	work := 0.0
-	for i := range lane.items {
-		ahead := &lane.items[i]
+	for i := range flow.items {
+		ahead := &flow.items[i]
 		if ahead.rank.After(rank) {
 			break
 		}
-		if !overtakes || ahead.item.Cost < long {
+		if !overtakes || ahead.item.Cost < longCost {
 			work += ahead.item.Cost
 		}
 	}
 	return work
 }
 
-// ahead is the work of the lanes other than own that goes before a virtual start time.
-func (q *Queue[T]) ahead(start float64, own *lane[T]) float64 {
+// workAheadInOtherFlows returns the cost of the items in flows other than own that go before the virtual time start.
+func (q *Queue[T]) workAheadInOtherFlows(start float64, own *flow[T]) float64 {
 	work := 0.0
 	for _, other := range q.heap {
 		if other != own && other.start <= start {
 			first := other.items[0].item.Cost
-			work += min(other.cost, max(first, (start-other.start)*other.weight))
+			work += min(other.totalCost, max(first, (start-other.start)*other.weight))
 		}
 	}
 	return work
--- a/internal/core/queue/limiter.go
+++ b/internal/core/queue/limiter.go
@@ -5,63 +5,64 @@
 	"time"
 )
 
-// Figures of the limiter.
 const (
-	// defaultTolerance is how far latency may rise over that of a lightly loaded server.
+	// defaultTolerance is the accepted ratio of latency to that of a lightly loaded server.
 	defaultTolerance = 1.3
-	// backOff is how much one step down takes.
-	backOff = 0.9
-	// failureBackOff is the step down when requests fail.
-	failureBackOff = 0.7
-	failurePart    = 0.2
-	// floorPart and ceilingFactor bound the limit relative to the one set by the operator.
-	floorPart     = 2
+	// latencyBackoff is the factor by which the limit drops when latency exceeds the tolerance.
+	latencyBackoff = 0.9
+	// failureBackoff is the factor by which the limit drops when the failed part of a round's requests exceeds failureThreshold.
+	failureBackoff   = 0.7
+	failureThreshold = 0.2
+	// The limit stays between the operator's concurrency divided by floorDivisor and multiplied by ceilingFactor.
+	floorDivisor  = 2
 	ceilingFactor = 4
-	// roundSamples is how many requests at least make a step.
-	roundSamples = 4
-	// baseDrift is how much a base rises with each request above it, so that a server that has become
-	// slower for good, as with larger weights, isn't held at the floor for ever. Ten times as much let
-	// the base follow the latency that the limit itself caused, and the limit ran away under long load.
-	baseDrift = 0.0002
-	// recentShare is the part of a new time in the usual one.
-	recentShare = 0.125
-	classes     = 32
+	// minRoundSamples is the least number of requests in a round.
+	minRoundSamples = 4
+	// baselineDrift is the part of the difference by which a baseline rises with each slower request, so that a
+	// server that has become slower for good, for example with larger weights, isn't held at the floor for ever.
+	// With ten times as much the baseline followed the latency that the limit itself caused, and the limit grew
+	// without control under long load.
+	baselineDrift = 0.0002
+	// latencySmoothing is the weight of a new sample in the moving average of latency.
+	latencySmoothing = 0.125
+	costClasses      = 32
 )
 
-// LimiterOption changes a Limiter.
+// LimiterOption configures a Limiter.
 type LimiterOption func(*Limiter)
 
-// WithTolerance sets how far latency may rise over that of a lightly loaded server.
+// WithTolerance sets the accepted ratio of latency to that of a lightly loaded server.
 func WithTolerance(tolerance float64) LimiterOption {
 	return func(l *Limiter) { l.tolerance = tolerance }
 }
 
-// WithRange sets the least and the greatest limit.
+// WithRange sets the lowest and the highest limit.
 func WithRange(floor, ceiling int) LimiterOption {
 	return func(l *Limiter) { l.floor, l.ceiling = float64(floor), float64(ceiling) }
 }
 
-// Limiter sets how many requests a backend server runs at a time: one more after a round of
-// requests whose latency is near that of a lightly loaded server, a tenth less after a round whose
-// latency is over the tolerance (additive increase, multiplicative decrease).
+// Limiter sets how many requests a backend server runs at a time, by additive increase and multiplicative
+// decrease: the limit rises by one after a round of requests whose latency is near that of a lightly loaded
+// server, and drops by a tenth after a round whose latency exceeds the tolerance.
 //
-// It guards against collapse on long jobs: a job of a thousand tokens isn't slow because it takes a
-// thousand times as long. Each latency, for a unit of cost, is compared with the lowest of its own class of cost (powers
-// of two) only, and a floor holds in any case. It is owned by one goroutine.
+// Long jobs must not lower the limit: a job of a thousand tokens isn't a sign of overload because it takes a
+// thousand times as long. Latency per unit of cost is therefore compared only with the lowest in the same cost
+// class (powers of two), and the limit never drops below its floor. A Limiter must be used by one goroutine only.
 type Limiter struct {
 	limit     float64
 	floor     float64
 	ceiling   float64
 	tolerance float64
-	// base and recent are the lowest and the usual time for a unit of cost in each class.
-	base   [classes]float64
-	recent [classes]float64
-	// ratios sums up the logarithms of latency over base in this round.
-	ratios   float64
-	seen     int
-	failures int
-	used     int
-	usedSeen bool
+	// baseline and average are the lowest latency and its moving average in each cost class, in seconds per unit of cost.
+	baseline [costClasses]float64
+	average  [costClasses]float64
+	// logRatioSum is the sum of the logarithms of latency over baseline in this round.
+	logRatioSum float64
+	samples     int
+	failures    int
+	// maxRunning is the highest concurrency reported in this round; runningReported is set once any was reported.
+	maxRunning      int
+	runningReported bool
 }
 
 // NewLimiter returns a limiter that starts at initial, the operator's concurrency.
@@ -69,7 +70,7 @@
 	start := float64(max(1, initial))
 	l := &Limiter{
 		limit:     start,
-		floor:     math.Ceil(start / floorPart),
+		floor:     math.Ceil(start / floorDivisor),
 		ceiling:   start * ceilingFactor,
 		tolerance: defaultTolerance,
 	}
@@ -82,67 +83,67 @@
 // Limit returns the number of requests to run at a time.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// Used says how many requests run. A limit that isn't reached is not raised: its latency says
-// nothing about a higher one. Without a call each limit counts as reached.
+// Used reports how many requests are running. A limit that isn't reached is not raised, because its latency
+// says nothing about a higher one. If Used is never called, every limit counts as reached.
 func (l *Limiter) Used(running int) {
-	l.used = max(l.used, running)
-	l.usedSeen = true
+	l.maxRunning = max(l.maxRunning, running)
+	l.runningReported = true
 }
 
-// Typical is the latency of a request of the cost of late; 0 if none of its class was seen.
+// Typical returns the recent average latency of requests of this cost; 0 if none of its cost class was observed.
 func (l *Limiter) Typical(cost float64) time.Duration {
-	return time.Duration(l.recent[class(cost)] * max(1, cost) * float64(time.Second))
+	return time.Duration(l.average[costClass(cost)] * max(1, cost) * float64(time.Second))
 }
 
-// Observe takes in one finished request: its time at the server, its cost and whether it failed. A
-// request that failed at once says nothing about latency.
+// Observe records one finished request: its time at the server, its cost and whether it failed. The latency
+// of a failed request is ignored, since it may have failed at once.
 func (l *Limiter) Observe(_ time.Time, latency time.Duration, cost float64, failed bool) {
-	l.seen++
+	l.samples++
 	if failed {
 		l.failures++
 	} else {
-		l.ratios += l.compare(latency, cost)
+		l.logRatioSum += l.compareWithBaseline(latency, cost)
 	}
-	if l.seen >= max(roundSamples, int(l.limit)) {
-		l.step()
+	if l.samples >= max(minRoundSamples, int(l.limit)) {
+		l.endRound()
 	}
 }
 
-// class is the power of two of a cost.
-func class(cost float64) int {
+// costClass returns the binary logarithm of a cost, rounded down and limited to the classes kept.
+func costClass(cost float64) int {
 	if cost <= 1 {
 		return 0
 	}
-	return min(int(math.Log2(cost)), classes-1)
+	return min(int(math.Log2(cost)), costClasses-1)
 }
 
-// compare returns the logarithm of the time for a unit of cost over the class's base, and moves the base.
-func (l *Limiter) compare(latency time.Duration, cost float64) float64 {
-	unit := max(latency, time.Microsecond).Seconds() / max(1, cost)
-	at := class(cost)
-	if base := l.base[at]; base == 0 || unit < base {
-		l.base[at] = unit
+// compareWithBaseline updates the baseline and the average of the cost class and returns the logarithm of latency over baseline.
+func (l *Limiter) compareWithBaseline(latency time.Duration, cost float64) float64 {
+	unitLatency := max(latency, time.Microsecond).Seconds() / max(1, cost)
+	class := costClass(cost)
+	if baseline := l.baseline[class]; baseline == 0 || unitLatency < baseline {
+		l.baseline[class] = unitLatency
 	} else {
-		l.base[at] += (unit - base) * baseDrift
+		l.baseline[class] += (unitLatency - baseline) * baselineDrift
 	}
-	if l.recent[at] == 0 {
-		l.recent[at] = unit
+	if l.average[class] == 0 {
+		l.average[class] = unitLatency
 	}
-	l.recent[at] += (unit - l.recent[at]) * recentShare
-	return math.Log(unit / l.base[at])
+	l.average[class] += (unitLatency - l.average[class]) * latencySmoothing
+	return math.Log(unitLatency / l.baseline[class])
 }
 
-// step ends a round.
-func (l *Limiter) step() {
-	successes := l.seen - l.failures
+// endRound adjusts the limit to the samples of the round and starts the next one.
+func (l *Limiter) endRound() {
+	successes := l.samples - l.failures
 	switch {
-	case float64(l.failures) > failurePart*float64(l.seen):
-		l.limit *= failureBackOff
-	case successes > 0 && math.Exp(l.ratios/float64(successes)) > l.tolerance:
-		l.limit *= backOff
-	case !l.usedSeen || l.used >= l.Limit():
+	case float64(l.failures) > failureThreshold*float64(l.samples):
+		l.limit *= failureBackoff
+	case successes > 0 && math.Exp(l.logRatioSum/float64(successes)) > l.tolerance:
+		l.limit *= latencyBackoff
+	case !l.runningReported || l.maxRunning >= l.Limit():
 		l.limit++
 	}
 	l.limit = min(max(l.limit, l.floor), l.ceiling)
-	l.ratios, l.seen, l.failures, l.used = 0, 0, 0, 0
+	l.logRatioSum, l.samples, l.failures, l.maxRunning = 0, 0, 0, 0
 }
--- a/internal/core/queue/limiter_test.go
+++ b/internal/core/queue/limiter_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// observe reports requests of a server whose time for a unit of cost is unit.
-func observe(l *Limiter, n int, cost float64, unit time.Duration, failed bool) {
+// observe reports n finished requests, whose latency per unit of cost is unitLatency, at full concurrency.
+func observe(l *Limiter, n int, cost float64, unitLatency time.Duration, failed bool) {
 	for range n {
 		l.Used(l.Limit())
-		l.Observe(start, time.Duration(cost)*unit, cost, failed)
+		l.Observe(start, time.Duration(cost)*unitLatency, cost, failed)
 	}
 }
 
-// A pool serves calls of a hundred tokens; then jobs of ten thousand come. A limit that follows plain
-// latency takes the jobs for a slowdown of a hundred times and falls to its floor, so that the
-// server stands half idle while callers are refused. The limit must not fall.
-func TestLimiterLongJobs(t *testing.T) {
+// Guards against a limit that falls because jobs are long. A pool serves calls of a hundred tokens, then jobs of
+// ten thousand. A limit based on latency alone would take them for a hundredfold slowdown and fall to its floor,
+// leaving the server half idle while callers are refused.
+func TestLimiterKeepsLimitOnLongJobs(t *testing.T) {
 	l := NewLimiter(8)
 	observe(l, 100, 100, time.Millisecond, false)
 	before := l.Limit()
@@ -28,23 +28,23 @@
 
 func TestLimiterFollowsLatency(t *testing.T) {
 	tests := []struct {
-		name   string
-		unit   time.Duration
-		failed bool
-		least  int
-		most   int
+		name        string
+		unitLatency time.Duration
+		failed      bool
+		minLimit    int
+		maxLimit    int
 	}{
-		{name: "steady latency raises it to the ceiling", unit: time.Millisecond, least: 32, most: 32},
-		{name: "twice the latency lowers it to the floor", unit: 2 * time.Millisecond, least: 4, most: 4},
-		{name: "failures lower it to the floor", unit: time.Millisecond, failed: true, least: 4, most: 4},
+		{name: "steady latency raises the limit to the ceiling", unitLatency: time.Millisecond, minLimit: 32, maxLimit: 32},
+		{name: "twice the latency lowers the limit to the floor", unitLatency: 2 * time.Millisecond, minLimit: 4, maxLimit: 4},
+		{name: "failures lower the limit to the floor", unitLatency: time.Millisecond, failed: true, minLimit: 4, maxLimit: 4},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			l := NewLimiter(8)
 			observe(l, 50, 100, time.Millisecond, false)
-			observe(l, 1500, 100, tt.unit, tt.failed)
-			if got := l.Limit(); got < tt.least || got > tt.most {
-				t.Errorf("limit %d, want %d to %d", got, tt.least, tt.most)
+			observe(l, 1500, 100, tt.unitLatency, tt.failed)
+			if got := l.Limit(); got < tt.minLimit || got > tt.maxLimit {
+				t.Errorf("limit %d, want %d to %d", got, tt.minLimit, tt.maxLimit)
 			}
 		})
 	}
--- a/internal/core/queue/pace.go
+++ b/internal/core/queue/pace.go
@@ -6,83 +6,86 @@
 )
 
 const (
-	// paceTime is how long a measurement of the pace counts: some dozen requests of a second, yet
-	// short enough to follow a change of weights or of the limit.
-	paceTime = 20 * time.Second
-	// leastWait tells an item that waited for a slot from one that found a free slot.
-	leastWait = time.Millisecond
+	// throughputDecay is the time constant with which throughput measurements decay: it spans some dozen
+	// requests of a second, yet is short enough to follow a change of weights or of the limit.
+	throughputDecay = 20 * time.Second
+	// minSlotWait is the shortest wait that counts as waiting for a slot; a shorter one found a free slot.
+	minSlotWait = time.Millisecond
 )
 
-// pace measures the work that leaves a queue a second while items wait. Both sums fade with time.
-type pace struct {
+// throughput measures the work per second that leaves a queue while items wait, and the typical cost of items.
+// The sums work and busy decay exponentially.
+type throughput struct {
 	work float64
+	// busy is the time in seconds during which items waited.
 	busy float64
-	// since is when the current wait for a slot began.
-	since time.Time
-	// cost is the average logarithm of the costs.
-	logCost float64
-	seen    float64
-	// longest is the longest gap in busy, and fades with it.
-	longest float64
-	// current says that an item has left since the queue was empty.
+	// waitingSince is when the current wait for a slot began.
+	waitingSince time.Time
+	// logCost is the moving average of the logarithms of the costs.
+	logCost     float64
+	costSamples float64
+	// longestGap is the longest single interval in busy, in seconds, and decays with it.
+	longestGap float64
+	// current is set when an item has left since the queue was last empty.
 	current bool
 }
 
-// waiting marks that an item began to wait in an empty queue.
-func (p *pace) waiting(now time.Time) {
-	p.since = now
-	p.current = false
+// startWaiting records that an item began to wait in an empty queue.
+func (t *throughput) startWaiting(now time.Time) {
+	t.waitingSince = now
+	t.current = false
 }
 
-// left takes in an item that left the queue for the server.
-func (p *pace) left(now, enqueued time.Time, cost float64) {
-	gap := now.Sub(p.since)
+// observeDeparture records an item that left the queue for the server.
+func (t *throughput) observeDeparture(now, enqueued time.Time, cost float64) {
+	gap := now.Sub(t.waitingSince)
 	waited := now.Sub(enqueued)
-	p.since = now
-	if waited < leastWait {
+	t.waitingSince = now
+	if waited < minSlotWait {
 		return
 	}
-	fade := math.Exp(-gap.Seconds() / paceTime.Seconds())
-	p.work = p.work*fade + cost
-	p.busy = p.busy*fade + gap.Seconds()
-	p.longest = max(p.longest*fade, gap.Seconds())
-	p.current = true
+	decay := math.Exp(-gap.Seconds() / throughputDecay.Seconds())
+	t.work = t.work*decay + cost
+	t.busy = t.busy*decay + gap.Seconds()
+	t.longestGap = max(t.longestGap*decay, gap.Seconds())
+	t.current = true
 }
 
-// sure says that the pace stems from the present wait, and that no single gap makes up most of the time it is known from.
-func (p *pace) sure() bool { return p.current && p.longest <= p.busy/2 }
+// reliable reports whether an item has left since the queue was last empty and no single gap makes up more
+// than half of the measured time.
+func (t *throughput) reliable() bool { return t.current && t.longestGap <= t.busy/2 }
 
-// rate is the work a second; 0 if it isn't known yet.
-func (p *pace) rate() float64 {
-	if p.busy <= 0 {
+// rate returns the work per second; 0 if it isn't known yet.
+func (t *throughput) rate() float64 {
+	if t.busy <= 0 {
 		return 0
 	}
-	return p.work / p.busy
+	return t.work / t.busy
 }
 
-// duration is the time that the work takes; 0 if the pace isn't known yet.
-func (p *pace) duration(work float64) time.Duration {
-	rate := p.rate()
+// duration returns how long the work takes at the measured rate, at most maxWait; 0 if the rate isn't known yet.
+func (t *throughput) duration(work float64) time.Duration {
+	rate := t.rate()
 	if rate <= 0 {
 		return 0
 	}
 	return time.Duration(min(work/rate, maxWait.Seconds()) * float64(time.Second))
 }
 
-// maxWait bounds what is told to callers.
+// maxWait bounds the waits that are reported to callers.
 const maxWait = time.Hour
 
-// costMemory is how many items the typical cost follows.
-const costMemory = 256
+// costWindow is the number of items over which the typical cost is averaged.
+const costWindow = 256
 
-// learn takes in the cost of an arriving item.
-func (p *pace) learn(cost float64) {
-	p.seen = min(p.seen+1, costMemory)
-	p.logCost += (math.Log(cost) - p.logCost) / p.seen
+// observeCost records the cost of an arriving item.
+func (t *throughput) observeCost(cost float64) {
+	t.costSamples = min(t.costSamples+1, costWindow)
+	t.logCost += (math.Log(cost) - t.logCost) / t.costSamples
 }
 
-// typicalCost is the geometric mean, which few long items don't carry away.
-func (p *pace) typicalCost() float64 { return math.Exp(p.logCost) }
+// typicalCost returns the geometric mean of recent costs, which a few long items hardly shift.
+func (t *throughput) typicalCost() float64 { return math.Exp(t.logCost) }
 
-// longCost is the cost from which an item is long.
-func (p *pace) longCost() float64 { return longFactor * p.typicalCost() }
+// longCost returns the cost from which an item is long.
+func (t *throughput) longCost() float64 { return longCostFactor * t.typicalCost() }
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -14,11 +14,12 @@
 
 var start = time.Unix(1000, 0).UTC()
 
-func item(org string, value string) Item[string] {
+func newItem(org string, value string) Item[string] {
 	return Item[string]{Organisation: org, Weight: 1, Cost: 1, Value: value}
 }
 
-func drain(q *Queue[string], now time.Time) []string {
+// popAll pops items until the queue returns none, and returns their values.
+func popAll(q *Queue[string], now time.Time) []string {
 	var out []string
 	for {
 		next, ok := q.Pop(now)
@@ -36,12 +37,12 @@
 		want  []string
 	}{
 		{
-			name:  "a flood of one organisation leaves every other turn to another",
-			items: []Item[string]{item("a", "a1"), item("a", "a2"), item("a", "a3"), item("b", "b1"), item("b", "b2")},
+			name:  "two organisations alternate though one sends more",
+			items: []Item[string]{newItem("a", "a1"), newItem("a", "a2"), newItem("a", "a3"), newItem("b", "b1"), newItem("b", "b2")},
 			want:  []string{"a1", "b1", "a2", "b2", "a3"},
 		},
 		{
-			name: "weights",
+			name: "turns are in proportion to weights",
 			items: []Item[string]{
 				{Organisation: "a", Weight: 2, Value: "a1"}, {Organisation: "a", Weight: 2, Value: "a2"},
 				{Organisation: "a", Weight: 2, Value: "a3"}, {Organisation: "b", Weight: 1, Value: "b1"},
@@ -50,15 +51,15 @@
 			want: []string{"a1", "b1", "a2", "a3", "b2"},
 		},
 		{
-			name: "a long item uses its organisation's turns up",
+			name: "a long item uses up its organisation's turns",
 			items: []Item[string]{
-				{Organisation: "a", Cost: 3, Value: "a1"}, item("a", "a2"),
-				item("b", "b1"), item("b", "b2"), item("b", "b3"),
+				{Organisation: "a", Cost: 3, Value: "a1"}, newItem("a", "a2"),
+				newItem("b", "b1"), newItem("b", "b2"), newItem("b", "b3"),
 			},
 			want: []string{"a1", "b1", "b2", "b3", "a2"},
 		},
 		{
-			name: "priorities within an organisation",
+			name: "a higher priority goes first within an organisation",
 			items: []Item[string]{
 				{Organisation: "a", Priority: request.PriorityBulk, Value: "bulk"},
 				{Organisation: "a", Priority: request.PriorityInteractive, Value: "interactive"},
@@ -82,35 +83,35 @@
 					t.Fatal(err)
 				}
 			}
-			if diff := cmp.Diff(tt.want, drain(q, start)); diff != "" {
+			if diff := cmp.Diff(tt.want, popAll(q, start)); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// One organisation fills an agent's queue to its bound; then a call of another organisation comes.
-// With first come first served it is refused, though its organisation has nothing in the queue. The
-// newest call of the organisation with the most work must make room, and be told "not run".
-func TestFullQueueMakesRoom(t *testing.T) {
+// Guards against an organisation that fills an agent's queue and so shuts out the others: first come, first served
+// would refuse a call of another organisation that has nothing in the queue. The newest call of the organisation
+// with the most work must be evicted, and its further calls refused as not run.
+func TestFullQueueEvictsFromLargestOrganisation(t *testing.T) {
 	q := New[string](WithBounds(10, 3))
 	for _, value := range []string{"a1", "a2", "a3"} {
-		if err := q.Push(start, item("a", value)); err != nil {
+		if err := q.Push(start, newItem("a", value)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	refusal, ok := verdict.As(q.Push(start, item("a", "a4")))
+	refusal, ok := verdict.As(q.Push(start, newItem("a", "a4")))
 	if !ok || refusal.Verdict != verdict.NotRun || refusal.RetryAfter <= 0 {
-		t.Errorf("the flooding organisation got %v", refusal)
+		t.Errorf("the organisation that filled the queue got %v", refusal)
 	}
-	if err := q.Push(start, item("b", "b1")); err != nil {
+	if err := q.Push(start, newItem("b", "b1")); err != nil {
 		t.Fatalf("the other organisation was refused: %v", err)
 	}
-	lost := q.Expire(start)
-	if len(lost) != 1 || lost[0].Value != "a3" {
-		t.Errorf("lost %v, want a3", lost)
+	evicted := q.Expire(start)
+	if len(evicted) != 1 || evicted[0].Value != "a3" {
+		t.Errorf("evicted %v, want a3", evicted)
 	}
-	if diff := cmp.Diff([]string{"a1", "b1", "a2"}, drain(q, start)); diff != "" {
+	if diff := cmp.Diff([]string{"a1", "b1", "a2"}, popAll(q, start)); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -133,43 +134,43 @@
 	}
 }
 
-// Calls of a second share a server with jobs of minutes. Once jobs hold all slots a short call waits
-// for minutes, however early its turn is, because a running job isn't interrupted. While short
-// calls come, long ones must leave them a quarter of the slots.
-func TestLongItemsLeaveSlots(t *testing.T) {
+// Guards against short calls that wait behind long jobs. Calls of a second share a server with jobs of minutes, and
+// a running job isn't interrupted, so once jobs hold all slots a short call waits for minutes however early its
+// turn is. While short calls arrive, long ones must leave them a quarter of the slots.
+func TestLongItemsLeaveSlotsToShortOnes(t *testing.T) {
 	q := New[string](WithSlots(func() int { return 4 }))
 	for i := range 20 {
-		if err := q.Push(start, item("short", fmt.Sprint(i))); err != nil {
+		if err := q.Push(start, newItem("short", fmt.Sprint(i))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	drain(q, start)
+	popAll(q, start)
 	for range 4 {
 		if err := q.Push(start, Item[string]{Organisation: "long", Cost: 500, Value: "long"}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := len(drain(q, start)); got != 3 {
+	if got := len(popAll(q, start)); got != 3 {
 		t.Errorf("%d long items took slots, want 3", got)
 	}
-	if err := q.Push(start, item("short", "late")); err != nil {
+	if err := q.Push(start, newItem("short", "late")); err != nil {
 		t.Fatal(err)
 	}
 	if got, ok := q.Pop(start); !ok || got.Value != "late" {
 		t.Errorf("popped %v, want the short item", got.Value)
 	}
-	if _, ok := q.Pop(start.Add(shortMemory + time.Second)); !ok {
-		t.Error("the slots stay empty though no short item comes any more")
+	if _, ok := q.Pop(start.Add(shortSlotHold + time.Second)); !ok {
+		t.Error("slots stay reserved though short items no longer arrive")
 	}
 }
 
-// An organisation has jobs of minutes in the queue and asks for a short call. The call would overtake
-// the jobs, yet counted behind them it can't make its deadline, and is refused though a slot is free.
+// Guards against a short call refused for its organisation's queued jobs of minutes. The call would overtake the
+// jobs, but if it were counted behind them it would miss its deadline and be refused although a slot is free.
 func TestLongItemsDontRefuseShortOnes(t *testing.T) {
 	q := New[string](WithSlots(func() int { return 4 }))
 	now := start
 	for range 20 {
-		if err := q.Push(now, item("a", "short")); err != nil {
+		if err := q.Push(now, newItem("a", "short")); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -182,17 +183,17 @@
 			t.Fatal(err)
 		}
 	}
-	drain(q, now)
+	popAll(q, now)
 	if err := q.Push(now, Item[string]{Organisation: "a", Cost: 1, Deadline: now.Add(10 * time.Second)}); err != nil {
 		t.Errorf("refused: %v", err)
 	}
 }
 
-func TestWaitFollowsPace(t *testing.T) {
+func TestWaitFollowsThroughput(t *testing.T) {
 	q := New[string]()
 	now := start
 	for i := range 40 {
-		if err := q.Push(now, item("a", fmt.Sprint(i))); err != nil {
+		if err := q.Push(now, newItem("a", fmt.Sprint(i))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -201,41 +202,42 @@
 		q.Pop(now)
 	}
 	if got := q.Wait(now, "a", 1).Round(time.Millisecond); got != 2*time.Second {
-		t.Errorf("20 items at 10 a second: wait %v, want 2s", got)
+		t.Errorf("20 items at 10 per second: wait %v, want 2s", got)
 	}
 	if got := q.Wait(now, "b", 1).Round(time.Millisecond); got != 100*time.Millisecond {
 		t.Errorf("another organisation waits %v, want one turn of 100ms", got)
 	}
 }
 
-// A server stands still for 4 s with all slots taken while a call waits, and works on. A minute later, of eight calls at once the last
-// are refused with 429 for a wait of seconds, though a call takes 60 ms. Cause: the pace of the queue is measured only
-// while calls wait, so that the stall is all it knows, however long ago. A server that stays slow must still refuse.
-func TestStallIsOutlived(t *testing.T) {
+// Guards against refusals caused by a stall that is long over. A server stalls for 4 s with all slots taken while a
+// call waits. A minute later, the last of eight simultaneous calls were refused with 429 for an estimated wait of
+// seconds, though a call takes 60 ms: throughput is measured only while calls wait, so the stall was all that had
+// been measured. A server that stays slow must still refuse.
+func TestWaitRecoversAfterStall(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		slots   int
 		service time.Duration
 		refused bool
 	}{
-		{name: "the server works on", slots: 4, service: 60 * time.Millisecond},
-		{name: "the server works on with fewer slots than calls that wait", slots: 2, service: 60 * time.Millisecond},
+		{name: "the server recovers", slots: 4, service: 60 * time.Millisecond},
+		{name: "the server recovers with fewer slots than waiting calls", slots: 2, service: 60 * time.Millisecond},
 		{name: "the server stays slow", slots: 4, service: 4 * time.Second, refused: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			q := New[string](WithSlots(func() int { return test.slots }), WithServiceTime(func(float64) time.Duration { return test.service }))
-			if err := serve(q, start, test.slots+1, 4*time.Second); err != nil {
+			if err := simulateCalls(q, start, test.slots+1, 4*time.Second); err != nil {
 				t.Fatalf("before the stall: %v", err)
 			}
-			if err := serve(q, start.Add(time.Minute), 8, test.service); (err != nil) != test.refused {
+			if err := simulateCalls(q, start.Add(time.Minute), 8, test.service); (err != nil) != test.refused {
 				t.Errorf("refused: %v", err)
 			}
 		})
 	}
 }
 
-// serve lets calls arrive at once at a server, each of which takes so long, and returns the refusal of the last.
-func serve(q *Queue[string], now time.Time, calls int, each time.Duration) error {
+// simulateCalls pushes calls that arrive at once, runs each accepted one for serviceTime, and returns the error of the last Push.
+func simulateCalls(q *Queue[string], now time.Time, calls int, serviceTime time.Duration) error {
 	var refusal error
 	var running []Item[string]
 	for range calls {
@@ -246,7 +248,7 @@
 		}
 	}
 	for len(running) > 0 {
-		now = now.Add(each)
+		now = now.Add(serviceTime)
 		for range len(running) {
 			q.Finished(running[0])
 			running = running[1:]
@@ -258,7 +260,7 @@
 	return refusal
 }
 
-// TestEveryItemLeavesOnce drives a queue at random: each item accepted leaves by exactly one way.
+// TestEveryItemLeavesOnce applies random operations to a queue: each accepted item must be returned exactly once.
 func TestEveryItemLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New[int](WithBounds(5, 12))
@@ -267,7 +269,7 @@
 		leave := func(items ...Item[int]) {
 			for _, out := range items {
 				if left[out.Value] || !accepted[out.Value] {
-					t.Fatalf("item %d left twice or was never accepted", out.Value)
+					t.Fatalf("item %d was returned twice or never accepted", out.Value)
 				}
 				left[out.Value] = true
 			}
@@ -299,7 +301,7 @@
 		}
 		for value, ok := range accepted {
 			if ok && !left[value] {
-				t.Fatalf("item %d was accepted and never left", value)
+				t.Fatalf("item %d was accepted but never returned", value)
 			}
 		}
 	})
@@ -331,21 +333,22 @@
 	}
 }
 
-// Guards against calls refused for a wait of seconds by an agent that was cut off while its slots were busy: the item that ended first tells that
-// the server works again, while the age of the others still tells of the pause.
-func TestAPauseIsOverOnceAnItemEnds(t *testing.T) {
-	const service, pause, patience = 50 * time.Millisecond, 2611 * time.Millisecond, 10 * time.Second
-	at := start
+// Guards against an agent that was cut off while its slots were busy and then refuses calls for an estimated wait of
+// seconds. The first item that finishes shows that the server works again, although the age of the other running
+// items still includes the pause.
+func TestWaitRecoversOnceAnItemFinishes(t *testing.T) {
+	const service, pause, timeout = 50 * time.Millisecond, 2611 * time.Millisecond, 10 * time.Second
+	now := start
 	q := New[int](WithSlots(func() int { return 2 }), WithServiceTime(func(float64) time.Duration { return service }))
 	push := func(organisation string) error {
-		return q.Push(at, Item[int]{Organisation: organisation, Cost: 1, Deadline: at.Add(patience)})
+		return q.Push(now, Item[int]{Organisation: organisation, Cost: 1, Deadline: now.Add(timeout)})
 	}
 	var running []Item[int]
 	for range 2 {
 		if err := push("a"); err != nil {
 			t.Fatal(err)
 		}
-		item, _ := q.Pop(at)
+		item, _ := q.Pop(now)
 		running = append(running, item)
 	}
 	for _, organisation := range []string{"a", "b"} {
@@ -353,13 +356,13 @@
 			t.Fatal(err)
 		}
 	}
-	at = at.Add(pause)
+	now = now.Add(pause)
 	q.Finished(running[0])
-	if _, ok := q.Pop(at); !ok {
+	if _, ok := q.Pop(now); !ok {
 		t.Fatal("nothing started after the pause")
 	}
-	at = at.Add(time.Millisecond)
+	now = now.Add(time.Millisecond)
 	if err := push("c"); err != nil {
-		t.Errorf("refused %v after the pause: %v", time.Millisecond, err)
+		t.Errorf("refused %v after the first item started: %v", time.Millisecond, err)
 	}
 }
