--- a/internal/core/admission/bucket.go
+++ b/internal/core/admission/bucket.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// bucket is a token bucket whose refusals queue up in time.
+// bucket is a token bucket that gives refused requests retry times one after the other.
 type bucket struct {
+	// rate is in tokens per second; burst is the most tokens that the bucket holds.
 	rate   float64
 	burst  float64
 	tokens float64
-	at     time.Time
-	// promised is until when the tokens to come are promised to requests refused before.
-	promised time.Time
+	// filled is when tokens was last updated.
+	filled time.Time
+	// scheduledUntil is the time until which future tokens are set aside for requests refused earlier.
+	scheduledUntil time.Time
 }
 
-// set changes rate and burst; a new bucket starts full.
-func (b *bucket) set(rate, burst float64) {
+// configure changes rate and burst; a new bucket starts full.
+func (b *bucket) configure(rate, burst float64) {
 	if b.burst == 0 {
 		b.tokens = burst
 	}
@@ -21,38 +23,40 @@
 	b.tokens = min(b.tokens, burst)
 }
 
-func (b *bucket) fill(now time.Time) {
-	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 && !b.at.IsZero() {
+func (b *bucket) refill(now time.Time) {
+	if elapsed := now.Sub(b.filled).Seconds(); elapsed > 0 && !b.filled.IsZero() {
 		b.tokens = min(b.burst, b.tokens+elapsed*b.rate)
 	}
-	b.at = now
+	b.filled = now
 }
 
-// has says whether a request may take tokens. A cost above the burst needs a full bucket and takes it
-// into debt, else it could never pass.
-func (b *bucket) has(cost, reserve float64) bool {
+// canTake reports whether a request may take cost tokens and leave reserve in the bucket. A cost above the burst
+// needs a full bucket and makes its balance negative; otherwise it could never be admitted.
+func (b *bucket) canTake(cost, reserve float64) bool {
 	return b.tokens >= min(cost, b.burst-reserve)+reserve
 }
 
 func (b *bucket) take(cost float64) { b.tokens -= cost }
 
-// promise returns the time until the tokens will be there, behind all requests promised before.
-func (b *bucket) promise(now time.Time, cost float64) time.Duration {
+// scheduleRetry returns the time until the tokens for a refused request will be available, after those set aside
+// for requests refused earlier; at most maxRetryAfter.
+func (b *bucket) scheduleRetry(now time.Time, cost float64) time.Duration {
 	if b.rate <= 0 {
 		return maxRetryAfter
 	}
-	lack := max(0, min(cost, b.burst)-b.tokens)
-	if first := now.Add(seconds(lack / b.rate)); b.promised.Before(first) {
-		b.promised = first
+	missing := max(0, min(cost, b.burst)-b.tokens)
+	if earliest := now.Add(seconds(missing / b.rate)); b.scheduledUntil.Before(earliest) {
+		b.scheduledUntil = earliest
 	} else {
-		b.promised = b.promised.Add(seconds(cost / b.rate))
+		b.scheduledUntil = b.scheduledUntil.Add(seconds(cost / b.rate))
 	}
-	if limit := now.Add(maxRetryAfter); b.promised.After(limit) {
-		b.promised = limit
+	if latest := now.Add(maxRetryAfter); b.scheduledUntil.After(latest) {
+		b.scheduledUntil = latest
 	}
-	return b.promised.Sub(now)
+	return b.scheduledUntil.Sub(now)
 }
 
+// seconds converts seconds to a duration of at most maxRetryAfter.
 func seconds(s float64) time.Duration {
 	return time.Duration(min(s, maxRetryAfter.Seconds()) * float64(time.Second))
 }
--- a/internal/core/admission/controller.go
+++ b/internal/core/admission/controller.go
@@ -8,22 +8,24 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// leastBurst lets each key of an organisation find a token at an entry, however many entries share the limit.
 const (
-	leastBurst = 2
-	// rateBurst is the burst of a limit without one, in seconds of its rate.
-	rateBurst = 4
+	// minBurst is the smallest burst of a rate limit at an entry. It lets each key of an organisation find a token,
+	// however many entries share the limit.
+	minBurst = 2
+	// defaultBurstSeconds is the burst of a rate limit that sets none, in seconds of its rate.
+	defaultBurstSeconds = 4
 )
 
-// Option changes a Controller.
+// Option configures a Controller.
 type Option func(*Controller)
 
-// WithoutShares leaves the fair shares to the agents.
-func WithoutShares() Option {
-	return func(c *Controller) { c.shares = false }
+// WithoutFairShares disables the fair-share check and leaves fairness to the agents.
+func WithoutFairShares() Option {
+	return func(c *Controller) { c.fairShares = false }
 }
 
-// limits are the configured figures of an organisation at this entry.
+// limits holds the configured weight and rate limit of an organisation at this entry. The rate is in requests per
+// second, 0 for no limit; the burst is in requests.
 type limits struct {
 	weight float64
 	rate   float64
@@ -32,33 +34,33 @@
 
 // Controller admits or refuses requests. It is safe for concurrent use.
 type Controller struct {
-	mu     sync.Mutex
-	shares bool
-	limits map[string]limits
-	pools  map[string]*pool
+	mu         sync.Mutex
+	fairShares bool
+	limits     map[string]limits
+	pools      map[string]*pool
 }
 
 // New returns a controller that admits everything until it is configured and has seen load.
 func New(opts ...Option) *Controller {
-	c := &Controller{shares: true, limits: map[string]limits{}, pools: map[string]*pool{}}
+	c := &Controller{fairShares: true, limits: map[string]limits{}, pools: map[string]*pool{}}
 	for _, opt := range opts {
 		opt(c)
 	}
 	return c
 }
 
-// Configure sets the organisations' weights and limits and the number of live entries that share them.
+// Configure sets the organisations' weights and limits, and the number of live entries among which the limits are divided.
 func (c *Controller) Configure(orgs []ticket.Organisation, entries int) {
-	parts := float64(max(1, entries))
+	divisor := float64(max(1, entries))
 	configured := make(map[string]limits, len(orgs))
 	for _, org := range orgs {
-		l := limits{weight: 1, rate: org.RequestsPerSecond / parts}
+		l := limits{weight: 1, rate: org.RequestsPerSecond / divisor}
 		if org.Weight > 0 {
 			l.weight = org.Weight
 		}
-		l.burst = max(float64(org.Burst)/parts, leastBurst)
+		l.burst = max(float64(org.Burst)/divisor, minBurst)
 		if org.Burst == 0 {
-			l.burst = max(l.rate*rateBurst, leastBurst)
+			l.burst = max(l.rate*defaultBurstSeconds, minBurst)
 		}
 		configured[org.Name] = l
 	}
@@ -66,121 +68,124 @@
 	defer c.mu.Unlock()
 	c.limits = configured
 	for _, p := range c.pools {
-		for name, m := range p.members {
-			c.apply(m, name)
+		for name, o := range p.organisations {
+			c.applyLimits(o, name)
 		}
 	}
 }
 
-// apply sets a member's figures; an organisation that isn't configured has weight 1 and no limit.
-func (c *Controller) apply(m *member, organisation string) {
-	l, ok := c.limits[organisation]
+// applyLimits sets an organisation's weight and rate limit; one that isn't configured has weight 1 and no limit.
+func (c *Controller) applyLimits(o *organisation, name string) {
+	l, ok := c.limits[name]
 	if !ok {
 		l = limits{weight: 1}
 	}
-	m.weight = l.weight
-	m.rate.set(l.rate, l.burst)
+	o.weight = l.weight
+	o.rate.configure(l.rate, l.burst)
 }
 
-// Admit returns nil, or a *verdict.Refusal with NotRun and the time to come back.
-// Done must follow each nil.
-func (c *Controller) Admit(now time.Time, ask Ask) error {
+// Admit returns nil, or a *verdict.Refusal with NotRun and the time after which to retry.
+// Each nil must be followed by a call of Done.
+func (c *Controller) Admit(now time.Time, request Ask) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cost := positive(ask.Cost)
-	p := c.pool(now, ask.Pool)
-	m := c.member(p, ask.Organisation)
-	m.offered += cost
-	m.keys.ask(now, ask.KeyHash, 0)
-	if err := m.checkDeadline(now, ask, cost); err != nil {
+	cost := positiveOrOne(request.Cost)
+	p := c.pool(now, request.Pool)
+	o := c.organisation(p, request.Organisation)
+	o.offered += cost
+	o.keys.record(now, request.KeyHash, 0)
+	if err := o.checkDeadline(now, request, cost); err != nil {
 		return err
 	}
-	limited := c.shares && p.full && m.limited
-	if err := m.check(now, ask, cost, limited); err != nil {
+	limited := c.fairShares && p.full && o.limited
+	if err := o.takeTokens(now, request, cost, limited); err != nil {
 		return err
 	}
-	m.keys.ask(now, ask.KeyHash, cost)
+	o.keys.record(now, request.KeyHash, cost)
 	return nil
 }
 
-func positive(cost float64) float64 {
+func positiveOrOne(cost float64) float64 {
 	if cost > 0 {
 		return cost
 	}
 	return 1
 }
 
+// pool returns the named pool, creating it if needed, after ending its window if that is over.
 func (c *Controller) pool(now time.Time, name string) *pool {
 	p, ok := c.pools[name]
 	if !ok {
-		p = &pool{members: map[string]*member{}}
+		p = &pool{organisations: map[string]*organisation{}}
 		c.pools[name] = p
 	}
-	p.roll(now)
+	p.rollWindow(now)
 	return p
 }
 
-func (c *Controller) member(p *pool, organisation string) *member {
-	m, ok := p.members[organisation]
+// organisation returns the state of the named organisation at the pool, creating it if needed.
+func (c *Controller) organisation(p *pool, name string) *organisation {
+	o, ok := p.organisations[name]
 	if !ok {
-		m = &member{}
-		c.apply(m, organisation)
-		p.members[organisation] = m
+		o = &organisation{}
+		c.applyLimits(o, name)
+		p.organisations[name] = o
 	}
-	return m
+	return o
 }
 
-// checkDeadline refuses when not even the fastest request of late made it in what remains.
-func (m *member) checkDeadline(now time.Time, ask Ask, cost float64) error {
-	if ask.Remaining <= 0 {
+// checkDeadline refuses a request if even the fastest recent request took longer than the time that remains.
+func (o *organisation) checkDeadline(now time.Time, request Ask, cost float64) error {
+	if request.Remaining <= 0 {
 		return nil
 	}
-	least, known := m.fastest[costClass(cost)].least(now)
-	if !known || least <= ask.Remaining {
+	fastest, known := o.minLatency[costClass(cost)].value(now)
+	if !known || fastest <= request.Remaining {
 		return nil
 	}
 	return verdict.Refuse(verdict.NotRun, verdict.ReasonDeadlineUnreachable,
-		min(least-ask.Remaining, maxRetryAfter),
-		"requests take at least %v at present and %v remain", least.Round(time.Millisecond), ask.Remaining.Round(time.Millisecond))
+		min(fastest-request.Remaining, maxRetryAfter),
+		"requests take at least %v at present and %v remain", fastest.Round(time.Millisecond), request.Remaining.Round(time.Millisecond))
 }
 
-// check takes tokens for the request from the rate and, if the organisation is limited, its share.
-func (m *member) check(now time.Time, ask Ask, cost float64, limited bool) error {
-	if m.rate.rate > 0 {
-		m.rate.fill(now)
-		if !m.rate.has(1, m.keys.reserve(now, ask.KeyHash, m.rate.burst)) {
-			return refuse(verdict.ReasonRateLimited, m.rate.promise(now, 1), "the organisation's rate limit is reached")
+// takeTokens takes tokens for the request from the rate limit and, if limited is set, from the fair share. It
+// refuses the request and takes none if either has too few.
+func (o *organisation) takeTokens(now time.Time, request Ask, cost float64, limited bool) error {
+	if o.rate.rate > 0 {
+		o.rate.refill(now)
+		if !o.rate.canTake(1, o.keys.reserve(now, request.KeyHash, o.rate.burst)) {
+			return refuse(verdict.ReasonRateLimited, o.rate.scheduleRetry(now, 1), "the organisation's rate limit is reached")
 		}
 	}
 	if limited {
-		m.share.fill(now)
-		if !m.share.has(cost, m.keys.reserve(now, ask.KeyHash, m.share.burst)) {
-			return refuse(verdict.ReasonOverloaded, m.share.promise(now, cost), "the pool is full and the organisation has its share")
+		o.share.refill(now)
+		if !o.share.canTake(cost, o.keys.reserve(now, request.KeyHash, o.share.burst)) {
+			return refuse(verdict.ReasonOverloaded, o.share.scheduleRetry(now, cost), "the pool is full and the organisation has used its share")
 		}
-		m.share.take(cost)
+		o.share.take(cost)
 	}
-	if m.rate.rate > 0 {
-		m.rate.take(1)
+	if o.rate.rate > 0 {
+		o.rate.take(1)
 	}
 	return nil
 }
 
-func refuse(reason verdict.Reason, after time.Duration, detail string) error {
-	return verdict.Refuse(verdict.NotRun, reason, after, "%s", detail)
+func refuse(reason verdict.Reason, retryAfter time.Duration, detail string) error {
+	return verdict.Refuse(verdict.NotRun, reason, retryAfter, "%s", detail)
 }
 
 // Done reports the end of an admitted request: how long it took, and whether the pool refused it for
-// want of capacity.
-func (c *Controller) Done(now time.Time, ask Ask, took time.Duration, refused bool) {
+// lack of capacity.
+func (c *Controller) Done(now time.Time, request Ask, took time.Duration, refused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.pool(now, ask.Pool)
+	p := c.pool(now, request.Pool)
 	p.finished++
 	if refused {
 		p.refused++
 		return
 	}
-	cost := positive(ask.Cost)
+	cost := positiveOrOne(request.Cost)
 	p.served += cost
-	c.member(p, ask.Organisation).fastest[costClass(cost)].learn(now, took)
+	c.organisation(p, request.Organisation).minLatency[costClass(cost)].observe(now, took)
 }
--- a/internal/core/admission/controller_test.go
+++ b/internal/core/admission/controller_test.go
@@ -15,22 +15,22 @@
 
 func TestDivide(t *testing.T) {
 	tests := []struct {
-		name    string
-		claims  []*claim
-		parts   []float64
-		limited []bool
+		name          string
+		claims        []*claim
+		wantAllocated []float64
+		limited       []bool
 	}{
 		{
-			name:    "an unused share goes to the others",
-			claims:  []*claim{{weight: 1, demand: 10}, {weight: 1, demand: 100}, {weight: 1, demand: 100}},
-			parts:   []float64{30, 40, 40},
-			limited: []bool{false, true, true},
+			name:          "an unused share goes to the others",
+			claims:        []*claim{{weight: 1, demand: 10}, {weight: 1, demand: 100}, {weight: 1, demand: 100}},
+			wantAllocated: []float64{30, 40, 40},
+			limited:       []bool{false, true, true},
 		},
 		{
-			name:    "weights",
-			claims:  []*claim{{weight: 2, demand: 100}, {weight: 1, demand: 100}},
-			parts:   []float64{60, 30},
-			limited: []bool{true, true},
+			name:          "capacity is divided in proportion to weights",
+			claims:        []*claim{{weight: 2, demand: 100}, {weight: 1, demand: 100}},
+			wantAllocated: []float64{60, 30},
+			limited:       []bool{true, true},
 		},
 	}
 	for _, tt := range tests {
@@ -38,17 +38,18 @@
 			capacity := 90.0
 			divide(capacity, tt.claims)
 			for i, c := range tt.claims {
-				if c.part != tt.parts[i] || c.limited != tt.limited[i] {
-					t.Errorf("claim %d got %v, limited %v", i, c.part, c.limited)
+				if c.allocated != tt.wantAllocated[i] || c.limited != tt.limited[i] {
+					t.Errorf("claim %d got %v, limited %v", i, c.allocated, c.limited)
 				}
 			}
 		})
 	}
 }
 
-// An organisation with a limit of one request a second sends five at once. If all are told the same
-// time, they come back together and four are refused again. Each must be told its own.
-func TestRefusedComeBackOneByOne(t *testing.T) {
+// Guards against refused requests that all retry at the same time. An organisation whose limit at
+// this entry is one request a second with a burst of two sends five at once, and three are refused. If all three were
+// told the same time, they would return together and two would be refused again. Each must be told its own.
+func TestRefusedRequestsRetryOneByOne(t *testing.T) {
 	c := New()
 	c.Configure([]ticket.Organisation{{Name: "a", RequestsPerSecond: 2, Burst: 4}}, 2)
 	var got []time.Duration
@@ -65,17 +66,17 @@
 		t.Error(diff)
 	}
 	if err := c.Admit(start.Add(time.Second), Ask{Organisation: "a", Pool: "p"}); err != nil {
-		t.Errorf("refused at the time it was told: %v", err)
+		t.Errorf("refused at its retry time: %v", err)
 	}
 	if err := c.Admit(start, Ask{Organisation: "b", Pool: "p"}); err != nil {
 		t.Errorf("another organisation was refused: %v", err)
 	}
 }
 
-// One key of an organisation sends a hundred requests a second and uses up the organisation's limit
-// of ten; another key's caller sends one a second. It must be admitted each time but the first: until
-// then nothing was known of the key, and the bucket was empty.
-func TestHotKey(t *testing.T) {
+// Guards against a hot key that uses up its organisation's limit. One key sends a hundred requests a second under a
+// limit of ten; a caller with another key sends one a second. The latter must be admitted every time but the first,
+// when its key was unknown and the bucket was empty.
+func TestHotKeyLeavesRoomForOthers(t *testing.T) {
 	c := New()
 	c.Configure([]ticket.Organisation{{Name: "a", RequestsPerSecond: 10}}, 1)
 	hot, cold := 0, 0
@@ -92,12 +93,12 @@
 		t.Errorf("%d of 20 requests of the cold key were admitted", cold)
 	}
 	if hot < 150 {
-		t.Errorf("the hot key got %d of about 190 requests left", hot)
+		t.Errorf("the hot key got %d of about 190 remaining requests", hot)
 	}
 }
 
-// A pool can do 100 requests a second and refuses the rest. One organisation offers 1,000, another
-// 20. The first must be refused at the entry, the second not at all.
+// A pool serves 100 requests a second and refuses the rest. One organisation sends 1,000, another 20. The first
+// must be refused at the entry, the second not at all.
 func TestFairShareWhenFull(t *testing.T) {
 	c := New()
 	c.Configure([]ticket.Organisation{{Name: "hot"}, {Name: "modest"}}, 1)
@@ -107,17 +108,17 @@
 			served = 0
 		}
 		now := start.Add(time.Duration(i) * time.Millisecond)
-		ask := Ask{Organisation: "hot", Pool: "p"}
+		request := Ask{Organisation: "hot", Pool: "p"}
 		if i%50 == 0 {
-			ask.Organisation = "modest"
+			request.Organisation = "modest"
 		}
-		err := c.Admit(now, ask)
+		err := c.Admit(now, request)
 		if err == nil {
 			served++
-			c.Done(now, ask, time.Second, served > 10)
+			c.Done(now, request, time.Second, served > 10)
 			continue
 		}
-		if ask.Organisation == "hot" {
+		if request.Organisation == "hot" {
 			refusedHot++
 		} else {
 			refusedModest++
@@ -131,24 +132,24 @@
 	}
 }
 
-func TestDeadlineFromBacklog(t *testing.T) {
+func TestDeadlineBelowRecentLatencies(t *testing.T) {
 	c := New()
-	ask := Ask{Organisation: "a", Pool: "p", Cost: 1, Remaining: time.Second}
-	for i := range leastFinished {
-		if err := c.Admit(start, ask); err != nil {
-			t.Fatalf("refused before anything is known: %v", err)
+	request := Ask{Organisation: "a", Pool: "p", Cost: 1, Remaining: time.Second}
+	for i := range minLatencySamples {
+		if err := c.Admit(start, request); err != nil {
+			t.Fatalf("refused before any latency is known: %v", err)
 		}
-		c.Done(start, ask, time.Duration(3+i)*time.Second, false)
+		c.Done(start, request, time.Duration(3+i)*time.Second, false)
 	}
-	refusal, ok := verdict.As(c.Admit(start, ask))
+	refusal, ok := verdict.As(c.Admit(start, request))
 	if !ok || refusal.Reason != verdict.ReasonDeadlineUnreachable || refusal.RetryAfter != 2*time.Second {
 		t.Errorf("got %v", refusal)
 	}
 	if err := c.Admit(start, Ask{Organisation: "a", Pool: "p", Cost: 1, Remaining: 4 * time.Second}); err != nil {
-		t.Errorf("refused though others made it in that time: %v", err)
+		t.Errorf("refused although other requests finished in that time: %v", err)
 	}
-	if err := c.Admit(start.Add(2*fastestTime), ask); err != nil {
-		t.Errorf("refused by times that are long past: %v", err)
+	if err := c.Admit(start.Add(2*minLatencyPeriod), request); err != nil {
+		t.Errorf("refused because of outdated latencies: %v", err)
 	}
 }
 
@@ -156,15 +157,15 @@
 	for _, orgs := range []int{8, 100, 1000} {
 		b.Run(fmt.Sprintf("organisations=%d", orgs), func(b *testing.B) {
 			c := New()
-			asks := make([]Ask, orgs)
-			for i := range asks {
-				asks[i] = Ask{Organisation: fmt.Sprintf("org%d", i), Pool: "p", Cost: 1, KeyHash: "key", Remaining: time.Minute}
+			requests := make([]Ask, orgs)
+			for i := range requests {
+				requests[i] = Ask{Organisation: fmt.Sprintf("org%d", i), Pool: "p", Cost: 1, KeyHash: "key", Remaining: time.Minute}
 			}
 			for i := 0; b.Loop(); i++ {
 				now := start.Add(time.Duration(i) * time.Millisecond)
-				ask := asks[i%orgs]
-				if c.Admit(now, ask) == nil {
-					c.Done(now, ask, time.Second, i%3 == 0)
+				request := requests[i%orgs]
+				if c.Admit(now, request) == nil {
+					c.Done(now, request, time.Second, i%3 == 0)
 				}
 			}
 		})
--- a/internal/core/admission/fastest.go
+++ b/internal/core/admission/fastest.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	// fastestTime is how long a time counts; then requests are let through again to measure.
-	fastestTime = 5 * time.Second
-	// leastFinished is how many requests must have finished to judge by them.
-	leastFinished = 8
-	costClasses   = 32
+	// minLatencyPeriod is the length of a measuring period. Latencies older than two periods are dropped, so that
+	// requests are admitted again to measure.
+	minLatencyPeriod = 5 * time.Second
+	// minLatencySamples is how many requests must have finished for the minimum to be used.
+	minLatencySamples = 8
+	costClasses       = 32
 )
 
-// fastest is the shortest time of a request in the current and the previous period.
-type fastest struct {
-	began    time.Time
-	now      time.Duration
-	before   time.Duration
-	finished int
-	earlier  int
+// minLatency is the lowest latency of a request in the current and the previous period.
+type minLatency struct {
+	periodStart     time.Time
+	current         time.Duration
+	previous        time.Duration
+	currentSamples  int
+	previousSamples int
 }
 
-// costClass is the power of two of a cost.
+// costClass returns the binary logarithm of a cost, rounded down and limited to the classes kept.
 func costClass(cost float64) int {
 	if cost <= 1 {
 		return 0
@@ -30,37 +31,38 @@
 	return min(int(math.Log2(cost)), costClasses-1)
 }
 
-func (f *fastest) roll(now time.Time) {
-	age := now.Sub(f.began)
-	if age < fastestTime {
+// rollPeriod starts a new period if the current one is over.
+func (m *minLatency) rollPeriod(now time.Time) {
+	age := now.Sub(m.periodStart)
+	if age < minLatencyPeriod {
 		return
 	}
-	if age < 2*fastestTime {
-		f.before, f.earlier = f.now, f.finished
+	if age < 2*minLatencyPeriod {
+		m.previous, m.previousSamples = m.current, m.currentSamples
 	} else {
-		f.before, f.earlier = 0, 0
+		m.previous, m.previousSamples = 0, 0
 	}
-	f.began, f.now, f.finished = now, 0, 0
+	m.periodStart, m.current, m.currentSamples = now, 0, 0
 }
 
-func (f *fastest) learn(now time.Time, took time.Duration) {
-	f.roll(now)
-	if f.finished == 0 || took < f.now {
-		f.now = took
+func (m *minLatency) observe(now time.Time, latency time.Duration) {
+	m.rollPeriod(now)
+	if m.currentSamples == 0 || latency < m.current {
+		m.current = latency
 	}
-	f.finished++
+	m.currentSamples++
 }
 
-// least returns the shortest time; false if too few requests finished of late.
-func (f *fastest) least(now time.Time) (time.Duration, bool) {
-	f.roll(now)
+// value returns the lowest latency; false if too few requests finished in both periods.
+func (m *minLatency) value(now time.Time) (time.Duration, bool) {
+	m.rollPeriod(now)
 	switch {
-	case f.finished+f.earlier < leastFinished:
+	case m.currentSamples+m.previousSamples < minLatencySamples:
 		return 0, false
-	case f.finished == 0:
-		return f.before, true
-	case f.earlier == 0:
-		return f.now, true
+	case m.currentSamples == 0:
+		return m.previous, true
+	case m.previousSamples == 0:
+		return m.current, true
 	}
-	return min(f.now, f.before), true
+	return min(m.current, m.previous), true
 }
--- a/internal/core/admission/keys.go
+++ b/internal/core/admission/keys.go
@@ -6,72 +6,72 @@
 )
 
 const (
-	// keyTime is how long the use of a key counts, and how long a key that asks is remembered.
-	keyTime = 10 * time.Second
-	// keysKept bounds the keys of an organisation that are told apart.
-	keysKept = 256
+	// keyWindow is the time constant with which the use of a key decays, and how long a key without requests is kept.
+	keyWindow = 10 * time.Second
+	// maxKeys bounds the number of keys of an organisation that are tracked separately.
+	maxKeys = 256
 	// keyReserve is the part of a bucket that a key above its equal part leaves to the others.
 	keyReserve = 0.5
 )
 
-// use is what a key used of late and when it asked last.
-type use struct {
-	amount float64
-	asked  time.Time
+// keyRecord holds the decayed cost admitted for a key, and when the key last sent a request.
+type keyRecord struct {
+	admitted    float64
+	lastRequest time.Time
 }
 
-// keyUse is how much the keys of an organisation used of late. It guards against one key that uses up
-// its organisation's limit: the other keys' callers would be refused without having done anything.
-// A key counts by asking, so that one that gets nothing isn't forgotten for it.
-type keyUse struct {
-	used  map[string]*use
-	total float64
-	at    time.Time
+// keyUsage tracks how much each key of an organisation has used recently, so that one key can't use up its
+// organisation's limit and have the callers with other keys refused. A key is counted from its first request, even
+// if none was admitted, so that a key that gets nothing isn't forgotten.
+type keyUsage struct {
+	keys    map[string]*keyRecord
+	total   float64
+	decayed time.Time
 }
 
-// fade lets earlier use count less.
-func (k *keyUse) fade(now time.Time) {
-	elapsed := now.Sub(k.at)
-	if elapsed < keyTime/10 {
+// decay lets earlier use count less and drops the keys without recent requests.
+func (k *keyUsage) decay(now time.Time) {
+	elapsed := now.Sub(k.decayed)
+	if elapsed < keyWindow/10 {
 		return
 	}
-	k.at = now
-	factor := math.Exp(-elapsed.Seconds() / keyTime.Seconds())
+	k.decayed = now
+	factor := math.Exp(-elapsed.Seconds() / keyWindow.Seconds())
 	k.total = 0
-	for key, u := range k.used {
-		if now.Sub(u.asked) > keyTime {
-			delete(k.used, key)
+	for key, record := range k.keys {
+		if now.Sub(record.lastRequest) > keyWindow {
+			delete(k.keys, key)
 			continue
 		}
-		u.amount *= factor
-		k.total += u.amount
+		record.admitted *= factor
+		k.total += record.admitted
 	}
 }
 
-// reserve is how much of a bucket the key leaves to the others.
-func (k *keyUse) reserve(now time.Time, key string, burst float64) float64 {
-	k.fade(now)
-	own := k.used[key]
-	if len(k.used) < 2 || own == nil || own.amount*float64(len(k.used)) <= k.total {
+// reserve returns how many tokens of a bucket the key must leave to the others.
+func (k *keyUsage) reserve(now time.Time, key string, burst float64) float64 {
+	k.decay(now)
+	own := k.keys[key]
+	if len(k.keys) < 2 || own == nil || own.admitted*float64(len(k.keys)) <= k.total {
 		return 0
 	}
 	return burst * keyReserve
 }
 
-// ask counts a key that asks, and the cost that was admitted for it.
-func (k *keyUse) ask(now time.Time, key string, cost float64) {
-	if k.used == nil {
-		k.used = map[string]*use{}
+// record counts a request of the key and the cost admitted for it, 0 while it isn't admitted.
+func (k *keyUsage) record(now time.Time, key string, cost float64) {
+	if k.keys == nil {
+		k.keys = map[string]*keyRecord{}
 	}
-	own, known := k.used[key]
+	own, known := k.keys[key]
 	if !known {
-		if len(k.used) >= keysKept {
+		if len(k.keys) >= maxKeys {
 			return
 		}
-		own = &use{}
-		k.used[key] = own
+		own = &keyRecord{}
+		k.keys[key] = own
 	}
-	own.asked = now
-	own.amount += cost
+	own.lastRequest = now
+	own.admitted += cost
 	k.total += cost
 }
--- a/internal/core/admission/turnedaway.go
+++ b/internal/core/admission/turnedaway.go
@@ -6,54 +6,55 @@
 )
 
 const (
-	// turnedAwayTime is over how long refused work is averaged: several rounds of the zone's decision, and
-	// well below a server's start-up time.
-	turnedAwayTime = 10 * time.Second
-	// A request's time holds its wait in the queue too, which grows when the pool is full. The estimate goes down
-	// fast and up slowly, which keeps it near the time of requests that hardly waited.
-	downShare = 0.5
-	upShare   = 0.02
+	// refusalWindow is the time over which refused work is averaged: it covers several rounds of the availability zone's
+	// scaling decision, and is well below a server's start-up time.
+	refusalWindow = 10 * time.Second
+	// A request's latency includes its wait in the queue, which grows when the pool is full. The run-time estimate
+	// follows lower latencies fast and higher ones slowly, so that it stays near that of requests that hardly waited.
+	decreaseSmoothing = 0.5
+	increaseSmoothing = 0.02
 )
 
-// TurnedAway measures the work that was refused for want of capacity, as the average number of requests that would
-// have been running: the rate of refusals times the time that a request runs (Little's law).
+// TurnedAway measures the work refused for lack of capacity as the average number of requests that would have
+// been running: the rate of refusals times the run time of a request (Little's law).
 //
-// Load pattern: a pool that is full refuses at the entries, so its agents never see the work. Without this measure the
-// zone's decision on servers sees a full pool with a short queue and orders too few.
+// Load pattern: a full pool refuses requests at the entries, so its agents never see that work. Without this
+// measure the availability zone's scaling decision would see a full pool with a short queue and order too few servers.
 //
 // It is safe for concurrent use.
 type TurnedAway struct {
 	mu    sync.Mutex
-	pools map[string]*turnedAway
+	pools map[string]*poolRefusals
 }
 
-type turnedAway struct {
-	took time.Duration
-	// refusals decays with turnedAwayTime.
+type poolRefusals struct {
+	// runTime is the estimated time that a request runs.
+	runTime time.Duration
+	// refusals is the number of refusals, decayed over refusalWindow.
 	refusals float64
-	at       time.Time
+	decayed  time.Time
 }
 
-// NewTurnedAway returns a measure that has seen nothing.
-func NewTurnedAway() *TurnedAway { return &TurnedAway{pools: map[string]*turnedAway{}} }
+// NewTurnedAway returns an empty measure.
+func NewTurnedAway() *TurnedAway { return &TurnedAway{pools: map[string]*poolRefusals{}} }
 
-// Served takes in the time of a request that was answered whole.
-func (t *TurnedAway) Served(pool string, took time.Duration) {
+// Served records the latency of a request that was answered in full.
+func (t *TurnedAway) Served(pool string, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.pool(pool)
-	if p.took == 0 {
-		p.took = took
+	if p.runTime == 0 {
+		p.runTime = latency
 		return
 	}
-	share := upShare
-	if took < p.took {
-		share = downShare
+	smoothing := increaseSmoothing
+	if latency < p.runTime {
+		smoothing = decreaseSmoothing
 	}
-	p.took += time.Duration(share * float64(took-p.took))
+	p.runTime += time.Duration(smoothing * float64(latency-p.runTime))
 }
 
-// Refused takes in a request that was refused for want of capacity.
+// Refused records a request that was refused for lack of capacity.
 func (t *TurnedAway) Refused(now time.Time, pool string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,32 +63,32 @@
 	p.refusals++
 }
 
-// Load returns the refused work of each pool that has any.
+// Load returns the refused work, in running requests, of each pool that has any.
 func (t *TurnedAway) Load(now time.Time) map[string]float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	loads := map[string]float64{}
 	for name, p := range t.pools {
 		p.decay(now)
-		if load := p.refusals / turnedAwayTime.Seconds() * p.took.Seconds(); load > 0 {
+		if load := p.refusals / refusalWindow.Seconds() * p.runTime.Seconds(); load > 0 {
 			loads[name] = load
 		}
 	}
 	return loads
 }
 
-func (t *TurnedAway) pool(name string) *turnedAway {
+func (t *TurnedAway) pool(name string) *poolRefusals {
 	p, ok := t.pools[name]
 	if !ok {
-		p = &turnedAway{}
+		p = &poolRefusals{}
 		t.pools[name] = p
 	}
 	return p
 }
 
-// decay lets refusals fade linearly, so that a pool without refusals for the whole time has none.
-func (p *turnedAway) decay(now time.Time) {
-	left := 1 - now.Sub(p.at).Seconds()/turnedAwayTime.Seconds()
+// decay reduces refusals in proportion to the time since the last call, to none after a whole window.
+func (p *poolRefusals) decay(now time.Time) {
+	left := 1 - now.Sub(p.decayed).Seconds()/refusalWindow.Seconds()
 	p.refusals *= min(max(left, 0), 1)
-	p.at = now
+	p.decayed = now
 }
--- a/internal/core/admission/turnedaway_test.go
+++ b/internal/core/admission/turnedaway_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A pool refuses work at a steady rate, and later none. The measure must come near rate times time while it lasts,
-// and be gone afterwards: servers would else be ordered for callers that have left.
+// A pool refuses work at a steady rate, and later none. The load must be near the rate times the run time during the
+// refusals, and zero after them; otherwise servers would be ordered for callers that have left.
 func TestTurnedAwayFollowsRefusals(t *testing.T) {
 	now := time.Unix(1000, 0)
 	measure := NewTurnedAway()
@@ -18,10 +18,10 @@
 		measure.Refused(now, "p")
 	}
 	want := float64(perSecond * 2)
-	if have := measure.Load(now)["p"]; math.Abs(have-want) > want/10 {
-		t.Errorf("load %.1f, want about %.1f", have, want)
+	if got := measure.Load(now)["p"]; math.Abs(got-want) > want/10 {
+		t.Errorf("load %.1f, want about %.1f", got, want)
 	}
-	if have := measure.Load(now.Add(turnedAwayTime)); len(have) != 0 {
-		t.Errorf("load %v after the refusals ended", have)
+	if got := measure.Load(now.Add(refusalWindow)); len(got) != 0 {
+		t.Errorf("load %v after the refusals ended", got)
 	}
 }
