--- a/internal/core/verdict/refusal.go
+++ b/internal/core/verdict/refusal.go
@@ -9,10 +9,10 @@
 	"github.com/pkg/errors"
 )
 
-// Reason is the camel-case code of a refusal, stable for programs.
+// Reason is the camel-case code of a refusal. Codes are stable, so that programs can rely on them.
 type Reason string
 
-// The reasons for which a request is refused.
+// The reasons for refusing a request.
 const (
 	ReasonBadRequest Reason = "badRequest"
 	ReasonTooLarge   Reason = "tooLarge"
@@ -24,59 +24,71 @@
 	ReasonNotFound     Reason = "notFound"
 	ReasonRateLimited  Reason = "rateLimited"
 	ReasonOverloaded   Reason = "overloaded"
-	// ReasonNoRoom: a bounded list is full, or another organisation has the better claim to the place.
-	ReasonNoRoom              Reason = "noRoom"
+	// ReasonNoRoom: a bounded list is full, or the queued request was evicted in favour of another organisation's.
+	ReasonNoRoom Reason = "noRoom"
+	// ReasonDeadlineUnreachable: the answer is not expected before the deadline.
 	ReasonDeadlineUnreachable Reason = "deadlineUnreachable"
 	ReasonDeadlinePassed      Reason = "deadlinePassed"
-	// ReasonNotReady: what a trainer waits for did not come in its time; the work goes on.
+	// ReasonNotReady: what a trainer asked for was not ready in time; the work goes on.
 	ReasonNotReady Reason = "notReady"
 	ReasonNoServer Reason = "noServer"
-	// ReasonWrongPool: the agent that was asked serves another pool.
-	ReasonWrongPool    Reason = "wrongPool"
-	ReasonLeaving      Reason = "leaving"
-	ReasonStaleView    Reason = "staleView"
-	ReasonIsolated     Reason = "isolated"
+	// ReasonWrongPool: the agent that received the request serves another pool.
+	ReasonWrongPool Reason = "wrongPool"
+	// ReasonLeaving: the process is shutting down, or its server is being drained.
+	ReasonLeaving Reason = "leaving"
+	// ReasonStaleView: the agent's configuration is older than the entry's.
+	ReasonStaleView Reason = "staleView"
+	// ReasonIsolated: the host could not confirm its configuration recently.
+	ReasonIsolated Reason = "isolated"
+	// ReasonServerLost: the connection to the agent or server could not be opened or was lost.
 	ReasonServerLost   Reason = "serverLost"
 	ReasonServerFailed Reason = "serverFailed"
-	// ReasonSamplesLost: no host holds the samples of a batch any more; they are made again.
+	// ReasonSamplesLost: no host holds the samples of a batch any longer; they are generated again.
 	ReasonSamplesLost Reason = "samplesLost"
-	// ReasonAnswerLost: a call under this idempotency key ran or may have, and its answer is not kept.
+	// ReasonAnswerLost: a call with this idempotency key ran or may have run, and its answer is not available.
 	ReasonAnswerLost Reason = "answerLost"
-	// ReasonAnswerTooLarge: the server's answer is longer than an entry holds.
+	// ReasonAnswerTooLarge: the server's answer is larger than an entry can hold.
 	ReasonAnswerTooLarge Reason = "answerTooLarge"
-	// ReasonUndelivered: the call ran, and its answer could not be handed on.
+	// ReasonUndelivered: the call ran, but its answer could not be passed on.
 	ReasonUndelivered Reason = "undelivered"
 	ReasonInProgress  Reason = "inProgress"
-	ReasonKeyReused   Reason = "idempotencyKeyReused"
-	ReasonFenced      Reason = "fenced"
-	ReasonCancelled   Reason = "cancelled"
+	// ReasonKeyReused: the idempotency key was used for another call.
+	ReasonKeyReused Reason = "idempotencyKeyReused"
+	// ReasonFenced: a newer fencing number or version was accepted, or the request is recorded as never to run (again).
+	ReasonFenced    Reason = "fenced"
+	ReasonCancelled Reason = "cancelled"
 	// ReasonCallerGone: the caller hung up, so nobody receives the refusal.
 	ReasonCallerGone          Reason = "callerGone"
 	ReasonPlatformUnavailable Reason = "platformUnavailable"
-	ReasonTicketEarly         Reason = "ticketEarly"
-	ReasonTicketTaken         Reason = "ticketTaken"
-	ReasonTicketUnsettled     Reason = "ticketUnsettled"
-	ReasonNotLeader           Reason = "notHolder"
-	ReasonStaleSample         Reason = "staleSample"
-	ReasonInternal            Reason = "internal"
-	// ReasonDefect: the program itself is at fault, as where it can't encode what it made.
+	// ReasonTicketEarly: a ticket with a lower number is still missing.
+	ReasonTicketEarly Reason = "ticketEarly"
+	// ReasonTicketTaken: the ticket number was used already, for other content as far as is known.
+	ReasonTicketTaken Reason = "ticketTaken"
+	// ReasonTicketUnsettled: the ticket or model version may have been accepted; the caller should send it again.
+	ReasonTicketUnsettled Reason = "ticketUnsettled"
+	// ReasonNotLeader: this host is not, or no longer, the coordinator of the trainer job.
+	ReasonNotLeader   Reason = "notHolder"
+	ReasonStaleSample Reason = "staleSample"
+	// ReasonInternal: the failure has no more specific reason.
+	ReasonInternal Reason = "internal"
+	// ReasonDefect: the program itself is at fault, for example because it can't encode its own data.
 	ReasonDefect Reason = "defect"
 )
 
-// Refusal is the error that ends a request without a whole answer.
-// It travels between processes and is shown to the caller, under a status that the edge derives from reason and verdict.
+// Refusal is the error that ends a request without a complete answer. It is sent between processes and to the
+// caller, with an HTTP status that is derived from reason and verdict (see internal/edge/refusal).
 type Refusal struct {
 	// Verdict says whether the request may have run.
 	Verdict Verdict `msgpack:"v"`
 	// Reason is the stable code of the refusal.
 	Reason Reason `msgpack:"r"`
-	// Detail is a sentence for people; it never holds key material.
+	// Detail is a message for people; it never contains key material.
 	Detail string `msgpack:"d"`
-	// RetryAfter is when the caller should come back; zero where coming back cannot help.
+	// RetryAfter is the time after which the caller should retry; zero if a retry can't help.
 	RetryAfter time.Duration `msgpack:"a"`
 }
 
-// Refuse returns a refusal; retryAfter is zero where coming back cannot help.
+// Refuse returns a refusal; retryAfter is zero if a retry can't help.
 func Refuse(v Verdict, reason Reason, retryAfter time.Duration, format string, args ...any) *Refusal {
 	return &Refusal{
 		Verdict:    v,
@@ -91,12 +103,12 @@
 	return fmt.Sprintf("%s (%s): %s", r.Reason, r.Verdict, r.Detail)
 }
 
-// RetryAfterSeconds rounds the time to come back up to whole seconds, as the Retry-After header needs.
+// RetryAfterSeconds returns RetryAfter rounded up to whole seconds, as the Retry-After header needs.
 func (r *Refusal) RetryAfterSeconds() int {
 	return int(math.Ceil(r.RetryAfter.Seconds()))
 }
 
-// refusalBody is the JSON shape that callers receive.
+// refusalBody is the JSON object that callers receive.
 type refusalBody struct {
 	Verdict           Verdict `json:"verdict"`
 	Reason            Reason  `json:"reason"`
@@ -104,7 +116,7 @@
 	RetryAfterSeconds int     `json:"retryAfterSeconds"`
 }
 
-// MarshalJSON encodes the body of a refusal for callers.
+// MarshalJSON encodes a refusal as callers receive it.
 func (r *Refusal) MarshalJSON() ([]byte, error) {
 	return json.Marshal(refusalBody{
 		Verdict:           r.Verdict,
@@ -114,15 +126,15 @@
 	})
 }
 
-// As returns the refusal within err, if there is one.
+// As returns the refusal in err's chain, if there is one.
 func As(err error) (*Refusal, bool) {
 	var refusal *Refusal
 	ok := errors.As(err, &refusal)
 	return refusal, ok
 }
 
-// From turns any error into a refusal. An error without a verdict is taken for MayHaveRun:
-// claiming "not run" for an unknown failure could make a caller run a request twice.
+// From converts any error to a refusal. An error without a verdict becomes MayHaveRun: claiming NotRun for an
+// unknown failure could make a caller run a request twice.
 func From(err error) *Refusal {
 	if refusal, ok := As(err); ok {
 		return refusal
