--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -1,4 +1,4 @@
-// Package request holds the typed messages about one request between entry and agent.
+// Package request defines the messages that an entry and an agent exchange about a request.
 package request
 
 import (
@@ -9,30 +9,30 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// ID names a request once for all time: incarnations are random and never used again.
+// ID identifies a request. IDs are never reused, because incarnations are random.
 type ID struct {
-	// Incarnation of the sending process.
+	// Incarnation is the random number of the sending process.
 	Incarnation uint64 `msgpack:"i"`
-	// Counter grows by one for each request of the incarnation.
+	// Counter increases by one with each request of the incarnation.
 	Counter uint64 `msgpack:"c"`
 }
 
-// String returns the id for logs and dumps.
+// String formats the ID for logs and dumps.
 func (i ID) String() string {
 	return fmt.Sprintf("%016x-%d", i.Incarnation, i.Counter)
 }
 
-// Priority orders requests of one organisation at an agent; a lower number goes first.
+// Priority orders the requests of one organisation at an agent; lower values go first.
 type Priority uint8
 
-// The priorities in use.
+// The priorities, highest first.
 const (
 	PriorityInteractive Priority = iota
 	PriorityNormal
 	PriorityBulk
 )
 
-// HeaderField is one header of a call; names are canonical.
+// HeaderField is one HTTP header field; its name is in canonical form.
 type HeaderField struct {
 	Name  string `msgpack:"n"`
 	Value string `msgpack:"v"`
@@ -42,8 +42,8 @@
 type Execute struct {
 	ID           ID     `msgpack:"id"`
 	Organisation string `msgpack:"o"`
-	// KeyHash is the SHA-256 of the caller's key in hexadecimal, never the key: an agent with
-	// a newer view refuses a key that was withdrawn after the entry admitted it.
+	// KeyHash is the SHA-256 of the caller's key in hexadecimal, never the key itself. With it an agent that has a
+	// newer configuration refuses a key that was withdrawn after the entry admitted it.
 	KeyHash string        `msgpack:"k"`
 	Pool    string        `msgpack:"p"`
 	Method  string        `msgpack:"m"`
@@ -51,9 +51,9 @@
 	Query   string        `msgpack:"q"`
 	Header  []HeaderField `msgpack:"h"`
 	Body    []byte        `msgpack:"b"`
-	// Idempotent requests may run more than once.
+	// Idempotent is set if the request may run more than once.
 	Idempotent bool `msgpack:"i"`
-	// Remaining is the time until the caller's deadline when the message was sent.
+	// Remaining is the time left until the caller's deadline when the message was sent.
 	Remaining time.Duration `msgpack:"r"`
 	// Revision is the entry's configuration revision.
 	Revision uint64   `msgpack:"rev"`
@@ -62,63 +62,67 @@
 	Cost float64 `msgpack:"co"`
 }
 
-// AnswerHead opens an answer.
+// AnswerHead is the first message of an answer.
 type AnswerHead struct {
 	Status int           `msgpack:"s"`
 	Header []HeaderField `msgpack:"h"`
 }
 
-// AnswerEnd closes an answer that ran; the count is held by two hosts before the caller sees the end.
+// AnswerEnd is the last message of the answer to a call that ran. It carries the usage count to the entry, so that
+// two hosts hold the count before the caller sees the end.
 type AnswerEnd struct {
 	Count usage.Count `msgpack:"c"`
 }
 
-// Settle asks an agent what became of a request whose connection was lost. An agent that has not
-// seen the id records it as never to be run, so that NotRun stays true if the request arrives later.
+// Settle asks an agent for the outcome of a request whose connection was lost. An agent that hasn't seen the ID
+// records that it must never run, so that NotRun stays true if the request arrives later.
 type Settle struct {
 	ID ID `msgpack:"id"`
-	// Process is the incarnation of the agent's process to which the request was sent, from peer.LostProcess or
-	// Answer.Process. Another process at the same address has an empty record and can't say "not run".
+	// Process is the incarnation of the agent process to which the request was sent, from peer.LostProcess or
+	// Answer.Process. Another process at the same address has an empty record and can't claim NotRun.
 	Process uint64 `msgpack:"pr"`
 }
 
-// Settled answers Settle.
+// Settled is the answer to Settle.
 type Settled struct {
 	Verdict verdict.Verdict `msgpack:"v"`
-	// Running says that the request is still running, so that its verdict may change to Ran.
+	// Running is set if the request is still running, so that its verdict may change to Ran.
 	Running bool `msgpack:"r"`
 }
 
-// Probe asks an agent for its load right before a placement.
+// Probe asks an agent for its load, for example right before a request is placed.
 type Probe struct {
 	Organisation string `msgpack:"o"`
-	// PrefixHash names the prompt's prefix; 0 for none.
+	// PrefixHash identifies the prompt's prefix; 0 for none.
 	PrefixHash uint64 `msgpack:"p"`
 }
 
-// Load answers Probe and is reported from time to time.
+// Load is an agent's load. It is the answer to Probe and Leave.
 type Load struct {
 	Queued  int `msgpack:"q"`
 	Running int `msgpack:"r"`
-	Limit   int `msgpack:"l"`
+	// Limit is the number of requests that may run at a time.
+	Limit int `msgpack:"l"`
 	// Wait is the estimated time until a new request of the organisation starts.
 	Wait time.Duration `msgpack:"w"`
-	// Leaving agents take no new work.
+	// Leaving is set if the agent takes no new work, because its server is being drained or its process shuts down.
 	Leaving bool `msgpack:"le"`
-	// PrefixCached says that the server holds the prefix in its cache.
+	// PrefixCached is set if the server has the prefix in its cache.
 	PrefixCached bool `msgpack:"pc"`
-	// Version is the weight version served; 0 for plain services.
+	// Version is the version of the model weights that is served; 0 for plain services.
 	Version int `msgpack:"v"`
-	// Prefetched is the newest weight version that the server can switch to at once.
+	// Prefetched is the newest version of the weights that the server can switch to at once.
 	Prefetched int `msgpack:"pf"`
 	// Revision is the agent's configuration revision.
 	Revision uint64 `msgpack:"rev"`
 }
 
-// Leave tells an agent to take no new work because its server is to be stopped, or to take work again.
-// The agent answers with its load.
+// Leave tells an agent to drain, that is to take no new work because its server is to be stopped, or to take work
+// again. The agent answers with its load.
 type Leave struct {
+	// Leave is true to drain and false to take work again.
 	Leave bool `msgpack:"l"`
-	// Fencing is the fencing number of the zone's duty; an order with a lower one than seen is refused.
+	// Fencing is the fencing number of the lease on the availability zone's server orders. An order with a lower
+	// number than one already seen is refused.
 	Fencing uint64 `msgpack:"f"`
 }
