--- a/internal/core/queue/limiter.go
+++ b/internal/core/queue/limiter.go
@@ -83,9 +83,9 @@
 // Limit returns the number of requests to run at a time.
 func (l *Limiter) Limit() int { return int(l.limit) }
 
-// Used reports how many requests are running. A limit that isn't reached is not raised, because its latency
-// says nothing about a higher one. If Used is never called, every limit counts as reached.
-func (l *Limiter) Used(running int) {
+// ObserveRunning reports how many requests are running. A limit that isn't reached is not raised, because its latency
+// says nothing about a higher one. If ObserveRunning is never called, every limit counts as reached.
+func (l *Limiter) ObserveRunning(running int) {
 	l.maxRunning = max(l.maxRunning, running)
 	l.runningReported = true
 }
--- a/internal/core/queue/limiter_test.go
+++ b/internal/core/queue/limiter_test.go
@@ -8,7 +8,7 @@
 // observe reports n finished requests, whose latency per unit of cost is unitLatency, at full concurrency.
 func observe(l *Limiter, n int, cost float64, unitLatency time.Duration, failed bool) {
 	for range n {
-		l.Used(l.Limit())
+		l.ObserveRunning(l.Limit())
 		l.Observe(start, time.Duration(cost)*unitLatency, cost, failed)
 	}
 }
--- a/internal/core/scenario/policy_test.go
+++ b/internal/core/scenario/policy_test.go
@@ -200,7 +200,7 @@
 	s := a.sim
 	c, started := item.Value, s.clock.now
 	a.running++
-	a.limiter.Used(a.running)
+	a.limiter.ObserveRunning(a.running)
 	a.server.start(c.cost, 0, 0, func(ok bool) {
 		a.running--
 		a.queue.Finished(item)
--- a/internal/edge/agent/control.go
+++ b/internal/edge/agent/control.go
@@ -137,7 +137,7 @@
 	}
 	j.since = now
 	c.running[j] = item
-	c.limiter.Used(len(c.running))
+	c.limiter.ObserveRunning(len(c.running))
 	j.started <- nil
 }
 
