--- a/internal/core/queue/limiter.go
+++ b/internal/core/queue/limiter.go
@@ -90,8 +90,8 @@
 	l.runningReported = true
 }
 
-// Typical returns the recent average latency of requests of this cost; 0 if none of its cost class was observed.
-func (l *Limiter) Typical(cost float64) time.Duration {
+// TypicalLatency returns the recent average latency of requests of this cost; 0 if none of its cost class was observed.
+func (l *Limiter) TypicalLatency(cost float64) time.Duration {
 	return time.Duration(l.average[costClass(cost)] * max(1, cost) * float64(time.Second))
 }
 
--- a/internal/core/scenario/policy_test.go
+++ b/internal/core/scenario/policy_test.go
@@ -55,7 +55,7 @@
 
 func newAgent(s *sim, srv *server) *agent {
 	a := &agent{sim: s, server: srv, limiter: queue.NewLimiter(knee)}
-	a.queue = queue.New[*call](queue.WithSlots(a.limiter.Limit), queue.WithServiceTime(a.limiter.Typical))
+	a.queue = queue.New[*call](queue.WithSlots(a.limiter.Limit), queue.WithServiceTime(a.limiter.TypicalLatency))
 	return a
 }
 
--- a/internal/edge/agent/control.go
+++ b/internal/edge/agent/control.go
@@ -44,7 +44,7 @@
 	}
 	c.queue = queue.New[*job](
 		queue.WithSlots(func() int { return c.limiter.Limit() }),
-		queue.WithServiceTime(func(cost float64) time.Duration { return c.limiter.Typical(cost) }),
+		queue.WithServiceTime(func(cost float64) time.Duration { return c.limiter.TypicalLatency(cost) }),
 	)
 	return c
 }
@@ -239,7 +239,7 @@
 
 // expired says why a request left the queue: its deadline, or another organisation's place.
 func (c *control) expired(now time.Time, j *job) error {
-	answer := now.Add(c.limiter.Typical(j.q.Cost))
+	answer := now.Add(c.limiter.TypicalLatency(j.q.Cost))
 	switch {
 	case j.deadline.IsZero() || !answer.After(j.deadline):
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonNoRoom,
