--- a/internal/core/queue/leave.go
+++ b/internal/core/queue/leave.go
@@ -37,10 +37,10 @@
 	return items
 }
 
-// Wait estimates how long a new item of the organisation, of typical cost, would wait. The estimate is the
+// EstimateWait estimates how long a new item of the organisation, of typical cost, would wait. The estimate is the
 // work ahead of it at the recent throughput, and at least the time of one typical item. It is 0 while the
 // queue is empty or the throughput is unknown.
-func (q *Queue[T]) Wait(now time.Time, organisation string, weight float64) time.Duration {
+func (q *Queue[T]) EstimateWait(now time.Time, organisation string, weight float64) time.Duration {
 	return q.estimateWait(now, Item[T]{
 		Organisation: organisation,
 		Weight:       positiveOrOne(weight),
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -201,10 +201,10 @@
 		now = now.Add(100 * time.Millisecond)
 		q.Pop(now)
 	}
-	if got := q.Wait(now, "a", 1).Round(time.Millisecond); got != 2*time.Second {
+	if got := q.EstimateWait(now, "a", 1).Round(time.Millisecond); got != 2*time.Second {
 		t.Errorf("20 items at 10 per second: wait %v, want 2s", got)
 	}
-	if got := q.Wait(now, "b", 1).Round(time.Millisecond); got != 100*time.Millisecond {
+	if got := q.EstimateWait(now, "b", 1).Round(time.Millisecond); got != 100*time.Millisecond {
 		t.Errorf("another organisation waits %v, want one turn of 100ms", got)
 	}
 }
@@ -327,7 +327,7 @@
 				_ = q.Push(start, Item[int]{Organisation: fmt.Sprintf("org%d", i), Cost: 1})
 			}
 			for b.Loop() {
-				q.Wait(start, "org1", 1)
+				q.EstimateWait(start, "org1", 1)
 			}
 		})
 	}
--- a/internal/core/scenario/policy_test.go
+++ b/internal/core/scenario/policy_test.go
@@ -138,7 +138,7 @@
 		Queued:  a.queue.Len(),
 		Running: a.running,
 		Limit:   a.limiter.Limit(),
-		Wait:    a.queue.Wait(a.sim.clock.now, org.Name, org.Weight),
+		Wait:    a.queue.EstimateWait(a.sim.clock.now, org.Name, org.Weight),
 	}
 }
 
@@ -185,7 +185,7 @@
 	s := a.sim
 	for _, item := range a.queue.Expire(s.clock.now) {
 		s.giveUp(item.Value, verdict.Refuse(verdict.NotRun, verdict.ReasonDeadlinePassed,
-			max(time.Second, a.queue.Wait(s.clock.now, item.Organisation, item.Weight)-item.Value.patience), "late"))
+			max(time.Second, a.queue.EstimateWait(s.clock.now, item.Organisation, item.Weight)-item.Value.patience), "late"))
 	}
 	for a.server.up && a.running < a.limiter.Limit() {
 		item, ok := a.queue.Pop(s.clock.now)
--- a/internal/edge/agent/control.go
+++ b/internal/edge/agent/control.go
@@ -271,7 +271,7 @@
 		return 0
 	}
 	known, _ := c.view().Organisation(organisation)
-	return c.queue.Wait(now, organisation, known.Weight)
+	return c.queue.EstimateWait(now, organisation, known.Weight)
 }
 
 // leave refuses all further requests; the channel is closed when nothing is queued or running.
