--- a/internal/core/admission/ask.go
+++ b/internal/core/admission/ask.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Ask describes a request to be admitted.
-type Ask struct {
+// Request describes a request to be admitted.
+type Request struct {
 	Organisation string
 	Pool         string
 	// KeyHash distinguishes the keys of one organisation; if it is empty, requests are not told apart by key.
--- a/internal/core/admission/controller.go
+++ b/internal/core/admission/controller.go
@@ -86,7 +86,7 @@
 
 // Admit returns nil, or a *verdict.Refusal with NotRun and the time after which to retry.
 // Each nil must be followed by a call of Done.
-func (c *Controller) Admit(now time.Time, request Ask) error {
+func (c *Controller) Admit(now time.Time, request Request) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cost := positiveOrOne(request.Cost)
@@ -135,7 +135,7 @@
 }
 
 // checkDeadline refuses a request if even the fastest recent request took longer than the time that remains.
-func (o *organisation) checkDeadline(now time.Time, request Ask, cost float64) error {
+func (o *organisation) checkDeadline(now time.Time, request Request, cost float64) error {
 	if request.Remaining <= 0 {
 		return nil
 	}
@@ -150,7 +150,7 @@
 
 // takeTokens takes tokens for the request from the rate limit and, if limited is set, from the fair share. It
 // refuses the request and takes none if either has too few.
-func (o *organisation) takeTokens(now time.Time, request Ask, cost float64, limited bool) error {
+func (o *organisation) takeTokens(now time.Time, request Request, cost float64, limited bool) error {
 	if o.rate.rate > 0 {
 		o.rate.refill(now)
 		if !o.rate.canTake(1, o.keys.reserve(now, request.KeyHash, o.rate.burst)) {
@@ -176,7 +176,7 @@
 
 // Done reports the end of an admitted request: how long it took, and whether the pool refused it for
 // lack of capacity.
-func (c *Controller) Done(now time.Time, request Ask, took time.Duration, refused bool) {
+func (c *Controller) Done(now time.Time, request Request, took time.Duration, refused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pool(now, request.Pool)
--- a/internal/core/admission/controller_test.go
+++ b/internal/core/admission/controller_test.go
@@ -54,7 +54,7 @@
 	c.Configure([]ticket.Organisation{{Name: "a", RequestsPerSecond: 2, Burst: 4}}, 2)
 	var got []time.Duration
 	for range 5 {
-		err := c.Admit(start, Ask{Organisation: "a", Pool: "p"})
+		err := c.Admit(start, Request{Organisation: "a", Pool: "p"})
 		if refusal, ok := verdict.As(err); ok {
 			if refusal.Verdict != verdict.NotRun || refusal.Reason != verdict.ReasonRateLimited {
 				t.Errorf("got %v", refusal)
@@ -65,10 +65,10 @@
 	if diff := cmp.Diff([]time.Duration{time.Second, 2 * time.Second, 3 * time.Second}, got); diff != "" {
 		t.Error(diff)
 	}
-	if err := c.Admit(start.Add(time.Second), Ask{Organisation: "a", Pool: "p"}); err != nil {
+	if err := c.Admit(start.Add(time.Second), Request{Organisation: "a", Pool: "p"}); err != nil {
 		t.Errorf("refused at its retry time: %v", err)
 	}
-	if err := c.Admit(start, Ask{Organisation: "b", Pool: "p"}); err != nil {
+	if err := c.Admit(start, Request{Organisation: "b", Pool: "p"}); err != nil {
 		t.Errorf("another organisation was refused: %v", err)
 	}
 }
@@ -82,10 +82,10 @@
 	hot, cold := 0, 0
 	for i := range 2000 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
-		if c.Admit(now, Ask{Organisation: "a", Pool: "p", KeyHash: "hot"}) == nil {
+		if c.Admit(now, Request{Organisation: "a", Pool: "p", KeyHash: "hot"}) == nil {
 			hot++
 		}
-		if i%100 == 50 && c.Admit(now, Ask{Organisation: "a", Pool: "p", KeyHash: "cold"}) == nil {
+		if i%100 == 50 && c.Admit(now, Request{Organisation: "a", Pool: "p", KeyHash: "cold"}) == nil {
 			cold++
 		}
 	}
@@ -108,7 +108,7 @@
 			served = 0
 		}
 		now := start.Add(time.Duration(i) * time.Millisecond)
-		request := Ask{Organisation: "hot", Pool: "p"}
+		request := Request{Organisation: "hot", Pool: "p"}
 		if i%50 == 0 {
 			request.Organisation = "modest"
 		}
@@ -134,7 +134,7 @@
 
 func TestDeadlineBelowRecentLatencies(t *testing.T) {
 	c := New()
-	request := Ask{Organisation: "a", Pool: "p", Cost: 1, Remaining: time.Second}
+	request := Request{Organisation: "a", Pool: "p", Cost: 1, Remaining: time.Second}
 	for i := range minLatencySamples {
 		if err := c.Admit(start, request); err != nil {
 			t.Fatalf("refused before any latency is known: %v", err)
@@ -145,7 +145,7 @@
 	if !ok || refusal.Reason != verdict.ReasonDeadlineUnreachable || refusal.RetryAfter != 2*time.Second {
 		t.Errorf("got %v", refusal)
 	}
-	if err := c.Admit(start, Ask{Organisation: "a", Pool: "p", Cost: 1, Remaining: 4 * time.Second}); err != nil {
+	if err := c.Admit(start, Request{Organisation: "a", Pool: "p", Cost: 1, Remaining: 4 * time.Second}); err != nil {
 		t.Errorf("refused although other requests finished in that time: %v", err)
 	}
 	if err := c.Admit(start.Add(2*minLatencyPeriod), request); err != nil {
@@ -157,9 +157,9 @@
 	for _, orgs := range []int{8, 100, 1000} {
 		b.Run(fmt.Sprintf("organisations=%d", orgs), func(b *testing.B) {
 			c := New()
-			requests := make([]Ask, orgs)
+			requests := make([]Request, orgs)
 			for i := range requests {
-				requests[i] = Ask{Organisation: fmt.Sprintf("org%d", i), Pool: "p", Cost: 1, KeyHash: "key", Remaining: time.Minute}
+				requests[i] = Request{Organisation: fmt.Sprintf("org%d", i), Pool: "p", Cost: 1, KeyHash: "key", Remaining: time.Minute}
 			}
 			for i := 0; b.Loop(); i++ {
 				now := start.Add(time.Duration(i) * time.Millisecond)
--- a/internal/core/scenario/policy_test.go
+++ b/internal/core/scenario/policy_test.go
@@ -89,8 +89,8 @@
 	s.place(c)
 }
 
-func (s *sim) ask(c *call) admission.Ask {
-	return admission.Ask{
+func (s *sim) ask(c *call) admission.Request {
+	return admission.Request{
 		Organisation: s.orgs[c.org].Name,
 		Pool:         "pool",
 		KeyHash:      fmt.Sprint(c.key),
--- a/internal/edge/entry/service.go
+++ b/internal/edge/entry/service.go
@@ -144,7 +144,7 @@
 
 // admitted runs work under admission and counts its outcome.
 func (e *Entry) admitted(ctx context.Context, c call, work func() error) error {
-	ask := admission.Ask{Organisation: c.organisation, Pool: c.pool.Name, KeyHash: c.keyHash, Cost: c.cost}
+	ask := admission.Request{Organisation: c.organisation, Pool: c.pool.Name, KeyHash: c.keyHash, Cost: c.cost}
 	if end, ok := ctx.Deadline(); ok {
 		ask.Remaining = time.Until(end)
 	}
