--- a/internal/core/admission/turnedaway.go
+++ b/internal/core/admission/turnedaway.go
@@ -15,14 +15,14 @@
 	increaseSmoothing = 0.02
 )
 
-// TurnedAway measures the work refused for lack of capacity as the average number of requests that would have
+// RefusedLoad measures the work refused for lack of capacity as the average number of requests that would have
 // been running: the rate of refusals times the run time of a request (Little's law).
 //
 // Load pattern: a full pool refuses requests at the entries, so its agents never see that work. Without this
 // measure the availability zone's scaling decision would see a full pool with a short queue and order too few servers.
 //
 // It is safe for concurrent use.
-type TurnedAway struct {
+type RefusedLoad struct {
 	mu    sync.Mutex
 	pools map[string]*poolRefusals
 }
@@ -36,10 +36,10 @@
 }
 
 // NewTurnedAway returns an empty measure.
-func NewTurnedAway() *TurnedAway { return &TurnedAway{pools: map[string]*poolRefusals{}} }
+func NewTurnedAway() *RefusedLoad { return &RefusedLoad{pools: map[string]*poolRefusals{}} }
 
 // Served records the latency of a request that was answered in full.
-func (t *TurnedAway) Served(pool string, latency time.Duration) {
+func (t *RefusedLoad) Served(pool string, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.pool(pool)
@@ -55,7 +55,7 @@
 }
 
 // Refused records a request that was refused for lack of capacity.
-func (t *TurnedAway) Refused(now time.Time, pool string) {
+func (t *RefusedLoad) Refused(now time.Time, pool string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p := t.pool(pool)
@@ -64,7 +64,7 @@
 }
 
 // Load returns the refused work, in running requests, of each pool that has any.
-func (t *TurnedAway) Load(now time.Time) map[string]float64 {
+func (t *RefusedLoad) Load(now time.Time) map[string]float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	loads := map[string]float64{}
@@ -77,7 +77,7 @@
 	return loads
 }
 
-func (t *TurnedAway) pool(name string) *poolRefusals {
+func (t *RefusedLoad) pool(name string) *poolRefusals {
 	p, ok := t.pools[name]
 	if !ok {
 		p = &poolRefusals{}
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -56,7 +56,7 @@
 	Views      Views
 	Tickets    Tickets
 	Admission  *admission.Controller
-	TurnedAway *admission.TurnedAway
+	TurnedAway *admission.RefusedLoad
 	Dispatcher *Dispatcher
 	Store      platform.Store
 	Trainers   Routes
--- a/internal/program/process/turnedaway.go
+++ b/internal/program/process/turnedaway.go
@@ -22,7 +22,7 @@
 	Loads map[string]float64 `msgpack:"l"`
 }
 
-func serveTurnedAway(r *peer.Registry, measure *admission.TurnedAway) {
+func serveTurnedAway(r *peer.Registry, measure *admission.RefusedLoad) {
 	peer.Handle(r, methodTurnedAway, func(context.Context, turnedAwayAsk) (turnedAwayAnswer, error) {
 		return turnedAwayAnswer{Loads: measure.Load(time.Now())}, nil
 	})
