--- a/internal/core/admission/turnedaway.go
+++ b/internal/core/admission/turnedaway.go
@@ -35,8 +35,8 @@
 	decayed  time.Time
 }
 
-// NewTurnedAway returns an empty measure.
-func NewTurnedAway() *RefusedLoad { return &RefusedLoad{pools: map[string]*poolRefusals{}} }
+// NewRefusedLoad returns an empty measure.
+func NewRefusedLoad() *RefusedLoad { return &RefusedLoad{pools: map[string]*poolRefusals{}} }
 
 // Served records the latency of a request that was answered in full.
 func (t *RefusedLoad) Served(pool string, latency time.Duration) {
--- a/internal/core/admission/turnedaway_test.go
+++ b/internal/core/admission/turnedaway_test.go
@@ -10,7 +10,7 @@
 // refusals, and zero after them; otherwise servers would be ordered for callers that have left.
 func TestTurnedAwayFollowsRefusals(t *testing.T) {
 	now := time.Unix(1000, 0)
-	measure := NewTurnedAway()
+	measure := NewRefusedLoad()
 	measure.Served("p", 2*time.Second)
 	const perSecond = 20
 	for range 60 * perSecond {
--- a/internal/edge/entry/harness_test.go
+++ b/internal/edge/entry/harness_test.go
@@ -149,7 +149,7 @@
 	l := listenLoopback(t)
 	f.url = "http://" + l.Addr().String()
 	f.entry = New(ctx, l, config, Deps{
-		Views: f.views, Tickets: noTickets{}, Admission: admission.New(), TurnedAway: admission.NewTurnedAway(), Dispatcher: dispatcher, Store: f.memory, Log: zerolog.Nop(),
+		Views: f.views, Tickets: noTickets{}, Admission: admission.New(), TurnedAway: admission.NewRefusedLoad(), Dispatcher: dispatcher, Store: f.memory, Log: zerolog.Nop(),
 	}, metrics)
 	t.Cleanup(func() {
 		cancel()
--- a/internal/program/process/entry.go
+++ b/internal/program/process/entry.go
@@ -70,7 +70,7 @@
 		Incarnation:      r.incarnation,
 	}, r.client, r.members, func() uint64 { return p.follower.View().Revision() }, p.duties.counted, metrics)
 	p.trainers = r.newCoordinator(ctx, p.duties.keepers, p.follower, p.publisher, entry.NewSampleGenerator(dispatcher, p.follower.View))
-	turnedAway := admission.NewTurnedAway()
+	turnedAway := admission.NewRefusedLoad()
 	serveTurnedAway(r.peers, turnedAway)
 	if p.peers, err = r.servePeers(ctx); err != nil {
 		return nil, err
