--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -120,8 +120,8 @@
 // Leave tells an agent to drain, that is to take no new work because its server is to be stopped, or to take work
 // again. The agent answers with its load.
 type Leave struct {
-	// Leave is true to drain and false to take work again.
-	Leave bool `msgpack:"l"`
+	// Drain is true to drain and false to take work again.
+	Drain bool `msgpack:"l"`
 	// Fencing is the fencing number of the lease on the availability zone's server orders. An order with a lower
 	// number than one already seen is refused.
 	Fencing uint64 `msgpack:"f"`
--- a/internal/edge/agent/leave.go
+++ b/internal/edge/agent/leave.go
@@ -31,7 +31,7 @@
 	}
 	p.fencing = q.Fencing
 	p.until = time.Time{}
-	if q.Leave {
+	if q.Drain {
 		p.until = now.Add(pauseLife)
 	}
 	return nil
--- a/internal/edge/agent/leave_test.go
+++ b/internal/edge/agent/leave_test.go
@@ -19,11 +19,11 @@
 		want   bool
 		fenced bool
 	}{
-		{"paused", []request.Leave{{Leave: true, Fencing: 5}}, time.Second, true, false},
-		{"holder died", []request.Leave{{Leave: true, Fencing: 5}}, pauseLife, false, false},
-		{"taken back", []request.Leave{{Leave: true, Fencing: 5}, {Fencing: 5}}, time.Second, false, false},
-		{"successor takes back", []request.Leave{{Leave: true, Fencing: 5}, {Fencing: 6}}, time.Second, false, false},
-		{"old holder woke", []request.Leave{{Fencing: 6}, {Leave: true, Fencing: 5}}, time.Second, false, true},
+		{"paused", []request.Leave{{Drain: true, Fencing: 5}}, time.Second, true, false},
+		{"holder died", []request.Leave{{Drain: true, Fencing: 5}}, pauseLife, false, false},
+		{"taken back", []request.Leave{{Drain: true, Fencing: 5}, {Fencing: 5}}, time.Second, false, false},
+		{"successor takes back", []request.Leave{{Drain: true, Fencing: 5}, {Fencing: 6}}, time.Second, false, false},
+		{"old holder woke", []request.Leave{{Fencing: 6}, {Drain: true, Fencing: 5}}, time.Second, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var p pause
