--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -117,9 +117,9 @@
 	Revision uint64 `msgpack:"rev"`
 }
 
-// Leave tells an agent to drain, that is to take no new work because its server is to be stopped, or to take work
+// Drain tells an agent to drain, that is to take no new work because its server is to be stopped, or to take work
 // again. The agent answers with its load.
-type Leave struct {
+type Drain struct {
 	// Drain is true to drain and false to take work again.
 	Drain bool `msgpack:"l"`
 	// Fencing is the fencing number of the lease on the availability zone's server orders. An order with a lower
--- a/internal/edge/agent/leave.go
+++ b/internal/edge/agent/leave.go
@@ -25,7 +25,7 @@
 
 // set takes an order, unless a newer holder has given one: a holder that was paused itself may wake and send
 // an order that its successor has taken back.
-func (p *pause) set(now time.Time, q request.Leave) error {
+func (p *pause) set(now time.Time, q request.Drain) error {
 	if q.Fencing < p.fencing {
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonFenced, 0, "fencing number %d is older than %d", q.Fencing, p.fencing)
 	}
@@ -39,7 +39,7 @@
 
 // leave takes the order of the zone's duty holder to take no new work before the server is stopped, or to
 // take work again. Requests that are queued or running go on: a stopped server must not cut off any.
-func (a *Agent) leave(_ context.Context, q request.Leave) (request.Load, error) {
+func (a *Agent) leave(_ context.Context, q request.Drain) (request.Load, error) {
 	var load request.Load
 	var err error
 	ok := a.do(func(now time.Time) {
--- a/internal/edge/agent/leave_test.go
+++ b/internal/edge/agent/leave_test.go
@@ -14,16 +14,16 @@
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
 		name   string
-		orders []request.Leave
+		orders []request.Drain
 		after  time.Duration
 		want   bool
 		fenced bool
 	}{
-		{"paused", []request.Leave{{Drain: true, Fencing: 5}}, time.Second, true, false},
-		{"holder died", []request.Leave{{Drain: true, Fencing: 5}}, pauseLife, false, false},
-		{"taken back", []request.Leave{{Drain: true, Fencing: 5}, {Fencing: 5}}, time.Second, false, false},
-		{"successor takes back", []request.Leave{{Drain: true, Fencing: 5}, {Fencing: 6}}, time.Second, false, false},
-		{"old holder woke", []request.Leave{{Fencing: 6}, {Drain: true, Fencing: 5}}, time.Second, false, true},
+		{"paused", []request.Drain{{Drain: true, Fencing: 5}}, time.Second, true, false},
+		{"holder died", []request.Drain{{Drain: true, Fencing: 5}}, pauseLife, false, false},
+		{"taken back", []request.Drain{{Drain: true, Fencing: 5}, {Fencing: 5}}, time.Second, false, false},
+		{"successor takes back", []request.Drain{{Drain: true, Fencing: 5}, {Fencing: 6}}, time.Second, false, false},
+		{"old holder woke", []request.Drain{{Fencing: 6}, {Drain: true, Fencing: 5}}, time.Second, false, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var p pause
--- a/internal/program/process/zone.go
+++ b/internal/program/process/zone.go
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	_, err := peer.Ask[request.Leave, request.Load](ctx, z.runtime.client, host.PeerAddress, agent.MethodLeave, request.Leave{Drain: order.Drain, Fencing: uint64(order.Fencing)})
+	_, err := peer.Ask[request.Drain, request.Load](ctx, z.runtime.client, host.PeerAddress, agent.MethodLeave, request.Drain{Drain: order.Drain, Fencing: uint64(order.Fencing)})
 	return errors.Wrap(err, order.HostID)
 }
 
