--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -79,7 +79,7 @@
 		server:  server,
 		start:   start,
 		trial:   host.spared && host.onTrial,
-		leaving: host.load.Leaving || server.Leaving,
+		leaving: host.load.Draining || server.Leaving,
 	}
 }
 
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -86,7 +86,7 @@
 	list := servers(6)
 	list[0].Leaving = true
 	tr := NewTracker(WithSeed(1))
-	tr.Observe(start, "s0002", request.Load{Leaving: true})
+	tr.Observe(start, "s0002", request.Load{Draining: true})
 	for range 50 {
 		got := ids(tr.Candidates(start, list, 7, map[string]bool{"s0001": true}))
 		for _, out := range []string{"s0000", "s0001", "s0002"} {
@@ -137,8 +137,8 @@
 		{name: "fewer running where none waits", probed: []Probed{{Server: a, Load: request.Load{Running: 4, Limit: 8}}, {Server: b, Load: request.Load{Running: 1, Limit: 8}}}, want: "b"},
 		{name: "a cached prefix is worth a short wait", probed: []Probed{{Server: a, Load: request.Load{Wait: 100 * time.Millisecond, PrefixCached: true}}, {Server: b}}, want: "a"},
 		{name: "but not a long one", probed: []Probed{{Server: a, Load: request.Load{Wait: time.Second, PrefixCached: true}}, {Server: b}}, want: "b"},
-		{name: "a leaving server is left out", probed: []Probed{{Server: a, Load: request.Load{Leaving: true}}, {Server: b, Load: request.Load{Wait: time.Hour}}}, want: "b"},
-		{name: "none", probed: []Probed{{Server: a, Load: request.Load{Leaving: true}}}, none: true},
+		{name: "a leaving server is left out", probed: []Probed{{Server: a, Load: request.Load{Draining: true}}, {Server: b, Load: request.Load{Wait: time.Hour}}}, want: "b"},
+		{name: "none", probed: []Probed{{Server: a, Load: request.Load{Draining: true}}}, none: true},
 		{name: "the last report where a probe failed", before: map[string]request.Load{"a": {Wait: time.Second}, "b": {Wait: 2 * time.Second}}, probed: []Probed{{Server: a, Err: errTest}, {Server: b, Err: errTest}}, want: "a"},
 		{name: "an answer before no answer", probed: []Probed{{Server: a, Err: errTest}, {Server: b, Load: request.Load{Wait: time.Second}}}, want: "b"},
 	}
--- a/internal/core/placement/tracker.go
+++ b/internal/core/placement/tracker.go
@@ -98,7 +98,7 @@
 		switch {
 		case host == nil:
 			usable = append(usable, server)
-		case host.load.Leaving && now.Sub(host.reported) < reportTime:
+		case host.load.Draining && now.Sub(host.reported) < reportTime:
 		case host.spared:
 			spared = append(spared, server)
 		default:
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -105,8 +105,8 @@
 	Limit int `msgpack:"l"`
 	// Wait is the estimated time until a new request of the organisation starts.
 	Wait time.Duration `msgpack:"w"`
-	// Leaving is set if the agent takes no new work, because its server is being drained or its process shuts down.
-	Leaving bool `msgpack:"le"`
+	// Draining is set if the agent takes no new work, because its server is being drained or its process shuts down.
+	Draining bool `msgpack:"le"`
 	// PrefixCached is set if the server has the prefix in its cache.
 	PrefixCached bool `msgpack:"pc"`
 	// Version is the version of the model weights that is served; 0 for plain services.
--- a/internal/edge/agent/control.go
+++ b/internal/edge/agent/control.go
@@ -294,10 +294,10 @@
 
 func (c *control) load(now time.Time) request.Load {
 	return request.Load{
-		Queued:  c.queue.Len(),
-		Running: len(c.running),
-		Limit:   c.limiter.Limit(),
-		Wait:    c.wait(now, ""),
-		Leaving: c.leaving || c.pause.holds(now),
+		Queued:   c.queue.Len(),
+		Running:  len(c.running),
+		Limit:    c.limiter.Limit(),
+		Wait:     c.wait(now, ""),
+		Draining: c.leaving || c.pause.holds(now),
 	}
 }
--- a/internal/edge/agent/failure_test.go
+++ b/internal/edge/agent/failure_test.go
@@ -367,7 +367,7 @@
 	b.untilQueued(t, 98)
 	drained := make(chan error, 1)
 	go func() { drained <- b.agent.Drain(t.Context()) }()
-	for !b.agent.Load().Leaving {
+	for !b.agent.Load().Draining {
 		b.untilQueued(t, 98)
 	}
 	wantRefusal(t, b.send(t.Context(), b.execute(pathOK)).err, verdict.NotRun, verdict.ReasonLeaving)
--- a/internal/edge/agent/state.go
+++ b/internal/edge/agent/state.go
@@ -55,7 +55,7 @@
 
 func (c *control) describe(now time.Time, s *state) {
 	load := c.load(now)
-	s.Leaving = load.Leaving
+	s.Leaving = load.Draining
 	s.Queued = load.Queued
 	s.Limit = load.Limit
 	s.Record = c.record.Counts()
--- a/internal/edge/entry/harness_test.go
+++ b/internal/edge/entry/harness_test.go
@@ -186,7 +186,7 @@
 		return a.settle(q), nil
 	})
 	peer.Handle(registry, agent.MethodProbe, func(context.Context, request.Probe) (request.Load, error) {
-		return request.Load{Limit: 8, Leaving: a.leaving}, nil
+		return request.Load{Limit: 8, Draining: a.leaving}, nil
 	})
 	peer.NewServer(ctx, l, registry, []byte(testSecret))
 	a.host = platform.Host{
--- a/internal/program/process/zone.go
+++ b/internal/program/process/zone.go
@@ -87,7 +87,7 @@
 	server.Running = load.Running
 	server.Queued = load.Queued
 	server.Limit = load.Limit
-	server.Draining = load.Leaving
+	server.Draining = load.Draining
 	return server
 }
 
