--- a/internal/core/admission/turnedaway.go
+++ b/internal/core/admission/turnedaway.go
@@ -39,10 +39,10 @@
 func NewRefusedLoad() *RefusedLoad { return &RefusedLoad{pools: map[string]*poolRefusals{}} }
 
 // Served records the latency of a request that was answered in full.
-func (t *RefusedLoad) Served(pool string, latency time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	p := t.pool(pool)
+func (l *RefusedLoad) Served(pool string, latency time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	p := l.pool(pool)
 	if p.runTime == 0 {
 		p.runTime = latency
 		return
@@ -55,20 +55,20 @@
 }
 
 // Refused records a request that was refused for lack of capacity.
-func (t *RefusedLoad) Refused(now time.Time, pool string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	p := t.pool(pool)
+func (l *RefusedLoad) Refused(now time.Time, pool string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	p := l.pool(pool)
 	p.decay(now)
 	p.refusals++
 }
 
 // Load returns the refused work, in running requests, of each pool that has any.
-func (t *RefusedLoad) Load(now time.Time) map[string]float64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (l *RefusedLoad) Load(now time.Time) map[string]float64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	loads := map[string]float64{}
-	for name, p := range t.pools {
+	for name, p := range l.pools {
 		p.decay(now)
 		if load := p.refusals / refusalWindow.Seconds() * p.runTime.Seconds(); load > 0 {
 			loads[name] = load
@@ -77,11 +77,11 @@
 	return loads
 }
 
-func (t *RefusedLoad) pool(name string) *poolRefusals {
-	p, ok := t.pools[name]
+func (l *RefusedLoad) pool(name string) *poolRefusals {
+	p, ok := l.pools[name]
 	if !ok {
 		p = &poolRefusals{}
-		t.pools[name] = p
+		l.pools[name] = p
 	}
 	return p
 }
--- a/internal/core/admission/turnedaway_test.go
+++ b/internal/core/admission/turnedaway_test.go
@@ -8,7 +8,7 @@
 
 // A pool refuses work at a steady rate, and later none. The load must be near the rate times the run time during the
 // refusals, and zero after them; otherwise servers would be ordered for callers that have left.
-func TestTurnedAwayFollowsRefusals(t *testing.T) {
+func TestRefusedLoadFollowsRefusals(t *testing.T) {
 	now := time.Unix(1000, 0)
 	measure := NewRefusedLoad()
 	measure.Served("p", 2*time.Second)
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -97,7 +97,7 @@
 	PrefixHash uint64 `msgpack:"p"`
 }
 
-// Load is an agent's load. It is the answer to Probe and Leave.
+// Load is an agent's load. It is the answer to Probe and Drain.
 type Load struct {
 	Queued  int `msgpack:"q"`
 	Running int `msgpack:"r"`
@@ -117,10 +117,10 @@
 	Revision uint64 `msgpack:"rev"`
 }
 
-// Drain tells an agent to drain, that is to take no new work because its server is to be stopped, or to take work
-// again. The agent answers with its load.
+// Drain tells an agent to take no new work because its server is to be stopped, or to take work again. The agent
+// answers with its load.
 type Drain struct {
-	// Drain is true to drain and false to take work again.
+	// Drain is true to stop taking work and false to take work again.
 	Drain bool `msgpack:"l"`
 	// Fencing is the fencing number of the lease on the availability zone's server orders. An order with a lower
 	// number than one already seen is refused.
