--- a/internal/core/admission/controller.go
+++ b/internal/core/admission/controller.go
@@ -160,7 +160,7 @@
 	if limited {
 		o.share.refill(now)
 		if !o.share.canTake(cost, o.keys.reserve(now, request.KeyHash, o.share.burst)) {
-			return refuse(verdict.ReasonOverloaded, o.share.scheduleRetry(now, cost), "the pool is full and the organisation has used its share")
+			return refuse(verdict.ReasonOverloaded, o.share.scheduleRetry(now, cost), "the pool is full and the organisation has its share")
 		}
 		o.share.take(cost)
 	}
