--- a/internal/core/placement/budget.go
+++ b/internal/core/placement/budget.go
@@ -2,15 +2,14 @@
 
 import "sync"
 
-// Shares of a retry budget.
 const (
-	defaultRetryRatio = 0.1
-	defaultRetryFloor = 10
-	defaultRetryCap   = 100
+	defaultRetryRatio     = 0.1
+	defaultInitialRetries = 10
+	defaultRetryCap       = 100
 )
 
-// Budget bounds retries to a share of the first tries, so that a failing pool isn't loaded
-// further by its own failures. It is safe for concurrent use.
+// Budget limits retries to a share of the first attempts, so that retries don't add to the load of a failing
+// pool without bound. It is safe for concurrent use.
 type Budget struct {
 	mu     sync.Mutex
 	tokens float64
@@ -18,41 +17,41 @@
 	cap    float64
 }
 
-// BudgetOption changes a Budget.
+// BudgetOption configures a Budget.
 type BudgetOption func(*Budget)
 
-// WithRatio sets how many retries each first try earns.
+// WithRatio sets how many retries each first attempt adds to the budget.
 func WithRatio(ratio float64) BudgetOption {
 	return func(b *Budget) { b.ratio = ratio }
 }
 
-// WithFloor sets the retries that are there at the start, so that a quiet entry can retry at all.
-func WithFloor(floor float64) BudgetOption {
-	return func(b *Budget) { b.tokens = floor }
+// WithInitialRetries sets how many retries the budget starts with, so that an entry with few requests can retry at all.
+func WithInitialRetries(retries float64) BudgetOption {
+	return func(b *Budget) { b.tokens = retries }
 }
 
-// WithCap sets how many unused retries are kept, which bounds the retries of a sudden failure.
+// WithCap sets how many unused retries the budget can hold, which limits the burst of retries after a sudden failure.
 func WithCap(limit float64) BudgetOption {
 	return func(b *Budget) { b.cap = limit }
 }
 
-// NewBudget returns a budget of a tenth of the first tries with a floor of ten.
+// NewBudget returns a budget that starts with ten retries and by default allows a tenth of the first attempts.
 func NewBudget(opts ...BudgetOption) *Budget {
-	b := &Budget{tokens: defaultRetryFloor, ratio: defaultRetryRatio, cap: defaultRetryCap}
+	b := &Budget{tokens: defaultInitialRetries, ratio: defaultRetryRatio, cap: defaultRetryCap}
 	for _, opt := range opts {
 		opt(b)
 	}
 	return b
 }
 
-// Earn is called for each first try.
+// Earn adds the share of one first attempt to the budget.
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.ratio, b.cap)
 }
 
-// Spend takes one retry out of the budget, or returns false if there is none.
+// Spend takes one retry out of the budget; it returns false if none is left.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -8,82 +8,84 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/request"
 )
 
-// option is a server with the estimate of when a request would start there.
-type option struct {
+// estimate is a server with the estimated delay until a request would start there.
+type estimate struct {
 	server  Server
 	start   time.Duration
 	trial   bool
 	leaving bool
 }
 
-// Choose returns the probed server at which a request of the cost starts soonest; false if none may
-// take it. A server whose probe failed is judged by its last report, behind those that answered.
+// Choose returns the probed server where a request is estimated to start soonest; false if all are leaving. A
+// server on trial comes first. A server whose probe failed is estimated from its last load report, with a penalty.
+// The estimate doesn't depend on cost.
 func (t *Tracker) Choose(now time.Time, probed []Probed, cost float64) (Server, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	options := make([]option, 0, len(probed))
+	estimates := make([]estimate, 0, len(probed))
 	for _, p := range probed {
-		if o := t.weigh(now, p, cost); !o.leaving {
-			options = append(options, o)
+		if e := t.estimateProbed(now, p, cost); !e.leaving {
+			estimates = append(estimates, e)
 		}
 	}
-	if len(options) == 0 {
+	if len(estimates) == 0 {
 		return Server{}, false
 	}
-	best := slices.MinFunc(options, compareOptions)
+	best := slices.MinFunc(estimates, compareEstimates)
 	if best.trial {
 		t.hosts[best.server.HostID].onTrial = false
 	}
 	return best.server, true
 }
 
-func compareOptions(a, b option) int {
+func compareEstimates(a, b estimate) int {
 	return cmp.Or(
-		cmp.Compare(trialFirst(a), trialFirst(b)),
+		cmp.Compare(trialRank(a), trialRank(b)),
 		cmp.Compare(a.start, b.start),
 		cmp.Compare(a.server.HostID, b.server.HostID),
 	)
 }
 
-func trialFirst(o option) int {
-	if o.trial {
+func trialRank(e estimate) int {
+	if e.trial {
 		return 0
 	}
 	return 1
 }
 
-// weigh estimates the start at one server.
-func (t *Tracker) weigh(now time.Time, p Probed, _ float64) option {
+// estimateProbed estimates the start of a request at a probed server. It stores the load that the probe returned, or
+// records the failure of the probe.
+func (t *Tracker) estimateProbed(now time.Time, p Probed, _ float64) estimate {
 	host := t.host(now, p.Server.HostID)
 	host.pool = p.Server.Pool
 	if p.Err == nil {
 		host.load = p.Load
-		host.reported = now
-		return t.option(p.Server, host, p.RoundTrip/2)
+		host.reportedAt = now
+		return t.estimate(p.Server, host, p.RoundTrip/2)
 	}
 	host.onTrial = false
-	host.learn(0, true)
-	t.judge(now)
-	if now.Sub(host.reported) > reportTime {
-		return option{server: p.Server, start: reportTime, leaving: p.Server.Leaving}
+	host.recordRequest(0, true)
+	t.updateEjections(now)
+	if now.Sub(host.reportedAt) > reportTTL {
+		return estimate{server: p.Server, start: reportTTL, leaving: p.Server.Leaving}
 	}
-	return t.option(p.Server, host, unprobedPenalty)
+	return t.estimate(p.Server, host, unprobedPenalty)
 }
 
-func (t *Tracker) option(server Server, host *hostState, extra time.Duration) option {
-	start := host.load.Wait + extra + time.Duration(use(host.load)*float64(useTime))
+func (t *Tracker) estimate(server Server, host *hostState, extra time.Duration) estimate {
+	start := host.load.Wait + extra + time.Duration(utilisation(host.load)*float64(fullUtilisationPenalty))
 	if !host.load.PrefixCached {
 		start += t.cacheSaving
 	}
-	return option{
+	return estimate{
 		server:  server,
 		start:   start,
-		trial:   host.spared && host.onTrial,
-		leaving: host.load.Draining || server.Leaving,
+		trial:   host.ejected && host.onTrial,
+		leaving: host.load.Draining || server.Draining,
 	}
 }
 
-// use is how full a server is: 1 when all slots are taken and nothing waits.
-func use(load request.Load) float64 {
+// utilisation is the number of running and queued requests per slot: 1 when all slots are taken and nothing is queued.
+func utilisation(load request.Load) float64 {
 	return float64(load.Running+load.Queued) / float64(max(1, load.Limit))
 }
--- a/internal/core/placement/doc.go
+++ b/internal/core/placement/doc.go
@@ -1,25 +1,35 @@
-// Package placement decides at an entry which backend server runs a request.
+// Package placement chooses the backend server that runs a request. It runs in each entry, the process that
+// accepts the requests of callers.
 //
-// Load pattern: hundreds of entries each see a few requests a second, so what an entry remembers of a
-// server's load is seconds old; reports lag; one server is slow without failing; prompts share
-// prefixes that a server holds in its cache; servers leave, and are lost, a third at a time.
+// Several properties of the system make the choice difficult. There are hundreds of entries, and each sees only a
+// few requests a second, so its knowledge of a server's load is seconds old. Load reports arrive late. A server
+// may be slow without failing. Prompts share prefixes that a server may hold in its cache. Up to a third of the
+// servers may leave or fail at once.
 //
-// Without it: all entries send to the server whose report looked best until the next report (herding),
-// a slow server collects requests and sets the p99 of all, every prompt is computed anew, and retries
-// after a loss multiply the load on what is left.
+// A simpler policy, such as sending to the server with the best load report, fails in four ways: all entries send
+// to the same server until the next report (herding), a slow server collects requests and determines the p99 of
+// the whole pool, every prompt is computed without the cache, and retries after an outage multiply the load on
+// the remaining servers.
 //
-// Each entry uses a deterministic subset of a pool (rendezvous hashing, own availability zone first).
-// For a request it probes the server believed to hold the prefix, the prefix's home by rendezvous hashing
-// and a few random ones, and sends to the one where the request starts soonest; the idea to estimate the
-// start rather than to compare queue lengths is that of the worker objective of Dask's distributed
-// scheduler. Two random choices already take the exponential tail off the longest queue (Mitzenmacher
-// 2001); a prefix in the cache counts as the time that it saves. That the samples of a group meet where their
-// prompt is cached is the co-location of sibling tasks of the same document.
+// Each entry therefore uses a deterministic subset of a pool (rendezvous hashing, servers of its own availability
+// zone first). For each request it probes the server that last held the prompt's prefix, the server that
+// rendezvous hashing assigns to the prefix, and a few random ones. It sends the request to the server where it is
+// estimated to start soonest; a cached prefix counts as the time that it saves. Estimating the start time instead
+// of comparing queue lengths follows the worker objective of Dask's distributed scheduler. Placing the samples of
+// one group where their prompt is cached corresponds to Dask's co-location of sibling tasks. Two random choices
+// already remove the exponential tail of the longest queue (Mitzenmacher 2001).
 //
-// Grounds for the figures. Three random probes and one or two by prefix: frames of some hundred bytes over
-// half a millisecond; the third takes a fifth to a third off the p99 of the measured scenarios, a fourth little. A server is spared when its typical time is three times the median of its peers:
-// the average over the last ten requests of one server varies by half with mixed costs, so twice sets off
-// falsely. A spared server is tried after 5 s and then after twice the time before, up to 80 s: tried each
-// 5 s by four entries it set the p99 of a pool of ten, at 5 s in place of 0.3 s. A belief about a prefix counts
-// for 60 s: events come late and with gaps, and caches turn over within minutes. A report counts for 5 s.
+// Reasons for the parameters:
+//
+//   - Probes: three random ones, and one or two by prefix. A probe is a frame of about a hundred bytes and takes
+//     half a millisecond. In the measured scenarios the third random probe reduces the p99 by a fifth to a third; a
+//     fourth has little effect.
+//   - Ejection: a server is ejected, that is, gets no requests except trials, when its typical request duration is
+//     three times the median of its peers. With mixed costs, the average over a server's last ten requests varies
+//     by half, so a threshold of twice the median causes false ejections.
+//   - Trials: an ejected server gets a trial request after 5 s, and the interval then doubles up to 80 s. With trials
+//     every 5 s from four entries, one slow server determined the p99 of a pool of ten: 5 s instead of 0.3 s.
+//   - Prefix locations expire after 60 s: cache events arrive late and with gaps, and the content of a cache is
+//     replaced within minutes.
+//   - Load reports expire after 5 s.
 package placement
--- a/internal/core/placement/hash.go
+++ b/internal/core/placement/hash.go
@@ -2,7 +2,7 @@
 
 import "github.com/cespare/xxhash/v2"
 
-func hostHash(hostID string) uint64 { return xxhash.Sum64String(hostID) }
+func hashHostID(hostID string) uint64 { return xxhash.Sum64String(hostID) }
 
 // mix spreads the bits of a hash (the finalizer of MurmurHash3).
 func mix(h uint64) uint64 {
--- a/internal/core/placement/host.go
+++ b/internal/core/placement/host.go
@@ -7,78 +7,85 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/request"
 )
 
-// Figures of slow server detection; the package comment gives the grounds.
+// Parameters of the detection of slow and failing servers; the package comment gives the reasons.
 const (
-	slowFactor    = 3.0
-	fineFactor    = 1.5
-	leastSamples  = 5
-	timeShare     = 0.1
-	failureShare  = 0.2
-	recoveryShare = 0.5
-	failedFrom    = 0.5
-	// A spared server is tried again after firstTrial, then after twice the time before, up to lastTrial.
-	firstTrial = 5 * time.Second
-	lastTrial  = 80 * time.Second
-	// leastPeers is how many servers with known times are needed to call one of them slow.
-	leastPeers = 3
+	// slowFactor and recoveredFactor are ratios of a server's typical request duration to the median of its peers:
+	// a server above the first is ejected, and an ejected one below the second is used again.
+	slowFactor      = 3.0
+	recoveredFactor = 1.5
+	// minSamples is how many requests must have succeeded on a server before it can count as slow.
+	minSamples = 5
+	// The weights of a new value in the exponential moving averages of the durations, of the failure rate after
+	// a failure and of the failure rate after a success.
+	durationWeight = 0.1
+	failureWeight  = 0.2
+	successWeight  = 0.5
+	// maxFailureRate is the failure rate above which a server is ejected.
+	maxFailureRate = 0.5
+	// The interval between the trials of an ejected server doubles from minTrialInterval to maxTrialInterval.
+	minTrialInterval = 5 * time.Second
+	maxTrialInterval = 80 * time.Second
+	// minPeers is how many servers of a pool must have known durations before one of them can count as slow.
+	minPeers = 3
 )
 
-// hostState is what is known about a server.
+// hostState is what the tracker knows about a server.
 type hostState struct {
-	// pool is where the server's peers are.
-	pool     string
-	load     request.Load
-	reported time.Time
-	// logTime is the average logarithm of the time that requests took; few long ones weigh little in it.
-	logTime  float64
-	samples  int
-	failures float64
-	spared   bool
-	// nextTrial is when a spared server gets its next request, trialWait the time between the trials.
-	nextTrial time.Time
-	trialWait time.Duration
-	// onTrial says that the server is among the candidates of a request for its trial.
-	onTrial bool
-	seen    time.Time
+	pool       string
+	load       request.Load
+	reportedAt time.Time
+	// meanLogDuration is the moving average of the logarithm of request durations in seconds. The logarithm limits
+	// the influence of a few long requests.
+	meanLogDuration float64
+	samples         int
+	failureRate     float64
+	// ejected servers get no requests except trials.
+	ejected       bool
+	nextTrial     time.Time
+	trialInterval time.Duration
+	// onTrial is set while the server is a candidate for a trial request.
+	onTrial  bool
+	lastSeen time.Time
 }
 
-// learn takes in a finished request.
-func (h *hostState) learn(took time.Duration, failed bool) {
+// recordRequest updates the averages with the outcome of a request.
+func (h *hostState) recordRequest(took time.Duration, failed bool) {
 	if failed {
-		h.failures += (1 - h.failures) * failureShare
+		h.failureRate += (1 - h.failureRate) * failureWeight
 		return
 	}
-	h.failures -= h.failures * recoveryShare
+	h.failureRate -= h.failureRate * successWeight
 	value := math.Log(max(took, time.Microsecond).Seconds())
 	h.samples++
-	share := max(timeShare, 1/float64(h.samples))
-	h.logTime += (value - h.logTime) * share
+	weight := max(durationWeight, 1/float64(h.samples))
+	h.meanLogDuration += (value - h.meanLogDuration) * weight
 }
 
-// judge decides whether the server is spared, against the median of its peers.
-func (h *hostState) judge(now time.Time, peers float64, known bool) {
-	slow := known && h.samples >= leastSamples && h.logTime > peers+math.Log(slowFactor)
-	fine := !known || h.logTime < peers+math.Log(fineFactor)
+// updateEjected ejects the server or ends its ejection. peerMedian is the median of meanLogDuration in its pool;
+// peersKnown is false if too few servers have one.
+func (h *hostState) updateEjected(now time.Time, peerMedian float64, peersKnown bool) {
+	slow := peersKnown && h.samples >= minSamples && h.meanLogDuration > peerMedian+math.Log(slowFactor)
+	recovered := !peersKnown || h.meanLogDuration < peerMedian+math.Log(recoveredFactor)
 	switch {
-	case !h.spared && (slow || h.failures > failedFrom):
-		h.spared = true
-		h.trialWait = firstTrial
-		h.nextTrial = now.Add(firstTrial)
-	case h.spared && fine && h.failures < failedFrom/2:
-		h.spared = false
+	case !h.ejected && (slow || h.failureRate > maxFailureRate):
+		h.ejected = true
+		h.trialInterval = minTrialInterval
+		h.nextTrial = now.Add(minTrialInterval)
+	case h.ejected && recovered && h.failureRate < maxFailureRate/2:
+		h.ejected = false
 	}
 }
 
-// tryAgain sets the next trial. One that fails is tried at the first interval again, since a probe that
-// isn't answered costs no caller anything.
-func (h *hostState) tryAgain(now time.Time) {
-	if h.failures < failedFrom {
-		h.trialWait = min(2*h.trialWait, lastTrial)
+// scheduleTrial sets the time of the next trial. The interval of a failing server doesn't grow: a probe that gets no
+// answer costs callers nothing.
+func (h *hostState) scheduleTrial(now time.Time) {
+	if h.failureRate < maxFailureRate {
+		h.trialInterval = min(2*h.trialInterval, maxTrialInterval)
 	}
-	h.nextTrial = now.Add(h.trialWait)
+	h.nextTrial = now.Add(h.trialInterval)
 }
 
-// trial says that a spared server is due to get a request.
-func (h *hostState) trial(now time.Time) bool {
-	return h.spared && !now.Before(h.nextTrial)
+// trialDue reports whether the server is ejected and due for a trial request.
+func (h *hostState) trialDue(now time.Time) bool {
+	return h.ejected && !now.Before(h.nextTrial)
 }
--- a/internal/core/placement/server.go
+++ b/internal/core/placement/server.go
@@ -13,16 +13,16 @@
 	Pool             string
 	AvailabilityZone string
 	Address          netip.AddrPort
-	// Leaving servers take no new work.
+	// Leaving servers accept no new requests.
 	Leaving bool
 }
 
-// Probed is the answer of one candidate to a probe.
+// Probed is the result of probing one candidate.
 type Probed struct {
 	Server Server
 	Load   request.Load
-	// Err is set if the probe failed; Load is then void.
+	// Err is set if the probe failed; Load is then invalid.
 	Err error
-	// RoundTrip is the time that the probe took.
+	// RoundTrip is the duration of the probe.
 	RoundTrip time.Duration
 }
--- a/internal/core/placement/tracker.go
+++ b/internal/core/placement/tracker.go
@@ -9,60 +9,62 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/request"
 )
 
-// Figures of the choice; the package comment gives the grounds.
+// Parameters of the choice; the package comment gives the reasons.
 const (
 	defaultChoices = 3
-	reportTime     = 5 * time.Second
-	// forgetTime is how long a server that isn't mentioned any more is remembered.
-	forgetTime = 10 * time.Minute
-	// judgeInterval is how often the servers are compared with each other.
-	judgeInterval = 500 * time.Millisecond
-	// defaultCacheSaving is the time that a cached prefix saves, in terms of the start.
+	// reportTTL is how long a load report is used.
+	reportTTL = 5 * time.Second
+	// hostTTL is how long the state of a server is kept after its last use.
+	hostTTL = 10 * time.Minute
+	// evaluationInterval is the minimum time between two comparisons of the servers while requests succeed.
+	evaluationInterval = 500 * time.Millisecond
+	// defaultCacheSaving is how much sooner a request starts on a server that has its prefix cached.
 	defaultCacheSaving = 200 * time.Millisecond
-	// useTime is what a server with all slots taken counts later than an empty one while none has a
-	// queue: requests slow each other down, and the next one finds no slot.
-	useTime = 100 * time.Millisecond
-	// unprobedPenalty puts a server known by an older report behind one that answered its probe.
+	// fullUtilisationPenalty is added to the estimated start at a server whose slots are all taken, and in proportion
+	// at lower utilisation: requests slow each other down, and the next one finds no free slot.
+	fullUtilisationPenalty = 100 * time.Millisecond
+	// unprobedPenalty ranks a server whose load is known from an earlier report behind one that answered its probe.
 	unprobedPenalty = 50 * time.Millisecond
 )
 
-// Option changes a Tracker.
+// Option configures a Tracker.
 type Option func(*Tracker)
 
-// WithChoices sets how many random servers are probed for a request.
+// WithChoices sets how many random servers are candidates for a request.
 func WithChoices(choices int) Option {
 	return func(t *Tracker) { t.choices = choices }
 }
 
-// WithCacheSaving sets the time that a cached prefix saves.
+// WithCacheSaving sets how much sooner a request starts on a server that has its prefix cached.
 func WithCacheSaving(saving time.Duration) Option {
 	return func(t *Tracker) { t.cacheSaving = saving }
 }
 
-// WithSeed makes the random choices repeatable.
+// WithSeed makes the random choices reproducible.
 func WithSeed(seed uint64) Option {
 	return func(t *Tracker) { t.random = rand.New(rand.NewPCG(seed, seed)) }
 }
 
-// Tracker remembers what an entry knows about backend servers. It is safe for concurrent use.
+// Tracker holds what an entry knows about backend servers, and chooses among them. It is safe for concurrent use.
 type Tracker struct {
-	mu          sync.Mutex
-	choices     int
-	cacheSaving time.Duration
-	random      *rand.Rand
-	hosts       map[string]*hostState
-	beliefs     beliefs
-	judged      time.Time
+	mu              sync.Mutex
+	choices         int
+	cacheSaving     time.Duration
+	random          *rand.Rand
+	hosts           map[string]*hostState
+	prefixLocations prefixLocations
+	// evaluatedAt is when the servers were last compared.
+	evaluatedAt time.Time
 }
 
-// NewTracker returns a tracker that knows nothing.
+// NewTracker returns a tracker without any knowledge of servers.
 func NewTracker(opts ...Option) *Tracker {
 	t := &Tracker{
-		choices:     defaultChoices,
-		cacheSaving: defaultCacheSaving,
-		random:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		hosts:       map[string]*hostState{},
-		beliefs:     newBeliefs(),
+		choices:         defaultChoices,
+		cacheSaving:     defaultCacheSaving,
+		random:          rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		hosts:           map[string]*hostState{},
+		prefixLocations: newPrefixLocations(),
 	}
 	for _, opt := range opts {
 		opt(t)
@@ -70,25 +72,25 @@
 	return t
 }
 
-// Candidates returns the servers to probe for a request, best first: a spared server whose trial is
-// due, the one believed to hold the prefix, the prefix's home, and random ones. Leaving servers and
-// those in exclude, which have already refused the request, are left out, and spared ones while there are
-// others. prefix is the hash of the prompt's prefix, 0 for none.
+// Candidates returns the servers to probe for a request, in this order: an ejected server whose trial is due, the
+// server that last held the prefix, the server that rendezvous hashing assigns to the prefix, and random ones.
+// Leaving servers and those in exclude, which were already tried, are left out; so are ejected ones, except for a
+// trial, unless there are no others. prefix is the hash of the prompt's prefix, 0 for none.
 func (t *Tracker) Candidates(now time.Time, servers []Server, prefix uint64, exclude map[string]bool) []Server {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	usable, spared := t.split(now, servers, exclude)
+	usable, ejected := t.partition(now, servers, exclude)
 	if len(usable) == 0 {
-		usable = spared
+		usable = ejected
 	}
 	out := make([]Server, 0, min(t.choices, len(usable))+3)
-	out = t.addTrial(now, out, spared)
-	out = t.addBelieved(now, out, usable, prefix)
+	out = t.addTrial(now, out, ejected)
+	out = t.addPrefixServers(now, out, usable, prefix)
 	return t.addRandom(out, usable)
 }
 
-// split parts the servers that may be used into good and spared ones.
-func (t *Tracker) split(now time.Time, servers []Server, exclude map[string]bool) (usable, spared []Server) {
+// partition returns the servers that accept requests, separated into usable and ejected ones.
+func (t *Tracker) partition(now time.Time, servers []Server, exclude map[string]bool) (usable, ejected []Server) {
 	usable = make([]Server, 0, len(servers))
 	for _, server := range servers {
 		if server.Leaving || exclude[server.HostID] {
@@ -98,130 +100,131 @@
 		switch {
 		case host == nil:
 			usable = append(usable, server)
-		case host.load.Draining && now.Sub(host.reported) < reportTime:
-		case host.spared:
-			spared = append(spared, server)
+		case host.load.Draining && now.Sub(host.reportedAt) < reportTTL:
+		case host.ejected:
+			ejected = append(ejected, server)
 		default:
 			usable = append(usable, server)
 		}
 	}
-	return usable, spared
+	return usable, ejected
 }
 
-// addTrial adds a spared server whose trial is due.
-func (t *Tracker) addTrial(now time.Time, out, spared []Server) []Server {
-	for _, server := range spared {
+// addTrial adds the first ejected server whose trial is due.
+func (t *Tracker) addTrial(now time.Time, out, ejected []Server) []Server {
+	for _, server := range ejected {
 		host := t.hosts[server.HostID]
-		if host.trial(now) {
+		if host.trialDue(now) {
 			host.onTrial = true
-			host.tryAgain(now)
+			host.scheduleTrial(now)
 			return append(out, server)
 		}
 	}
 	return out
 }
 
-// addBelieved adds the server believed to hold the prefix and the prefix's home, where requests of the same
-// prefix meet even if no entry knows of the others' requests.
-func (t *Tracker) addBelieved(now time.Time, out, usable []Server, prefix uint64) []Server {
+// addPrefixServers adds the server that last held the prefix and the one that rendezvous hashing assigns to it. The
+// latter is the same in all entries, so that requests with the same prefix reach the same server even though no
+// entry knows of the others' requests.
+func (t *Tracker) addPrefixServers(now time.Time, out, usable []Server, prefix uint64) []Server {
 	if prefix == 0 || len(usable) == 0 {
 		return out
 	}
-	if hostID, ok := t.beliefs.host(now, prefix); ok {
-		at := slices.IndexFunc(usable, func(s Server) bool { return s.HostID == hostID })
-		if at >= 0 {
-			out = append(out, usable[at])
+	if hostID, ok := t.prefixLocations.lookup(now, prefix); ok {
+		i := slices.IndexFunc(usable, func(s Server) bool { return s.HostID == hostID })
+		if i >= 0 {
+			out = append(out, usable[i])
 		}
 	}
-	return appendOnce(out, home(usable, prefix))
+	return appendUnique(out, rendezvousServer(usable, prefix))
 }
 
-// home is the server with the highest rendezvous weight for the prefix.
-func home(usable []Server, prefix uint64) Server {
+// rendezvousServer returns the server with the highest rendezvous weight for the prefix.
+func rendezvousServer(usable []Server, prefix uint64) Server {
 	best, weight := usable[0], uint64(0)
 	for _, server := range usable {
-		if w := mix(hostHash(server.HostID) ^ prefix); w >= weight {
+		if w := mix(hashHostID(server.HostID) ^ prefix); w >= weight {
 			best, weight = server, w
 		}
 	}
 	return best
 }
 
-// addRandom adds random servers, until choices of them are there.
+// addRandom adds up to t.choices random servers.
 func (t *Tracker) addRandom(out, usable []Server) []Server {
 	if t.choices >= len(usable) {
 		return appendAll(out, usable)
 	}
 	want := min(len(out)+t.choices, len(usable))
-	for tries := 0; len(out) < want && tries < 4*want; tries++ {
-		out = appendOnce(out, usable[t.random.IntN(len(usable))])
+	for draws := 0; len(out) < want && draws < 4*want; draws++ {
+		out = appendUnique(out, usable[t.random.IntN(len(usable))])
 	}
-	// In a small pool the draws may all fall on one server; were that one leaving, the request would be refused though
-	// another has room.
+	// In a small pool all draws may fall on one server. If that one is leaving, the request would be refused although
+	// another server has free slots.
 	for _, server := range usable {
 		if len(out) >= want {
 			break
 		}
-		out = appendOnce(out, server)
+		out = appendUnique(out, server)
 	}
 	return out
 }
 
-// appendAll appends all servers that out doesn't hold yet; drawn one by one, some dozens took as long as all else of a choice.
+// appendAll appends all servers that out doesn't contain yet. Drawing several dozen servers one by one instead took as
+// long as the rest of the placement decision.
 func appendAll(out, usable []Server) []Server {
-	first := out
+	existing := out
 	for _, server := range usable {
-		if !slices.ContainsFunc(first, func(s Server) bool { return s.HostID == server.HostID }) {
+		if !slices.ContainsFunc(existing, func(s Server) bool { return s.HostID == server.HostID }) {
 			out = append(out, server)
 		}
 	}
 	return out
 }
 
-func appendOnce(out []Server, server Server) []Server {
+func appendUnique(out []Server, server Server) []Server {
 	if slices.ContainsFunc(out, func(s Server) bool { return s.HostID == server.HostID }) {
 		return out
 	}
 	return append(out, server)
 }
 
-// Observe takes in a load that a server reported.
+// Observe records a load report of a server.
 func (t *Tracker) Observe(now time.Time, hostID string, load request.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	host := t.host(now, hostID)
 	host.load = load
-	host.reported = now
+	host.reportedAt = now
 }
 
-// Cached says that a server holds a prefix, as after a request ran there or by a cache event.
+// Cached records that a server holds a prefix, which a finished request or a cache event shows.
 func (t *Tracker) Cached(now time.Time, prefix uint64, hostID string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.beliefs.learn(now, prefix, hostID)
+	t.prefixLocations.record(now, prefix, hostID)
 }
 
-// Finished takes in a request that ended at a server: whether the server failed, and the time it took.
-// Where costs are known the time is that of a unit of cost (the time divided by Ask.Cost), so
-// that a server with long jobs isn't taken for a slow one. It isn't called for a refusal: that comes at
-// once and would make a full server look fast.
+// Finished records the duration of a request that ended at a server and whether the server failed. Where costs are
+// known, took is the duration divided by the cost of the request, so that a server with long jobs doesn't count as
+// slow. Refusals must not be recorded: they are immediate, so that a full server would look fast.
 func (t *Tracker) Finished(now time.Time, hostID string, took time.Duration, failed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	host := t.host(now, hostID)
-	host.learn(took, failed)
-	if failed || host.spared || now.Sub(t.judged) >= judgeInterval {
-		t.judge(now)
+	host.recordRequest(took, failed)
+	if failed || host.ejected || now.Sub(t.evaluatedAt) >= evaluationInterval {
+		t.updateEjections(now)
 	}
 }
 
-// Spared returns the hosts that are spared, sorted, for dumps.
-func (t *Tracker) Spared() []string {
+// Ejected returns the sorted IDs of the ejected servers.
+func (t *Tracker) Ejected() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
 	for id, host := range t.hosts {
-		if host.spared {
+		if host.ejected {
 			out = append(out, id)
 		}
 	}
@@ -229,38 +232,39 @@
 	return out
 }
 
+// host returns the state of a server, which it creates if there is none, and marks the server as seen.
 func (t *Tracker) host(now time.Time, hostID string) *hostState {
 	host, ok := t.hosts[hostID]
 	if !ok {
 		host = &hostState{}
 		t.hosts[hostID] = host
 	}
-	host.seen = now
+	host.lastSeen = now
 	return host
 }
 
-// judge compares the servers of each pool with their median, and forgets those that are long gone.
-func (t *Tracker) judge(now time.Time) {
-	t.judged = now
-	times := map[string][]float64{}
+// updateEjections compares each server with the median of its pool, and drops the state of servers not seen for hostTTL.
+func (t *Tracker) updateEjections(now time.Time) {
+	t.evaluatedAt = now
+	durations := map[string][]float64{}
 	for id, host := range t.hosts {
-		if now.Sub(host.seen) > forgetTime {
+		if now.Sub(host.lastSeen) > hostTTL {
 			delete(t.hosts, id)
 			continue
 		}
-		if host.samples >= leastSamples {
-			times[host.pool] = append(times[host.pool], host.logTime)
+		if host.samples >= minSamples {
+			durations[host.pool] = append(durations[host.pool], host.meanLogDuration)
 		}
 	}
-	for _, known := range times {
+	for _, known := range durations {
 		slices.Sort(known)
 	}
 	for _, host := range t.hosts {
-		known := times[host.pool]
-		if len(known) < leastPeers {
-			host.judge(now, 0, false)
+		known := durations[host.pool]
+		if len(known) < minPeers {
+			host.updateEjected(now, 0, false)
 			continue
 		}
-		host.judge(now, known[(len(known)-1)/2], true)
+		host.updateEjected(now, known[(len(known)-1)/2], true)
 	}
 }
