--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -8,25 +8,27 @@
 	"strings"
 )
 
-// Table is one version of the configuration. It never changes, so that goroutines may share it.
+// Table is one version of the configuration. It is immutable and therefore safe for concurrent use.
 type Table struct {
-	// Version orders configurations; it grows unevenly.
+	// Version increases with each configuration, not necessarily by one.
 	Version uint64
 	Limits  Limits
-	routes  map[string][]Route
-	pools   map[string]Pool
-	keys    map[[sha256.Size]byte]keyOwner
-	// tenanted is set if the configuration names organisations; without any, no request needs a key.
-	tenanted bool
+	// routes holds the routes of each host name, those with the longest prefix first.
+	routes map[string][]Route
+	pools  map[string]Pool
+	// keys maps the SHA-256 hash of each key to its owner.
+	keys map[[sha256.Size]byte]keyOwner
+	// hasOrganisations is set if the configuration names organisations; otherwise no request needs a key.
+	hasOrganisations bool
 }
 
-// keyOwner is the organisation of a key.
+// keyOwner is a key with the organisation that it belongs to.
 type keyOwner struct {
 	key          []byte
 	organisation Organisation
 }
 
-// OrganisationKeys is an organisation with the keys that its callers show.
+// OrganisationKeys is an organisation with the keys of its callers.
 type OrganisationKeys struct {
 	Organisation Organisation
 	Keys         []string
@@ -35,25 +37,25 @@
 // NewTable returns the table of one configuration version.
 func NewTable(version uint64, limits Limits, routes []Route, pools []Pool, organisations []OrganisationKeys) *Table {
 	t := &Table{
-		Version:  version,
-		Limits:   limits,
-		routes:   map[string][]Route{},
-		pools:    map[string]Pool{},
-		keys:     map[[sha256.Size]byte]keyOwner{},
-		tenanted: len(organisations) > 0,
+		Version:          version,
+		Limits:           limits,
+		routes:           map[string][]Route{},
+		pools:            map[string]Pool{},
+		keys:             map[[sha256.Size]byte]keyOwner{},
+		hasOrganisations: len(organisations) > 0,
 	}
 	for _, route := range routes {
 		t.routes[route.Host] = append(t.routes[route.Host], route)
 	}
-	for _, sameHost := range t.routes {
-		slices.SortFunc(sameHost, longestPrefixFirst)
+	for _, hostRoutes := range t.routes {
+		slices.SortFunc(hostRoutes, longestPrefixFirst)
 	}
 	for _, pool := range pools {
 		t.pools[pool.Name] = pool
 	}
-	for _, each := range organisations {
-		for _, key := range each.Keys {
-			t.keys[sha256.Sum256([]byte(key))] = keyOwner{key: []byte(key), organisation: each.Organisation}
+	for _, owner := range organisations {
+		for _, key := range owner.Keys {
+			t.keys[sha256.Sum256([]byte(key))] = keyOwner{key: []byte(key), organisation: owner.Organisation}
 		}
 	}
 	return t
@@ -63,7 +65,7 @@
 	return cmp.Or(cmp.Compare(len(b.Prefix), len(a.Prefix)), cmp.Compare(a.Prefix, b.Prefix), cmp.Compare(a.Name, b.Name))
 }
 
-// Match returns the route of the host with the longest prefix that begins the path.
+// Match returns the host's route with the longest prefix of the path.
 func (t *Table) Match(host, path string) (Route, bool) {
 	for _, route := range t.routes[CanonicalHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -73,15 +75,15 @@
 	return Route{}, false
 }
 
-// CanonicalHost strips a port and folds case, as host names are compared.
+// CanonicalHost returns the host name in lower case and without a port, as Match compares it.
 func CanonicalHost(host string) string {
-	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
-		host = host[:at]
+	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
+		host = host[:colon]
 	}
 	return strings.ToLower(host)
 }
 
-// Pool returns the pool of that name.
+// Pool returns the pool with the given name.
 func (t *Table) Pool(name string) (Pool, bool) {
 	pool, ok := t.pools[name]
 	return pool, ok
@@ -106,8 +108,8 @@
 	return count
 }
 
-// Organisation returns whose key it is. Keys are found by hash and compared in constant time, so that the time of a
-// refusal tells nothing about the keys in force.
+// Organisation returns the organisation that a key belongs to. Keys are looked up by hash and compared in constant
+// time, so that the time until a refusal reveals nothing about the valid keys.
 func (t *Table) Organisation(key string) (Organisation, bool) {
 	owner, ok := t.keys[sha256.Sum256([]byte(key))]
 	if !ok || subtle.ConstantTimeCompare(owner.key, []byte(key)) != 1 {
@@ -116,5 +118,5 @@
 	return owner.organisation, true
 }
 
-// NeedsKey says whether a request of the route must show the key of an organisation.
-func (t *Table) NeedsKey(route Route) bool { return t.tenanted && !route.Public }
+// NeedsKey reports whether requests of the route need the key of an organisation.
+func (t *Table) NeedsKey(route Route) bool { return t.hasOrganisations && !route.Public }
--- a/internal/core/routing/table_test.go
+++ b/internal/core/routing/table_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func table() *Table {
+func newTable() *Table {
 	routes := []Route{
 		{Name: "all", Host: "a.example", Prefix: "/"},
 		{Name: "long", Host: "a.example", Prefix: "/one/two/"},
@@ -18,16 +18,16 @@
 		name, host, path, want string
 	}{
 		{name: "longest prefix", host: "a.example", path: "/one/two/x", want: "long"},
-		{name: "prefix ends at a slash", host: "a.example", path: "/one/two", want: "short"},
+		{name: "prefix matches only whole path segments", host: "a.example", path: "/one/two", want: "short"},
 		{name: "host with port and capitals", host: "A.Example:80", path: "/one/x", want: "short"},
 		{name: "other host", host: "b.example", path: "/one/two/x", want: "other"},
-		{name: "no route of the host", host: "b.example", path: "/two/", want: ""},
+		{name: "path without a route", host: "b.example", path: "/two/", want: ""},
 		{name: "unknown host", host: "c.example", path: "/one/", want: ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			route, ok := table().Match(test.host, test.path)
+			route, ok := newTable().Match(test.host, test.path)
 			if route.Name != test.want || ok != (test.want != "") {
-				t.Errorf("got %q, %v; want %q", route.Name, ok, test.want)
+				t.Errorf("got route %q, found %v; want %q", route.Name, ok, test.want)
 			}
 		})
 	}
@@ -43,28 +43,28 @@
 		{name: "no key", key: ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			organisation, ok := table().Organisation(test.key)
+			organisation, ok := newTable().Organisation(test.key)
 			if organisation.Name != test.want || ok != (test.want != "") {
-				t.Errorf("got %q, %v; want %q", organisation.Name, ok, test.want)
+				t.Errorf("got organisation %q, found %v; want %q", organisation.Name, ok, test.want)
 			}
 		})
 	}
 }
 
-func TestPoolOfASplitRoute(t *testing.T) {
+func TestPoolIsChosenByWeight(t *testing.T) {
 	route := Route{Targets: []Target{{Pool: "a", Weight: 1}, {Pool: "b", Weight: 3}}}
 	for _, test := range []struct {
 		name string
 		draw float64
 		want string
 	}{
-		{name: "first quarter", draw: 0.2, want: "a"},
-		{name: "rest", draw: 0.3, want: "b"},
-		{name: "end", draw: 0.999, want: "b"},
+		{name: "draw within the first quarter", draw: 0.2, want: "a"},
+		{name: "draw above the first quarter", draw: 0.3, want: "b"},
+		{name: "draw near one", draw: 0.999, want: "b"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := route.Pool(test.draw); got != test.want {
-				t.Errorf("got %q, want %q", got, test.want)
+				t.Errorf("got pool %q, want %q", got, test.want)
 			}
 		})
 	}
