--- a/internal/core/fleet/state.go
+++ b/internal/core/fleet/state.go
@@ -2,98 +2,108 @@
 
 import "time"
 
-// Server is a backend server of the pool in the availability zone, as the host list and its last
-// load report show it.
+// Server is a backend server of the pool in the availability zone, according to the host list and its last
+// load report.
 type Server struct {
-	HostID  string
+	HostID string
+	// Leaving is set if the host list shows the server as leaving.
 	Leaving bool
 	// ReportAge is the age of the load report; negative if there is none.
 	ReportAge time.Duration
 	Running   int
 	Queued    int
-	// Limit is the number of requests that it runs at a time.
+	// Limit is the number of requests that the server runs at a time.
 	Limit int
-	// Draining says that the load report was made after the agent began to take no new work.
+	// Draining is set if the load report was made after the agent stopped accepting new requests.
 	Draining bool
 }
 
-// State is what a decision rests on.
+// State is the input of a decision.
 type State struct {
 	AvailabilityZone string
 	Pool             string
 	MinServers       int
-	MaxServers       int
-	StartupTime      time.Duration
+	// MaxServers is 0 if the number of servers isn't limited.
+	MaxServers  int
+	StartupTime time.Duration
 	// ViewAge is the age of the host list.
 	ViewAge time.Duration
 	Servers []Server
-	// Refused is the work turned away for want of capacity, as the average number of requests that
+	// Refused is the load that was refused for lack of capacity, as the average number of requests that
 	// would have been running; 0 if it isn't known.
 	Refused float64
-	// Memory is what the decision before returned; the zero value at the start of a lease.
+	// Memory is what the previous decision returned; the zero value at the start of a lease.
 	Memory Memory
 }
 
-// Hold says why a decision changes nothing.
+// Hold is the reason why a decision leaves the order unchanged.
 type Hold string
 
-// The reasons to leave the order as it is.
 const (
-	HoldNone        Hold = ""
-	HoldSettled     Hold = "settled"
-	HoldStaleView   Hold = "staleView"
+	// HoldNone means that the decision changes the order.
+	HoldNone Hold = ""
+	// HoldSettled means that the order isn't higher than needed.
+	HoldSettled Hold = "settled"
+	// HoldStaleView means that the host list is too old.
+	HoldStaleView Hold = "staleView"
+	// HoldPartialView means that too many load reports are missing or that the host list has just lost many servers.
 	HoldPartialView Hold = "partialView"
-	HoldWarmUp      Hold = "warmUp"
-	HoldDraining    Hold = "draining"
+	// HoldWarmUp means that it is too soon after the first decision or the last change to lower the order.
+	HoldWarmUp Hold = "warmUp"
+	// HoldDraining means that the order can't be lowered before a server is drained.
+	HoldDraining Hold = "draining"
 )
 
-// Decision is how many servers the zone is to have, and which of them are to take no new work.
+// Decision is the number of servers that the zone should have, and the servers that should accept no new requests.
 type Decision struct {
 	// Hold is empty if Count is to be ordered.
 	Hold Hold
-	// Count is the number of servers to order; with a Hold it's the number believed in force.
+	// Count is the number of servers to order. With a Hold it is the number assumed to be in force.
 	Count int
-	// Drain names the hosts that take no new work from now on; all others take work, but for those
-	// that an order has named as drained.
+	// Drain are the hosts that should accept no new requests from now on. All others should accept requests, except
+	// those that an order has named as drained.
 	Drain []string
-	// Drained names the hosts that serve nothing any more and are stopped by this order.
+	// Drained are the hosts that run no requests any more and are stopped by this order.
 	Drained []string
-	// Need is the number of servers for the work forecast.
+	// Need is the number of servers for the forecast load. With an unreliable view it equals Count.
 	Need   int
 	Memory Memory
 }
 
-// Memory is carried from one decision to the next.
+// Memory is the state of the policy that is passed from one decision to the next.
 type Memory struct {
-	// Since is when the first decision was taken.
-	Since time.Time
-	// Ordered is the count of the last order; 0 before the first.
+	// StartedAt is the time of the first decision.
+	StartedAt time.Time
+	// Ordered is the order in force: the number of servers last ordered, or that ran at the first decision.
 	Ordered int
-	// Level and Slope are the smoothed work, in requests running or waiting, and its growth a second.
+	// Level is the smoothed load in requests, and Slope its smoothed growth in requests per second.
 	Level float64
 	Slope float64
-	At    time.Time
-	// Peaks are the needs of the time that counts for going down, decreasing.
+	// LoadAt is when Level and Slope were last updated; zero before the first time.
+	LoadAt time.Time
+	// Peaks are the needs of the stabilisation window that no later need has exceeded, in the order of time.
 	Peaks []Peak
-	// Live is the number of live servers seen last, SuspectSince when it fell suddenly.
+	// Live is the last trusted number of live servers. SuspectSince is when the number fell below half of it;
+	// zero if it didn't.
 	Live         int
 	SuspectSince time.Time
-	// Raised and Lowered are when the order was last raised and lowered.
-	Raised  time.Time
-	Lowered time.Time
+	// RaisedAt and LoweredAt are when the order was last raised and lowered.
+	RaisedAt  time.Time
+	LoweredAt time.Time
 	// Drain are the hosts being drained, sorted.
 	Drain []string
 	// Stopped are the hosts that an order named as drained and that the host list still shows.
-	Stopped []Stop
+	Stopped []StoppedHost
 }
 
-// Stop is a host that an order named as drained.
-type Stop struct {
+// StoppedHost is a host that an order named as drained.
+type StoppedHost struct {
 	HostID string
-	At     time.Time
+	// At is the time of the order.
+	At time.Time
 }
 
-// Peak is a need seen at a time.
+// Peak is a need with the time of its decision.
 type Peak struct {
 	At   time.Time
 	Need int
