--- a/internal/core/weights/planner.go
+++ b/internal/core/weights/planner.go
@@ -1,16 +1,18 @@
 // Package weights decides which backend server loads which weight version, and when.
 //
-// Load pattern: several trainers share the engines; each names a new version every few seconds, and its next step accepts
-// the version before as well. A load takes about a second in which the server starts nothing, and longer while too many
-// servers load; the loads beyond each trainer's share of servers are paid for.
+// Several trainers share the servers. Each trainer announces a new version of its model every few seconds, and the next
+// step accepts that version and the one before. A load takes about a second, in which the server starts no request, and
+// longer while too many servers load. Loads beyond each trainer's share of the servers cost money.
 //
-// Without it: all servers load each version of each model, most of the time nobody serves, and every load is slow.
+// If all servers loaded every version of every model, most of the time no server would serve requests, and every load
+// would be slow.
 //
-// Each model has a share of the servers in proportion to the token rate that its jobs require. Of these, those that the next step can't
-// use any more load first, whatever they run.
-// The others serve the next step as they are. When they are idle they load as well; and half of a model's servers load each version
-// within its step, busy or not, so that the next version never finds all of them two behind, and nobody to serve its step at once.
-// Half of a model's servers at most load at a time.
+// Each model is therefore assigned a share of the servers in proportion to the token rate that its jobs require. Of
+// these servers, those whose version the next step doesn't accept load first, even while they run requests. The others
+// serve the next step with the version that they have, and load the new one when they are idle. In addition, half of a
+// model's servers load each version within its step even if they are busy; otherwise all servers could be two versions
+// behind at the next version, and none could serve its step at once. At most half of a model's servers load at the
+// same time.
 package weights
 
 import (
@@ -22,21 +24,23 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/backend"
 )
 
-// Figures of the plan.
+// Parameters of the plan.
 const (
-	// loadPart is the part of a pool's servers that load at once at most. Loads of more than a fifth of the servers were
-	// slower, each by the number of the others.
-	loadPart = 5
-	// leastLoads lets small pools change within a step.
-	leastLoads = 2
-	// orderTime is how long an accepted order counts as being carried out without any sign of it: several times the usual
-	// time of a load. An order whose answer was lost may be carried out as late.
-	orderTime = 4 * time.Second
-	// firstVersion is the version of a model whose trainer hasn't named one yet.
+	// loadingDivisor sets the share of a pool's servers, a fifth, that may load at the same time. When more of them loaded,
+	// each load took longer in proportion to the number of the others.
+	loadingDivisor = 5
+	// minLoading is the number of servers that may load at the same time even in a small pool, so that it changes versions
+	// within a step.
+	minLoading = 2
+	// orderExpiry is how long an accepted order counts as being carried out without any sign of it. It is several times
+	// the usual time of a load, since an order whose answer was lost may be carried out that late.
+	orderExpiry = 4 * time.Second
+	// firstVersion is the version of a model before its trainer has announced one.
 	firstVersion = 1
-	// settleTime is how long after a version was named a busy server isn't made to load it: the step that the version was named
-	// for begins at about that time, and is through its first items by then.
-	settleTime = 1500 * time.Millisecond
+	// busyLoadDelay is the time after the announcement of a version in which servers with more than half of their slots
+	// taken aren't ordered to load it. The step for the version begins at about the time of the announcement, and its first
+	// items are finished after the delay.
+	busyLoadDelay = 1500 * time.Millisecond
 )
 
 // Order tells a server to load a version of a model.
@@ -46,77 +50,80 @@
 	Version int
 }
 
-// Engine is a server with what is known of it beside its registration.
+// Engine is a registered server of a model pool with its current load.
 type Engine struct {
 	backend.Server
-	// Running is how many requests are known to run there.
+	// Running is the number of requests known to run on the server.
 	Running int
-	// Hold is set while the server is not to be ordered anything.
+	// Hold is set while the server must not get orders.
 	Hold bool
 }
 
-// sighting is when a version was first seen as the newest.
-type sighting struct {
+// announcement is a model's newest version with the time at which the planner first saw it.
+type announcement struct {
 	version int
-	at      time.Time
+	seenAt  time.Time
 }
 
-// pending is an order that was given and has not shown its effect.
-type pending struct {
+// pendingOrder is an order that was given and has not taken effect yet.
+type pendingOrder struct {
 	order Order
 	at    time.Time
 }
 
-// Planner remembers which server belongs to which model and what was ordered. It is not safe for concurrent use.
+// Planner assigns the servers of one pool to models and keeps track of the orders given. It is not safe for concurrent use.
 type Planner struct {
-	models map[backend.Key]string
-	orders map[backend.Key]pending
-	seen   map[string]sighting
+	// models holds the model that each server is assigned to.
+	models  map[backend.Key]string
+	pending map[backend.Key]pendingOrder
+	// announced holds the newest version of each model.
+	announced map[string]announcement
 }
 
-// NewPlanner returns a planner that knows nothing.
+// NewPlanner returns a planner without assignments or orders.
 func NewPlanner() *Planner {
-	return &Planner{models: map[backend.Key]string{}, orders: map[backend.Key]pending{}, seen: map[string]sighting{}}
+	return &Planner{models: map[backend.Key]string{}, pending: map[backend.Key]pendingOrder{}, announced: map[string]announcement{}}
 }
 
-// Next returns the orders to give now. Engines are those of one pool; named holds the newest version of each model, and rates
-// the token rate that it requires. Models without a rate get the mean of the others.
-func (p *Planner) Next(now time.Time, engines []Engine, named map[string]int, rates map[string]float64) []Order {
+// Next returns the orders to give now. engines are those of one pool; newest holds the newest version of each model, and
+// rates the token rate that it requires. Models without a rate get the mean of the others.
+func (p *Planner) Next(now time.Time, engines []Engine, newest map[string]int, rates map[string]float64) []Order {
 	engines = slices.DeleteFunc(slices.Clone(engines), func(e Engine) bool { return e.Draining || len(e.Models) == 0 })
 	slices.SortFunc(engines, func(a, b Engine) int { return cmp.Compare(a.ID, b.ID) })
-	p.see(now, named)
-	p.settle(now, engines)
-	p.assign(engines, named, rates)
-	free := max(leastLoads, len(engines)/loadPart) - len(p.orders)
+	p.recordVersions(now, newest)
+	p.prune(now, engines)
+	p.assign(engines, newest, rates)
+	allowed := max(minLoading, len(engines)/loadingDivisor) - len(p.pending)
 	var orders []Order
-	for _, engine := range p.due(now, engines, named) {
-		if len(orders) >= free {
+	for _, engine := range p.dueEngines(now, engines, newest) {
+		if len(orders) >= allowed {
 			break
 		}
 		if engine.Hold {
 			continue
 		}
 		model := p.models[engine.Key()]
-		orders = append(orders, Order{Server: engine.Server, Model: model, Version: named[model]})
+		orders = append(orders, Order{Server: engine.Server, Model: model, Version: newest[model]})
 	}
 	return orders
 }
 
-// settle forgets servers that are gone, and orders that took effect or never will.
-func (p *Planner) settle(now time.Time, engines []Engine) {
-	alive := map[backend.Key]Engine{}
+// prune removes servers that are gone, and orders that took effect or have expired.
+func (p *Planner) prune(now time.Time, engines []Engine) {
+	live := map[backend.Key]Engine{}
 	for _, engine := range engines {
-		alive[engine.Key()] = engine
+		live[engine.Key()] = engine
 	}
-	maps.DeleteFunc(p.models, func(key backend.Key, _ string) bool { _, ok := alive[key]; return !ok })
-	maps.DeleteFunc(p.orders, func(key backend.Key, given pending) bool {
-		engine, ok := alive[key]
-		return !ok || engine.Models[given.order.Model] >= given.order.Version || now.Sub(given.at) > orderTime
+	maps.DeleteFunc(p.models, func(key backend.Key, _ string) bool { _, ok := live[key]; return !ok })
+	maps.DeleteFunc(p.pending, func(key backend.Key, pending pendingOrder) bool {
+		engine, ok := live[key]
+		return !ok || engine.Models[pending.order.Model] >= pending.order.Version || now.Sub(pending.at) > orderExpiry
 	})
 }
 
-// assign gives each server a model: the one whose versions it has been loading, else one that is below its share.
-func (p *Planner) assign(engines []Engine, named map[string]int, rates map[string]float64) {
+// assign assigns each new server to a model: the one whose versions it has loaded so far, otherwise one that is below its
+// share. It then moves at most one server between models.
+func (p *Planner) assign(engines []Engine, newest map[string]int, rates map[string]float64) {
 	if len(engines) == 0 {
 		return
 	}
@@ -128,39 +135,41 @@
 		if _, ok := p.models[engine.Key()]; ok {
 			continue
 		}
-		model := modelFor(engine, named, shares, len(engines))
+		model := modelFor(engine, newest, shares, len(engines))
 		p.models[engine.Key()] = model
 		shares.counts[model]++
 	}
 	p.balance(engines, shares)
 }
 
-func modelFor(engine Engine, named map[string]int, shares shares, servers int) string {
-	if model, ok := formerModel(engine, named); ok {
+// modelFor returns the model for a server without an assignment.
+func modelFor(engine Engine, newest map[string]int, shares shares, servers int) string {
+	if model, ok := previousModel(engine, newest); ok {
 		return model
 	}
 	models := slices.Sorted(maps.Keys(engine.Models))
 	return slices.MinFunc(models, func(a, b string) int {
 		return cmp.Or(
-			cmp.Compare(shares.rank(a, named[a]-engine.Models[a], servers), shares.rank(b, named[b]-engine.Models[b], servers)),
+			cmp.Compare(shares.rank(a, newest[a]-engine.Models[a], servers), shares.rank(b, newest[b]-engine.Models[b], servers)),
 			cmp.Compare(shares.ratePerServer(b, 1), shares.ratePerServer(a, 1)),
 		)
 	})
 }
 
-// formerModel infers from the loaded versions which model an earlier holder of the duties assigned to the server; it returns false if no
-// single model stands out, as on a new server, which has the first or the newest version of all models.
-func formerModel(engine Engine, named map[string]int) (string, bool) {
-	least, model, unique := 0, "", false
+// previousModel infers from the loaded versions which model an earlier leader assigned to the server: the one that is
+// the fewest versions behind. It returns false if several models are equally far behind or none has been loaded, as on
+// a new server, which has the first or the newest version of all models.
+func previousModel(engine Engine, newest map[string]int) (string, bool) {
+	fewest, model, unique := 0, "", false
 	for name, version := range engine.Models {
 		if version <= firstVersion {
 			continue
 		}
-		behind := named[name] - version
+		behind := newest[name] - version
 		switch {
-		case model == "" || behind < least:
-			least, model, unique = behind, name, true
-		case behind == least:
+		case model == "" || behind < fewest:
+			fewest, model, unique = behind, name, true
+		case behind == fewest:
 			unique = false
 		}
 	}
@@ -181,8 +190,9 @@
 	}
 }
 
-// due returns the servers that are to load, most urgent first: those whose version the next step can't use, then idle ones.
-func (p *Planner) due(now time.Time, engines []Engine, named map[string]int) []Engine {
+// dueEngines returns the servers that should load, most urgent first: those that are the most versions behind, then
+// those that run the fewest requests.
+func (p *Planner) dueEngines(now time.Time, engines []Engine, newest map[string]int) []Engine {
 	byModel := map[string][]Engine{}
 	for _, engine := range engines {
 		model := p.models[engine.Key()]
@@ -190,70 +200,73 @@
 	}
 	var due []Engine
 	for _, model := range slices.Sorted(maps.Keys(byModel)) {
-		due = append(due, p.dueOf(now, model, byModel[model], named[model])...)
+		due = append(due, p.dueEnginesOf(now, model, byModel[model], newest[model])...)
 	}
 	slices.SortStableFunc(due, func(a, b Engine) int {
-		return cmp.Or(cmp.Compare(p.behind(b, named), p.behind(a, named)), cmp.Compare(a.Running, b.Running))
+		return cmp.Or(cmp.Compare(p.versionsBehind(b, newest), p.versionsBehind(a, newest)), cmp.Compare(a.Running, b.Running))
 	})
 	return due
 }
 
-func (p *Planner) dueOf(now time.Time, model string, engines []Engine, version int) []Engine {
-	loading, newest := 0, 0
-	var old, before []Engine
+// dueEnginesOf returns the servers of one model that should load the version.
+func (p *Planner) dueEnginesOf(now time.Time, model string, engines []Engine, version int) []Engine {
+	loading, current := 0, 0
+	var outdated, previous []Engine
 	for _, engine := range engines {
-		_, ordered := p.orders[engine.Key()]
+		_, ordered := p.pending[engine.Key()]
 		switch behind := version - engine.Models[model]; {
 		case ordered:
 			loading++
 		case behind <= 0:
-			newest++
+			current++
 		case behind > 1:
-			old = append(old, engine)
+			outdated = append(outdated, engine)
 		default:
-			before = append(before, engine)
+			previous = append(previous, engine)
 		}
 	}
-	slices.SortStableFunc(before, func(a, b Engine) int { return cmp.Compare(a.Running, b.Running) })
+	slices.SortStableFunc(previous, func(a, b Engine) int { return cmp.Compare(a.Running, b.Running) })
 	half := (len(engines) + 1) / 2
-	missing := half - newest - loading - len(old)
-	room := half - loading - len(old)
-	settled := now.Sub(p.seen[model].at) >= settleTime
-	due := old
-	for _, engine := range before {
-		if room > 0 && (engine.Running == 0 || missing > 0 && (settled || 2*engine.Running <= engine.Slots)) {
+	// missing is how many more servers must load until half of them have the version, and allowed how many more may load now.
+	missing := half - current - loading - len(outdated)
+	allowed := half - loading - len(outdated)
+	busyMayLoad := now.Sub(p.announced[model].seenAt) >= busyLoadDelay
+	due := outdated
+	for _, engine := range previous {
+		if allowed > 0 && (engine.Running == 0 || missing > 0 && (busyMayLoad || 2*engine.Running <= engine.Slots)) {
 			due = append(due, engine)
 			missing--
-			room--
+			allowed--
 		}
 	}
 	return due
 }
 
-// see remembers since when each model has its newest version.
-func (p *Planner) see(now time.Time, named map[string]int) {
-	for model, version := range named {
-		if p.seen[model].version != version {
-			p.seen[model] = sighting{version: version, at: now}
+// recordVersions records when each model's newest version was first seen.
+func (p *Planner) recordVersions(now time.Time, newest map[string]int) {
+	for model, version := range newest {
+		if p.announced[model].version != version {
+			p.announced[model] = announcement{version: version, seenAt: now}
 		}
 	}
 }
 
-func (p *Planner) behind(engine Engine, named map[string]int) int {
+// versionsBehind returns how many versions behind the newest one the server is, for the model that it is assigned to.
+func (p *Planner) versionsBehind(engine Engine, newest map[string]int) int {
 	model := p.models[engine.Key()]
-	return named[model] - engine.Models[model]
+	return newest[model] - engine.Models[model]
 }
 
-// Ordered takes in that an order was given or that its answer was lost.
+// Ordered records an order that the server accepted or, if its answer was lost, may have accepted.
 func (p *Planner) Ordered(now time.Time, order Order) {
-	p.orders[order.Server.Key()] = pending{order: order, at: now}
+	p.pending[order.Server.Key()] = pendingOrder{order: order, at: now}
 }
 
-// Refused takes in that an order was certainly not accepted.
-func (p *Planner) Refused(order Order) { delete(p.orders, order.Server.Key()) }
+// Refused records that an order was certainly not accepted.
+func (p *Planner) Refused(order Order) { delete(p.pending, order.Server.Key()) }
 
-// Models returns how many servers each model has.
-func (p *Planner) Models() map[string]int {
+// ServerCounts returns the number of servers that are assigned to each model.
+func (p *Planner) ServerCounts() map[string]int {
 	counts := map[string]int{}
 	for _, model := range p.models {
 		counts[model]++
--- a/internal/core/weights/planner_test.go
+++ b/internal/core/weights/planner_test.go
@@ -12,8 +12,8 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// pool returns engines that hold the versions of models a and b.
-func pool(versions ...[2]int) []Engine {
+// newPool returns engines that have the given versions of the models a and b.
+func newPool(versions ...[2]int) []Engine {
 	var engines []Engine
 	for i, version := range versions {
 		engines = append(engines, Engine{Server: backend.Server{
@@ -23,7 +23,8 @@
 	return engines
 }
 
-func names(orders []Order) []string {
+// formatOrders returns the server, model and version of each order.
+func formatOrders(orders []Order) []string {
 	var out []string
 	for _, order := range orders {
 		out = append(out, fmt.Sprintf("%s %s%d", order.Server.ID, order.Model, order.Version))
@@ -32,7 +33,7 @@
 }
 
 func TestNext(t *testing.T) {
-	all := func(version int, count int) [][2]int {
+	repeat := func(version int, count int) [][2]int {
 		out := make([][2]int, count)
 		for i := range out {
 			out[i] = [2]int{version, version}
@@ -42,26 +43,26 @@
 	for _, test := range []struct {
 		name    string
 		engines []Engine
-		named   map[string]int
-		busy    int
-		after   time.Duration
+		newest  map[string]int
+		running int
+		delay   time.Duration
 		want    []string
 	}{
-		{name: "nothing is named", engines: pool(all(1, 4)...), named: map[string]int{}},
-		{name: "idle engines of a model load, half of them", engines: pool(all(1, 4)...), named: map[string]int{"a": 2}, want: []string{"e0 a2"}},
-		{name: "busy ones wait", engines: pool(all(1, 4)...), named: map[string]int{"a": 2}, busy: 12},
-		{name: "until the step is under way", engines: pool(all(1, 4)...), named: map[string]int{"a": 2}, busy: 12, after: settleTime, want: []string{"e0 a2"}},
-		{name: "those that the step can't use load at once, busy or not", engines: pool(all(1, 4)...), named: map[string]int{"a": 3}, busy: 12, want: []string{"e2 a3", "e3 a3"}},
-		{name: "two at a time", engines: pool(all(1, 8)...), named: map[string]int{"a": 3, "b": 3}, want: []string{"e0 a3", "e2 a3"}},
-		{name: "more in large pools", engines: pool(all(1, 20)...), named: map[string]int{"a": 3}, want: []string{"e18 a3", "e19 a3", "e2 a3", "e3 a3"}},
+		{name: "no version is announced", engines: newPool(repeat(1, 4)...), newest: map[string]int{}},
+		{name: "half of the idle engines of a model load", engines: newPool(repeat(1, 4)...), newest: map[string]int{"a": 2}, want: []string{"e0 a2"}},
+		{name: "busy engines wait at first", engines: newPool(repeat(1, 4)...), newest: map[string]int{"a": 2}, running: 12},
+		{name: "busy engines load after the delay", engines: newPool(repeat(1, 4)...), newest: map[string]int{"a": 2}, running: 12, delay: busyLoadDelay, want: []string{"e0 a2"}},
+		{name: "busy engines two versions behind load at once", engines: newPool(repeat(1, 4)...), newest: map[string]int{"a": 3}, running: 12, want: []string{"e2 a3", "e3 a3"}},
+		{name: "two engines at a time", engines: newPool(repeat(1, 8)...), newest: map[string]int{"a": 3, "b": 3}, want: []string{"e0 a3", "e2 a3"}},
+		{name: "a fifth of the engines at a time in large pools", engines: newPool(repeat(1, 20)...), newest: map[string]int{"a": 3}, want: []string{"e18 a3", "e19 a3", "e2 a3", "e3 a3"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			planner := NewPlanner()
 			for i := range test.engines {
-				test.engines[i].Running = test.busy
+				test.engines[i].Running = test.running
 			}
-			planner.see(start, test.named)
-			got := names(planner.Next(start.Add(test.after), test.engines, test.named, nil))
+			planner.recordVersions(start, test.newest)
+			got := formatOrders(planner.Next(start.Add(test.delay), test.engines, test.newest, nil))
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Error(diff)
 			}
@@ -69,17 +70,18 @@
 	}
 }
 
-// A step accepts the version before its own as well. If all engines of a model load only when they must, they all must at the same time,
-// and no engine serves the step for the time of several loads. Played over many versions, there are always engines that can.
-func TestSomeEnginesServeEachNewVersionAtOnce(t *testing.T) {
-	engines := pool([2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1})
+// Guards against steps that no engine can serve. A step accepts its own version and the one before. If engines loaded only
+// when they have neither, all of a model's engines would load at the same time and none would serve the step for the
+// time of several loads. Over 20 versions, some engine must be able to serve at any time.
+func TestSomeEngineCanServeEveryNewVersion(t *testing.T) {
+	engines := newPool([2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1})
 	planner := NewPlanner()
 	loading := map[int]time.Time{}
 	loads := 0
 	const step = 4 * time.Second
 	for at := start; at.Before(start.Add(20 * step)); at = at.Add(100 * time.Millisecond) {
 		version := 2 + int(at.Sub(start)/step)
-		named := map[string]int{"a": version, "b": version}
+		newest := map[string]int{"a": version, "b": version}
 		for i := range engines {
 			engines[i].Running = 8
 			if done, ok := loading[i]; ok && !at.Before(done) {
@@ -89,7 +91,7 @@
 				delete(loading, i)
 			}
 		}
-		for _, order := range planner.Next(at, engines, named, nil) {
+		for _, order := range planner.Next(at, engines, newest, nil) {
 			planner.Ordered(at, order)
 			for i := range engines {
 				if engines[i].ID == order.Server.ID {
@@ -99,44 +101,45 @@
 			}
 		}
 		for _, model := range []string{"a", "b"} {
-			if usable := usableFor(engines, model, version-1, loading); usable == 0 {
+			if usable := countUsable(engines, model, version-1, loading); usable == 0 {
 				t.Errorf("%v after the start: no engine serves version %d of %s", at.Sub(start), version-1, model)
 			}
 		}
 	}
-	if most := 20 * len(engines); loads > most {
-		t.Errorf("%d loads; each engine would load each version with %d", loads, most)
+	if limit := 20 * len(engines); loads > limit {
+		t.Errorf("%d loads, want at most %d: one per engine and version", loads, limit)
 	}
 }
 
-func usableFor(engines []Engine, model string, version int, loading map[int]time.Time) int {
+// countUsable returns how many engines have at least the version of the model and aren't loading.
+func countUsable(engines []Engine, model string, version int, loading map[int]time.Time) int {
 	usable := 0
 	for i, engine := range engines {
-		if _, busy := loading[i]; !busy && engine.Models[model] >= version {
+		if _, isLoading := loading[i]; !isLoading && engine.Models[model] >= version {
 			usable++
 		}
 	}
 	return usable
 }
 
-func TestModelsShareTheEngines(t *testing.T) {
+func TestEnginesKeepTheModelThatTheyHaveLoaded(t *testing.T) {
 	planner := NewPlanner()
-	engines := pool([2]int{5, 1}, [2]int{5, 1}, [2]int{1, 5}, [2]int{1, 5}, [2]int{1, 1})
+	engines := newPool([2]int{5, 1}, [2]int{5, 1}, [2]int{1, 5}, [2]int{1, 5}, [2]int{1, 1})
 	planner.Next(start, engines, map[string]int{"a": 5, "b": 5}, nil)
-	counts := planner.Models()
+	counts := planner.ServerCounts()
 	if counts["a"]+counts["b"] != 5 || counts["a"] < 2 || counts["b"] < 2 {
-		t.Errorf("%v", counts)
+		t.Errorf("engines by model: %v", counts)
 	}
 	for i, want := range []string{"a", "a", "b", "b"} {
 		if got := planner.models[engines[i].Key()]; got != want {
-			t.Errorf("e%d has its weights of %s and was given %s", i, want, got)
+			t.Errorf("e%d has loaded versions of %s and was assigned to %s", i, want, got)
 		}
 	}
 }
 
-func TestALostEngineLeavesTheOthersAsTheyAre(t *testing.T) {
+func TestLosingAnEngineKeepsOtherAssignments(t *testing.T) {
 	planner := NewPlanner()
-	engines := pool([2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1})
+	engines := newPool([2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1})
 	planner.Next(start, engines, nil, nil)
 	before := map[backend.Key]string{}
 	for key, model := range planner.models {
@@ -150,32 +153,33 @@
 	}
 }
 
-// An order whose answer was lost may be carried out seconds later, so the engine isn't ordered anew at once, and not for ever.
-func TestAnOrderWithoutEffectIsGivenAgain(t *testing.T) {
+// An order whose answer was lost may be carried out seconds later. It must not be repeated at once, but must be repeated
+// after it has expired.
+func TestOrderWithoutEffectIsRepeated(t *testing.T) {
 	planner := NewPlanner()
-	engines := pool([2]int{1, 1})
-	named := map[string]int{"a": 2}
-	orders := planner.Next(start, engines, named, nil)
+	engines := newPool([2]int{1, 1})
+	newest := map[string]int{"a": 2}
+	orders := planner.Next(start, engines, newest, nil)
 	if len(orders) != 1 {
 		t.Fatal(orders)
 	}
 	planner.Ordered(start, orders[0])
-	if again := planner.Next(start.Add(orderTime/2), engines, named, nil); len(again) != 0 {
-		t.Errorf("again at once: %v", again)
+	if repeated := planner.Next(start.Add(orderExpiry/2), engines, newest, nil); len(repeated) != 0 {
+		t.Errorf("repeated before it expired: %v", repeated)
 	}
-	if again := planner.Next(start.Add(orderTime+time.Millisecond), engines, named, nil); len(again) != 1 {
-		t.Error("never again")
+	if repeated := planner.Next(start.Add(orderExpiry+time.Millisecond), engines, newest, nil); len(repeated) != 1 {
+		t.Error("not repeated after it expired")
 	}
 }
 
-func TestEnginesOnHoldAndLeavingGetNoOrder(t *testing.T) {
+func TestEnginesOnHoldOrDrainingGetNoOrder(t *testing.T) {
 	planner := NewPlanner()
-	engines := pool([2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1})
+	engines := newPool([2]int{1, 1}, [2]int{1, 1}, [2]int{1, 1})
 	engines[0].Hold = true
 	engines[1].Draining = true
 	for _, order := range planner.Next(start, engines, map[string]int{"a": 3, "b": 3}, nil) {
 		if order.Server.ID != "e2" {
-			t.Errorf("%v", order)
+			t.Errorf("unexpected order %v", order)
 		}
 	}
 }
--- a/internal/core/weights/shares.go
+++ b/internal/core/weights/shares.go
@@ -6,15 +6,14 @@
 	"slices"
 )
 
-// minMoveGain is the least ratio between the token rate per server of the model that receives a server and that of the model that gives
-// it up, after it has. It keeps servers in place while steps vary in size: a move costs a weight load and the server's cached prompts.
+// minMoveGain is the minimum ratio of the token rate per server of the model that receives a server, before the move, to
+// that of the model that gives it up, after the move. It keeps servers in place while steps vary in size: a move costs a
+// weight load and the server's cached prompts.
 const minMoveGain = 1.15
 
-// shares holds the number of servers and the required token rate of each model.
-//
-// Load pattern: trainers share the engines, and the steps of one have twice as many items as those of another.
-//
-// Without it: all models have equally many servers; those of small steps are idle while large steps miss their deadlines.
+// shares holds the number of servers and the required token rate of each model. Servers are divided in proportion to the
+// token rates because the steps of one trainer may have twice as many items as those of another: with equal numbers of
+// servers, those of small steps would be idle while large steps miss their deadlines.
 type shares struct {
 	models []string
 	rates  map[string]float64
@@ -59,8 +58,8 @@
 	return float64(s.counts[model]) >= math.Ceil(float64(servers)*s.rates[model]/sum)
 }
 
-// rank orders models for a server, lowest first: models below their share come before the others, and within both groups those of which
-// the server is at most one version behind.
+// rank orders models for a server, lowest first: models below their share come before the others, and within both groups
+// those for which the server is at most one version behind.
 func (s shares) rank(model string, behind, servers int) int {
 	rank := 0
 	if behind > 1 {
@@ -80,7 +79,7 @@
 	to = slices.MaxFunc(s.models, func(a, b string) int { return cmp.Compare(s.ratePerServer(a, 0), s.ratePerServer(b, 0)) })
 	from = slices.MinFunc(s.models, func(a, b string) int { return cmp.Compare(s.ratePerServer(a, -1), s.ratePerServer(b, -1)) })
 	if !s.ratesKnown && s.counts[to] > 0 {
-		// A new holder of the duties doesn't know the rates yet and keeps the assignment that it found.
+		// A new leader doesn't know the token rates yet and keeps the assignment that it found.
 		return "", "", false
 	}
 	return from, to, from != to && s.ratePerServer(to, 0) > minMoveGain*s.ratePerServer(from, -1)
--- a/internal/core/weights/shares_test.go
+++ b/internal/core/weights/shares_test.go
@@ -22,12 +22,12 @@
 }
 
 // planForMinute runs the planner every 200 ms for a minute and returns the number of engines of each model.
-func planForMinute(t *testing.T, planner *Planner, from time.Time, engines []Engine, named map[string]int, rates map[string]float64) map[string]int {
+func planForMinute(t *testing.T, planner *Planner, from time.Time, engines []Engine, newest map[string]int, rates map[string]float64) map[string]int {
 	t.Helper()
 	for i := range 300 {
-		planner.Next(from.Add(time.Duration(i)*200*time.Millisecond), engines, named, rates)
+		planner.Next(from.Add(time.Duration(i)*200*time.Millisecond), engines, newest, rates)
 	}
-	return planner.Models()
+	return planner.ServerCounts()
 }
 
 // Guards against idle engines of one trainer while the steps of another one, which require a higher token rate, miss their deadlines.
@@ -46,12 +46,12 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var models []string
-			named := map[string]int{}
+			newest := map[string]int{}
 			for model := range test.rates {
 				models = append(models, model)
-				named[model] = 1
+				newest[model] = 1
 			}
-			counts := planForMinute(t, NewPlanner(), start, newEngines(test.engines, models...), named, test.rates)
+			counts := planForMinute(t, NewPlanner(), start, newEngines(test.engines, models...), newest, test.rates)
 			var perEngine []float64
 			for model, rate := range test.rates {
 				perEngine = append(perEngine, rate/float64(counts[model]))
@@ -70,14 +70,14 @@
 // Guards against engines that change models whenever a step varies in size: each change costs a weight load and the cached prompts.
 func TestSmallChangesOfTokenRatesMoveNoEngine(t *testing.T) {
 	engines := newEngines(92, "a", "b", "c")
-	named := map[string]int{"a": 1, "b": 1, "c": 1}
+	newest := map[string]int{"a": 1, "b": 1, "c": 1}
 	planner := NewPlanner()
-	planForMinute(t, planner, start, engines, named, map[string]float64{"a": 100, "b": 200, "c": 100})
+	planForMinute(t, planner, start, engines, newest, map[string]float64{"a": 100, "b": 200, "c": 100})
 	before := map[backend.Key]string{}
 	for key, model := range planner.models {
 		before[key] = model
 	}
-	planForMinute(t, planner, start.Add(time.Minute), engines, named, map[string]float64{"a": 105, "b": 195, "c": 97})
+	planForMinute(t, planner, start.Add(time.Minute), engines, newest, map[string]float64{"a": 105, "b": 195, "c": 97})
 	for key, model := range planner.models {
 		if before[key] != model {
 			t.Errorf("%s changed from %s to %s", key.ID, before[key], model)
@@ -85,20 +85,20 @@
 	}
 }
 
-// Guards against mass reassignment after a change of the holder of the duties: the new holder doesn't know the token rates at first, and
+// Guards against mass reassignment after a change of leader: the new leader doesn't know the token rates at first, and
 // equal shares would make half of the engines load another model.
-func TestANewHolderKeepsTheShares(t *testing.T) {
+func TestNewLeaderKeepsTheAssignment(t *testing.T) {
 	rates := map[string]float64{"a": 30, "b": 10, "c": 10}
 	engines := newEngines(20, "a", "b", "c")
 	first := NewPlanner()
 	counts := planForMinute(t, first, start, engines, map[string]int{"a": 1, "b": 1, "c": 1}, rates)
-	named := map[string]int{"a": 5, "b": 4, "c": 6}
+	newest := map[string]int{"a": 5, "b": 4, "c": 6}
 	for i := range engines {
 		model := first.models[engines[i].Key()]
-		engines[i].Models[model] = named[model] - i%3
+		engines[i].Models[model] = newest[model] - i%3
 	}
 	next := NewPlanner()
-	if got := planForMinute(t, next, start, engines, named, nil); fmt.Sprint(got) != fmt.Sprint(counts) {
+	if got := planForMinute(t, next, start, engines, newest, nil); fmt.Sprint(got) != fmt.Sprint(counts) {
 		t.Errorf("engines by model changed from %v to %v", counts, got)
 	}
 	for key, model := range first.models {
--- a/internal/core/weights/workload.go
+++ b/internal/core/weights/workload.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// peakWindow is the least time for which a peak counts; it counts for twice that at most. It exceeds the few seconds between two steps of
-// a trainer, in which its token rate is zero.
+// peakWindow is the minimum time for which a peak counts; the maximum is twice as long. It exceeds the few seconds between
+// two steps of a trainer, in which its token rate is zero.
 const peakWindow = 8 * time.Second
 
 // Workload tracks the recent peak of the token rate that each model requires. It is not safe for concurrent use.
