--- a/internal/core/placement/budget.go
+++ b/internal/core/placement/budget.go
@@ -17,26 +17,26 @@
 	cap    float64
 }
 
-// BudgetOption configures a Budget.
-type BudgetOption func(*Budget)
+// RetryBudgetOption configures a Budget.
+type RetryBudgetOption func(*Budget)
 
 // WithRatio sets how many retries each first attempt adds to the budget.
-func WithRatio(ratio float64) BudgetOption {
+func WithRatio(ratio float64) RetryBudgetOption {
 	return func(b *Budget) { b.ratio = ratio }
 }
 
 // WithInitialRetries sets how many retries the budget starts with, so that an entry with few requests can retry at all.
-func WithInitialRetries(retries float64) BudgetOption {
+func WithInitialRetries(retries float64) RetryBudgetOption {
 	return func(b *Budget) { b.tokens = retries }
 }
 
 // WithCap sets how many unused retries the budget can hold, which limits the burst of retries after a sudden failure.
-func WithCap(limit float64) BudgetOption {
+func WithCap(limit float64) RetryBudgetOption {
 	return func(b *Budget) { b.cap = limit }
 }
 
 // NewBudget returns a budget that starts with ten retries and by default allows a tenth of the first attempts.
-func NewBudget(opts ...BudgetOption) *Budget {
+func NewBudget(opts ...RetryBudgetOption) *Budget {
 	b := &Budget{tokens: defaultInitialRetries, ratio: defaultRetryRatio, cap: defaultRetryCap}
 	for _, opt := range opts {
 		opt(b)
