--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -19,7 +19,7 @@
 // Choose returns the probed server where a request is estimated to start soonest; false if all are leaving. A
 // server on trial comes first. A server whose probe failed is estimated from its last load report, with a penalty.
 // The estimate doesn't depend on cost.
-func (t *Tracker) Choose(now time.Time, probed []Probed, cost float64) (Server, bool) {
+func (t *Tracker) Choose(now time.Time, probed []ProbeResult, cost float64) (Server, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	estimates := make([]estimate, 0, len(probed))
@@ -55,7 +55,7 @@
 
 // estimateProbed estimates the start of a request at a probed server. It stores the load that the probe returned, or
 // records the failure of the probe.
-func (t *Tracker) estimateProbed(now time.Time, p Probed, _ float64) estimate {
+func (t *Tracker) estimateProbed(now time.Time, p ProbeResult, _ float64) estimate {
 	host := t.host(now, p.Server.HostID)
 	host.pool = p.Server.Pool
 	if p.Err == nil {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -130,18 +130,18 @@
 	tests := []struct {
 		name   string
 		before map[string]request.Load
-		probed []Probed
+		probed []ProbeResult
 		want   string
 		none   bool
 	}{
-		{name: "the shorter wait", probed: []Probed{{Server: a, Load: request.Load{Wait: 2 * time.Second}}, {Server: b, Load: request.Load{Wait: time.Second}}}, want: "b"},
-		{name: "the lower utilisation where none has a queue", probed: []Probed{{Server: a, Load: request.Load{Running: 4, Limit: 8}}, {Server: b, Load: request.Load{Running: 1, Limit: 8}}}, want: "b"},
-		{name: "a cached prefix outweighs a short wait", probed: []Probed{{Server: a, Load: request.Load{Wait: 100 * time.Millisecond, PrefixCached: true}}, {Server: b}}, want: "a"},
-		{name: "a cached prefix does not outweigh a long wait", probed: []Probed{{Server: a, Load: request.Load{Wait: time.Second, PrefixCached: true}}, {Server: b}}, want: "b"},
-		{name: "not a leaving server", probed: []Probed{{Server: a, Load: request.Load{Draining: true}}, {Server: b, Load: request.Load{Wait: time.Hour}}}, want: "b"},
-		{name: "no server if all are leaving", probed: []Probed{{Server: a, Load: request.Load{Draining: true}}}, none: true},
-		{name: "the last load report if all probes failed", before: map[string]request.Load{"a": {Wait: time.Second}, "b": {Wait: 2 * time.Second}}, probed: []Probed{{Server: a, Err: errNoAnswer}, {Server: b, Err: errNoAnswer}}, want: "a"},
-		{name: "an answered probe before a failed one", probed: []Probed{{Server: a, Err: errNoAnswer}, {Server: b, Load: request.Load{Wait: time.Second}}}, want: "b"},
+		{name: "the shorter wait", probed: []ProbeResult{{Server: a, Load: request.Load{Wait: 2 * time.Second}}, {Server: b, Load: request.Load{Wait: time.Second}}}, want: "b"},
+		{name: "the lower utilisation where none has a queue", probed: []ProbeResult{{Server: a, Load: request.Load{Running: 4, Limit: 8}}, {Server: b, Load: request.Load{Running: 1, Limit: 8}}}, want: "b"},
+		{name: "a cached prefix outweighs a short wait", probed: []ProbeResult{{Server: a, Load: request.Load{Wait: 100 * time.Millisecond, PrefixCached: true}}, {Server: b}}, want: "a"},
+		{name: "a cached prefix does not outweigh a long wait", probed: []ProbeResult{{Server: a, Load: request.Load{Wait: time.Second, PrefixCached: true}}, {Server: b}}, want: "b"},
+		{name: "not a leaving server", probed: []ProbeResult{{Server: a, Load: request.Load{Draining: true}}, {Server: b, Load: request.Load{Wait: time.Hour}}}, want: "b"},
+		{name: "no server if all are leaving", probed: []ProbeResult{{Server: a, Load: request.Load{Draining: true}}}, none: true},
+		{name: "the last load report if all probes failed", before: map[string]request.Load{"a": {Wait: time.Second}, "b": {Wait: 2 * time.Second}}, probed: []ProbeResult{{Server: a, Err: errNoAnswer}, {Server: b, Err: errNoAnswer}}, want: "a"},
+		{name: "an answered probe before a failed one", probed: []ProbeResult{{Server: a, Err: errNoAnswer}, {Server: b, Load: request.Load{Wait: time.Second}}}, want: "b"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -185,7 +185,7 @@
 		now = now.Add(time.Second)
 		if slices.Contains(hostIDs(tr.Candidates(now, list, 0, nil)), "s0000") {
 			trials++
-			tr.Choose(now, []Probed{{Server: list[0]}, {Server: list[1]}}, 1)
+			tr.Choose(now, []ProbeResult{{Server: list[0]}, {Server: list[1]}}, 1)
 		}
 	}
 	if trials < 2 || trials > 5 {
@@ -210,7 +210,7 @@
 			s.Pool = "generations"
 			took = 5 * time.Second
 		}
-		tr.Choose(start, []Probed{{Server: s}}, 1)
+		tr.Choose(start, []ProbeResult{{Server: s}}, 1)
 		for range 10 {
 			tr.Finished(start, s.HostID, took, false)
 		}
@@ -263,7 +263,7 @@
 			for i := 0; b.Loop(); i++ {
 				now := start.Add(time.Duration(i) * time.Millisecond)
 				candidates := tr.Candidates(now, list, uint64(i%100+1), nil)
-				probed := make([]Probed, len(candidates))
+				probed := make([]ProbeResult, len(candidates))
 				for j, s := range candidates {
 					probed[j].Server = s
 				}
--- a/internal/core/placement/server.go
+++ b/internal/core/placement/server.go
@@ -17,8 +17,8 @@
 	Leaving bool
 }
 
-// Probed is the result of probing one candidate.
-type Probed struct {
+// ProbeResult is the result of probing one candidate.
+type ProbeResult struct {
 	Server Server
 	Load   request.Load
 	// Err is set if the probe failed; Load is then invalid.
--- a/internal/core/scenario/policy_test.go
+++ b/internal/core/scenario/policy_test.go
@@ -102,10 +102,10 @@
 // place probes the candidates and sends the call to the one chosen.
 func (s *sim) place(c *call) {
 	candidates := c.entry.tracker.Candidates(s.clock.now, s.reach(), 0, c.exclude)
-	probed := make([]placement.Probed, 0, len(candidates))
+	probed := make([]placement.ProbeResult, 0, len(candidates))
 	for _, server := range candidates {
 		a := s.byName[server.HostID]
-		p := placement.Probed{Server: server, RoundTrip: 2 * hop}
+		p := placement.ProbeResult{Server: server, RoundTrip: 2 * hop}
 		if a.server.up {
 			p.Load = a.load(c)
 		} else {
--- a/internal/core/scenario/step_test.go
+++ b/internal/core/scenario/step_test.go
@@ -194,10 +194,10 @@
 	if s.variant.together {
 		prefix = prefixOf(work)
 	}
-	var probed []placement.Probed
+	var probed []placement.ProbeResult
 	for _, candidate := range s.tracker.Candidates(s.clock.now, list, prefix, exclude) {
 		srv := s.byName[candidate.HostID]
-		p := placement.Probed{Server: candidate, RoundTrip: 2 * hop, Load: request.Load{Running: len(srv.running), Limit: knee}}
+		p := placement.ProbeResult{Server: candidate, RoundTrip: 2 * hop, Load: request.Load{Running: len(srv.running), Limit: knee}}
 		if over := len(srv.running) - knee; over >= 0 {
 			p.Load.Wait = time.Duration(over+1) * 500 * time.Millisecond
 		}
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -230,8 +230,8 @@
 	return servers
 }
 
-func (d *Dispatcher) probe(ctx context.Context, c call, candidates []placement.Server) []placement.Probed {
-	probed := make([]placement.Probed, len(candidates))
+func (d *Dispatcher) probe(ctx context.Context, c call, candidates []placement.Server) []placement.ProbeResult {
+	probed := make([]placement.ProbeResult, len(candidates))
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var group conc.WaitGroup
@@ -240,7 +240,7 @@
 			sent := time.Now()
 			load, err := peer.Ask[request.Probe, request.Load](ctx, d.client, server.Address, agent.MethodProbe,
 				request.Probe{Organisation: c.organisation, PrefixHash: c.prefix})
-			probed[i] = placement.Probed{Server: server, Load: load, Err: err, RoundTrip: time.Since(sent)}
+			probed[i] = placement.ProbeResult{Server: server, Load: load, Err: err, RoundTrip: time.Since(sent)}
 			if err == nil {
 				d.tracker.Observe(time.Now(), server.HostID, load)
 			}
