--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -114,7 +114,7 @@
 
 func TestCandidatesStartWithPrefixServers(t *testing.T) {
 	tr := NewTracker(WithSeed(1))
-	tr.Cached(start, 7, "s0030")
+	tr.ObservePrefix(start, 7, "s0030")
 	if got := tr.Candidates(start.Add(locationTTL), newServers(60), 7, nil)[0].HostID; got != "s0030" {
 		t.Errorf("first candidate %s, want the server that last held the prefix", got)
 	}
--- a/internal/core/placement/tracker.go
+++ b/internal/core/placement/tracker.go
@@ -198,8 +198,8 @@
 	host.reportedAt = now
 }
 
-// Cached records that a server holds a prefix, which a finished request or a cache event shows.
-func (t *Tracker) Cached(now time.Time, prefix uint64, hostID string) {
+// ObservePrefix records that a server holds a prefix, which a finished request or a cache event shows.
+func (t *Tracker) ObservePrefix(now time.Time, prefix uint64, hostID string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.prefixLocations.record(now, prefix, hostID)
--- a/internal/core/scenario/step_test.go
+++ b/internal/core/scenario/step_test.go
@@ -210,7 +210,7 @@
 		probed = append(probed, p)
 	}
 	server, _ := s.tracker.Choose(s.clock.now, probed, sampleTokens)
-	s.tracker.Cached(s.clock.now, prefix, server.HostID)
+	s.tracker.ObservePrefix(s.clock.now, prefix, server.HostID)
 	return s.byName[server.HostID]
 }
 
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -284,7 +284,7 @@
 	}
 	d.tracker.Finished(now, server.HostID, took, failed)
 	if c.prefix != 0 && !failed {
-		d.tracker.Cached(now, c.prefix, server.HostID)
+		d.tracker.ObservePrefix(now, c.prefix, server.HostID)
 	}
 }
 
