--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -211,12 +211,12 @@
 
 // Served takes in the time that a unit of work took at the server: a whole call, or one event of a stream.
 func (b *Book) Served(now time.Time, id string, took time.Duration) {
-	b.tracker.Finished(now, id, took, false)
+	b.tracker.ObserveRequest(now, id, took, false)
 }
 
 // Failed takes in that the server failed a request.
 func (b *Book) Failed(now time.Time, id string) {
-	b.tracker.Finished(now, id, 0, true)
+	b.tracker.ObserveRequest(now, id, 0, true)
 }
 
 // Refused takes in that the server had no place.
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -170,7 +170,7 @@
 			if s.HostID == "s0000" {
 				took = slow
 			}
-			tr.Finished(now, s.HostID, took, false)
+			tr.ObserveRequest(now, s.HostID, took, false)
 		}
 		now = now.Add(time.Second)
 	}
@@ -212,10 +212,10 @@
 		}
 		tr.Choose(start, []ProbeResult{{Server: s}}, 1)
 		for range 10 {
-			tr.Finished(start, s.HostID, took, false)
+			tr.ObserveRequest(start, s.HostID, took, false)
 		}
 	}
-	tr.Finished(start.Add(time.Second), "s0000", time.Millisecond, false)
+	tr.ObserveRequest(start.Add(time.Second), "s0000", time.Millisecond, false)
 	if got := tr.Ejected(); len(got) != 0 {
 		t.Errorf("ejected %v, want none", got)
 	}
@@ -226,7 +226,7 @@
 	list := newServers(3)
 	for _, s := range list {
 		for range 10 {
-			tr.Finished(start, s.HostID, 0, true)
+			tr.ObserveRequest(start, s.HostID, 0, true)
 		}
 	}
 	if got := tr.Candidates(start, list, 0, nil); len(got) != 3 {
@@ -258,7 +258,7 @@
 			tr := NewTracker(WithSeed(1))
 			list := newServers(n)
 			for _, s := range list {
-				tr.Finished(start, s.HostID, time.Second, false)
+				tr.ObserveRequest(start, s.HostID, time.Second, false)
 			}
 			for i := 0; b.Loop(); i++ {
 				now := start.Add(time.Duration(i) * time.Millisecond)
@@ -268,7 +268,7 @@
 					probed[j].Server = s
 				}
 				chosen, _ := tr.Choose(now, probed, 1)
-				tr.Finished(now, chosen.HostID, time.Second, false)
+				tr.ObserveRequest(now, chosen.HostID, time.Second, false)
 			}
 		})
 		b.Run(fmt.Sprintf("subset/servers=%d", n), func(b *testing.B) {
--- a/internal/core/placement/tracker.go
+++ b/internal/core/placement/tracker.go
@@ -205,10 +205,10 @@
 	t.prefixLocations.record(now, prefix, hostID)
 }
 
-// Finished records the duration of a request that ended at a server and whether the server failed. Where costs are
+// ObserveRequest records the duration of a request that ended at a server and whether the server failed. Where costs are
 // known, took is the duration divided by the cost of the request, so that a server with long jobs doesn't count as
 // slow. Refusals must not be recorded: they are immediate, so that a full server would look fast.
-func (t *Tracker) Finished(now time.Time, hostID string, took time.Duration, failed bool) {
+func (t *Tracker) ObserveRequest(now time.Time, hostID string, took time.Duration, failed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	host := t.host(now, hostID)
--- a/internal/core/scenario/policy_test.go
+++ b/internal/core/scenario/policy_test.go
@@ -170,7 +170,7 @@
 // lost retries an idempotent call elsewhere within the budget.
 func (a *agent) lost(c *call) {
 	c.excluding(a.server.name)
-	c.entry.tracker.Finished(a.sim.clock.now, a.server.name, 0, true)
+	c.entry.tracker.ObserveRequest(a.sim.clock.now, a.server.name, 0, true)
 	if c.tries < 2 && c.entry.budget.Spend() {
 		c.tries++
 		a.sim.place(c)
@@ -210,7 +210,7 @@
 		}
 		took := s.clock.now.Sub(started)
 		a.limiter.Observe(s.clock.now, took, c.cost, false)
-		c.entry.tracker.Finished(s.clock.now, a.server.name, time.Duration(float64(took)/c.cost), false)
+		c.entry.tracker.ObserveRequest(s.clock.now, a.server.name, time.Duration(float64(took)/c.cost), false)
 		c.entry.admission.Done(s.clock.now, s.ask(c), s.clock.now.Sub(c.arrived), false)
 		s.served(c)
 		a.pump()
--- a/internal/core/scenario/step_test.go
+++ b/internal/core/scenario/step_test.go
@@ -226,7 +226,7 @@
 		return
 	}
 	took := s.clock.now.Sub(started)
-	s.tracker.Finished(s.clock.now, a.server, time.Duration(float64(took)/a.run.cost), false)
+	s.tracker.ObserveRequest(s.clock.now, a.server, time.Duration(float64(took)/a.run.cost), false)
 	s.cancelOthers(work.SampleID)
 	s.planner.Finished(s.clock.now, work.SampleID, tokens)
 	s.useful += s.lengths[work.SampleID]
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -282,7 +282,7 @@
 	if c.cost > 0 {
 		took = time.Duration(float64(took) / c.cost)
 	}
-	d.tracker.Finished(now, server.HostID, took, failed)
+	d.tracker.ObserveRequest(now, server.HostID, took, failed)
 	if c.prefix != 0 && !failed {
 		d.tracker.ObservePrefix(now, c.prefix, server.HostID)
 	}
