--- a/internal/core/placement/budget.go
+++ b/internal/core/placement/budget.go
@@ -8,9 +8,9 @@
 	defaultRetryCap       = 100
 )
 
-// Budget limits retries to a share of the first attempts, so that retries don't add to the load of a failing
+// RetryBudget limits retries to a share of the first attempts, so that retries don't add to the load of a failing
 // pool without bound. It is safe for concurrent use.
-type Budget struct {
+type RetryBudget struct {
 	mu     sync.Mutex
 	tokens float64
 	ratio  float64
@@ -18,26 +18,26 @@
 }
 
 // RetryBudgetOption configures a Budget.
-type RetryBudgetOption func(*Budget)
+type RetryBudgetOption func(*RetryBudget)
 
 // WithRatio sets how many retries each first attempt adds to the budget.
 func WithRatio(ratio float64) RetryBudgetOption {
-	return func(b *Budget) { b.ratio = ratio }
+	return func(b *RetryBudget) { b.ratio = ratio }
 }
 
 // WithInitialRetries sets how many retries the budget starts with, so that an entry with few requests can retry at all.
 func WithInitialRetries(retries float64) RetryBudgetOption {
-	return func(b *Budget) { b.tokens = retries }
+	return func(b *RetryBudget) { b.tokens = retries }
 }
 
 // WithCap sets how many unused retries the budget can hold, which limits the burst of retries after a sudden failure.
 func WithCap(limit float64) RetryBudgetOption {
-	return func(b *Budget) { b.cap = limit }
+	return func(b *RetryBudget) { b.cap = limit }
 }
 
 // NewBudget returns a budget that starts with ten retries and by default allows a tenth of the first attempts.
-func NewBudget(opts ...RetryBudgetOption) *Budget {
-	b := &Budget{tokens: defaultInitialRetries, ratio: defaultRetryRatio, cap: defaultRetryCap}
+func NewBudget(opts ...RetryBudgetOption) *RetryBudget {
+	b := &RetryBudget{tokens: defaultInitialRetries, ratio: defaultRetryRatio, cap: defaultRetryCap}
 	for _, opt := range opts {
 		opt(b)
 	}
@@ -45,14 +45,14 @@
 }
 
 // Earn adds the share of one first attempt to the budget.
-func (b *Budget) Earn() {
+func (b *RetryBudget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.ratio, b.cap)
 }
 
 // Spend takes one retry out of the budget; it returns false if none is left.
-func (b *Budget) Spend() bool {
+func (b *RetryBudget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/internal/core/scenario/policy_test.go
+++ b/internal/core/scenario/policy_test.go
@@ -38,7 +38,7 @@
 type entry struct {
 	admission   *admission.Controller
 	tracker     *placement.Tracker
-	budget      *placement.Budget
+	budget      *placement.RetryBudget
 	outstanding map[string]int
 	next        int
 }
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -51,7 +51,7 @@
 	client  *peer.Client
 	members Members
 	tracker *placement.Tracker
-	budget  *placement.Budget
+	budget  *placement.RetryBudget
 	// revision returns the configuration revision in force.
 	revision func() uint64
 	// counted takes the usage counter of each finished answer.
