--- a/internal/core/placement/budget.go
+++ b/internal/core/placement/budget.go
@@ -35,8 +35,8 @@
 	return func(b *RetryBudget) { b.cap = limit }
 }
 
-// NewBudget returns a budget that starts with ten retries and by default allows a tenth of the first attempts.
-func NewBudget(opts ...RetryBudgetOption) *RetryBudget {
+// NewRetryBudget returns a budget that starts with ten retries and by default allows a tenth of the first attempts.
+func NewRetryBudget(opts ...RetryBudgetOption) *RetryBudget {
 	b := &RetryBudget{tokens: defaultInitialRetries, ratio: defaultRetryRatio, cap: defaultRetryCap}
 	for _, opt := range opts {
 		opt(b)
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -237,7 +237,7 @@
 // Guards against retries that overload a failing pool: when every request fails and is retried twice, the pool gets
 // three times the load. Retries must stay near a tenth of the first attempts.
 func TestBudgetBoundsRetries(t *testing.T) {
-	b := NewBudget()
+	b := NewRetryBudget()
 	retries := 0
 	for range 1000 {
 		b.Earn()
--- a/internal/core/scenario/sim_test.go
+++ b/internal/core/scenario/sim_test.go
@@ -77,7 +77,7 @@
 		e := &entry{
 			admission:   admission.New(),
 			tracker:     placement.NewTracker(placement.WithSeed(seed*100 + uint64(i))),
-			budget:      placement.NewBudget(),
+			budget:      placement.NewRetryBudget(),
 			outstanding: map[string]int{},
 			next:        i,
 		}
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -69,7 +69,7 @@
 		client:   client,
 		members:  members,
 		tracker:  placement.NewTracker(),
-		budget:   placement.NewBudget(),
+		budget:   placement.NewRetryBudget(),
 		revision: revision,
 		counted:  counted,
 		metrics:  metrics,
