--- a/internal/core/placement/budget.go
+++ b/internal/core/placement/budget.go
@@ -44,8 +44,8 @@
 	return b
 }
 
-// Earn adds the share of one first attempt to the budget.
-func (b *RetryBudget) Earn() {
+// Deposit adds the share of one first attempt to the budget.
+func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.ratio, b.cap)
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -240,7 +240,7 @@
 	b := NewRetryBudget()
 	retries := 0
 	for range 1000 {
-		b.Earn()
+		b.Deposit()
 		for range 2 {
 			if b.Spend() {
 				retries++
--- a/internal/core/scenario/policy_test.go
+++ b/internal/core/scenario/policy_test.go
@@ -85,7 +85,7 @@
 		s.refuse(c, verdict.From(err).RetryAfter)
 		return
 	}
-	c.entry.budget.Earn()
+	c.entry.budget.Deposit()
 	s.place(c)
 }
 
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -107,7 +107,7 @@
 // Guard: a second run of a call that may not be repeated. Only NotRun is tried again; an idempotent call is
 // tried again from MayHaveRun too. The verdict comes from the agent, or from settling after a lost connection.
 func (d *Dispatcher) run(ctx context.Context, c call, consume consumer) error {
-	d.budget.Earn()
+	d.budget.Deposit()
 	tried := map[string]bool{}
 	for _, hostID := range c.avoid {
 		tried[hostID] = true
