--- a/internal/core/placement/budget.go
+++ b/internal/core/placement/budget.go
@@ -51,8 +51,8 @@
 	b.tokens = min(b.tokens+b.ratio, b.cap)
 }
 
-// Spend takes one retry out of the budget; it returns false if none is left.
-func (b *RetryBudget) Spend() bool {
+// TryWithdraw takes one retry out of the budget; it returns false if none is left.
+func (b *RetryBudget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -242,7 +242,7 @@
 	for range 1000 {
 		b.Deposit()
 		for range 2 {
-			if b.Spend() {
+			if b.TryWithdraw() {
 				retries++
 			}
 		}
--- a/internal/core/scenario/policy_test.go
+++ b/internal/core/scenario/policy_test.go
@@ -123,7 +123,7 @@
 
 // giveUp ends a try: elsewhere if the retry budget allows, else the call is refused.
 func (s *sim) giveUp(c *call, refusal *verdict.Refusal) {
-	if refusal.Reason != verdict.ReasonDeadlinePassed && c.tries < 2 && c.entry.budget.Spend() {
+	if refusal.Reason != verdict.ReasonDeadlinePassed && c.tries < 2 && c.entry.budget.TryWithdraw() {
 		c.tries++
 		s.place(c)
 		return
@@ -171,7 +171,7 @@
 func (a *agent) lost(c *call) {
 	c.excluding(a.server.name)
 	c.entry.tracker.ObserveRequest(a.sim.clock.now, a.server.name, 0, true)
-	if c.tries < 2 && c.entry.budget.Spend() {
+	if c.tries < 2 && c.entry.budget.TryWithdraw() {
 		c.tries++
 		a.sim.place(c)
 		return
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -118,7 +118,7 @@
 		// A wait for an agent that takes itself for cut off is no retry of a failed call: taken out of the budget, a few such
 		// waits emptied it at the start of an outage, and calls lost with their agent were refused with idle agents left.
 		if attempts > paid {
-			if !d.budget.Spend() {
+			if !d.budget.TryWithdraw() {
 				return last
 			}
 			paid++
