--- a/internal/core/routing/route.go
+++ b/internal/core/routing/route.go
@@ -92,8 +92,8 @@
 // Scaling bounds the number of a pool's servers in each availability zone.
 type Scaling struct {
 	Min, Max int
-	// StartTime is the time from the start of a new server until it serves requests.
-	StartTime time.Duration
+	// StartupTime is the time from the start of a new server until it serves requests.
+	StartupTime time.Duration
 }
 
 // Organisation is a tenant of the deployment.
