--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -99,8 +99,8 @@
 	return pools
 }
 
-// Routes returns the number of routes.
-func (t *Table) Routes() int {
+// RouteCount returns the number of routes.
+func (t *Table) RouteCount() int {
 	count := 0
 	for _, routes := range t.routes {
 		count += len(routes)
--- a/internal/edge/view/view.go
+++ b/internal/edge/view/view.go
@@ -135,7 +135,7 @@
 			next.Table = table
 			v.tableAt = time.Now()
 			v.log.Info().Uint64("version", table.Version).Uint64("revision", uint64(object.Version)).
-				Int("routes", table.Routes()).Msg("configuration in force")
+				Int("routes", table.RouteCount()).Msg("configuration in force")
 		}
 	}
 	return true
