--- a/internal/core/fleet/decide.go
+++ b/internal/core/fleet/decide.go
@@ -40,7 +40,7 @@
 func Decide(now time.Time, state State) Decision {
 	first := state.Memory.StartedAt.IsZero()
 	memory := state.Memory.prepare(now, &state)
-	if first && state.ViewAge > maxHostListAge {
+	if first && state.HostListAge > maxHostListAge {
 		// A new lease holder that has not read the host list yet would assume that no servers run, and the order for the
 		// first ones needed would stop most of those that do. No memory is returned, so that the number of running
 		// servers is taken from the first fresh list.
@@ -59,7 +59,7 @@
 // are reliable. It guards against mass orders in an outage, when an old or incomplete host list or missing
 // reports make servers look lost or idle. An order is an absolute number, so leaving it unchanged keeps the running servers.
 func checkView(now time.Time, state State, memory *Memory) Hold {
-	if state.ViewAge > maxHostListAge {
+	if state.HostListAge > maxHostListAge {
 		return HoldStaleView
 	}
 	live, reported := countServers(state.Servers)
--- a/internal/core/fleet/decide_test.go
+++ b/internal/core/fleet/decide_test.go
@@ -43,7 +43,7 @@
 		{name: "the order is raised at most to the maximum", state: newState(10, 8), change: func(s *State) { s.Refused, s.MaxServers = 1000, 12 }, count: 12},
 		{name: "the order stays within the stabilisation window", state: newState(10, 1), duration: 50 * time.Second, want: HoldWarmUp, count: 10},
 		{name: "the order stays until a server is drained", state: newState(10, 1), duration: 2 * time.Minute, want: HoldDraining, count: 10},
-		{name: "the order stays while the host list is stale", state: newState(10, 8), change: func(s *State) { s.Refused, s.ViewAge = 1000, 6*time.Second }, want: HoldStaleView, count: 10},
+		{name: "the order stays while the host list is stale", state: newState(10, 8), change: func(s *State) { s.Refused, s.HostListAge = 1000, 6*time.Second }, want: HoldStaleView, count: 10},
 		{
 			name: "the order stays while load reports are missing", state: newState(10, 8), want: HoldPartialView, count: 10,
 			change: func(s *State) {
@@ -137,7 +137,7 @@
 // decision had no host list and assumed an order of zero. When the next list showed four servers, the one that
 // was needed counted as an increase, and the order for one stopped three servers without draining them.
 func TestStaleViewAtFirstDecisionIsForgotten(t *testing.T) {
-	withoutList := State{Pool: "p", MinServers: 1, MaxServers: 100, StartupTime: time.Minute, ViewAge: time.Hour}
+	withoutList := State{Pool: "p", MinServers: 1, MaxServers: 100, StartupTime: time.Minute, HostListAge: time.Hour}
 	withList := newState(4, 1)
 	withList.Memory = Decide(start, withoutList).Memory
 	d := Decide(start.Add(2*time.Second), withList)
--- a/internal/core/fleet/state.go
+++ b/internal/core/fleet/state.go
@@ -26,8 +26,8 @@
 	// MaxServers is 0 if the number of servers isn't limited.
 	MaxServers  int
 	StartupTime time.Duration
-	// ViewAge is the age of the host list.
-	ViewAge time.Duration
+	// HostListAge is the age of the host list.
+	HostListAge time.Duration
 	Servers []Server
 	// Refused is the load that was refused for lack of capacity, as the average number of requests that
 	// would have been running; 0 if it isn't known.
--- a/internal/core/scenario/fleet_test.go
+++ b/internal/core/scenario/fleet_test.go
@@ -189,7 +189,7 @@
 			var memory fleet.Memory
 			return func(at time.Duration) {
 				decision := fleet.Decide(epoch.Add(at), fleet.State{
-					MinServers: 1, MaxServers: fleetMax, StartupTime: fleetStartup, ViewAge: time.Second,
+					MinServers: 1, MaxServers: fleetMax, StartupTime: fleetStartup, HostListAge: time.Second,
 					Servers: z.view(at), Memory: memory,
 				})
 				memory = decision.Memory
--- a/internal/edge/fleet/runner_test.go
+++ b/internal/edge/fleet/runner_test.go
@@ -131,7 +131,7 @@
 	r := f.runner()
 	r.round(t.Context())
 	f.err = nil
-	f.states[0].ViewAge = time.Minute
+	f.states[0].HostListAge = time.Minute
 	r.round(t.Context())
 	r.round(t.Context())
 	if len(f.orders) != 2 || !cmp.Equal(f.orders[0], f.orders[1]) {
--- a/internal/program/process/zone.go
+++ b/internal/program/process/zone.go
@@ -50,7 +50,7 @@
 			MinServers:       configured.MinServers,
 			MaxServers:       configured.MaxServers,
 			StartupTime:      time.Duration(configured.StartupTime),
-			ViewAge:          z.runtime.members.Age(now),
+			HostListAge:          z.runtime.members.Age(now),
 			Servers:          z.servers(ctx, configured),
 			Refused:          refused[configured.Name],
 		})
