--- a/internal/core/fleet/decide.go
+++ b/internal/core/fleet/decide.go
@@ -112,7 +112,7 @@
 	if reported > 0 {
 		total *= float64(live) / float64(reported)
 	}
-	return total + state.Refused
+	return total + state.RefusedLoad
 }
 
 // averageLimit returns the average number of requests that a server runs at a time; 1 if no server reported one.
--- a/internal/core/fleet/decide_test.go
+++ b/internal/core/fleet/decide_test.go
@@ -39,15 +39,15 @@
 		count    int
 	}{
 		{name: "the order stays while the load fits", state: newState(10, 7), duration: time.Minute, want: HoldSettled, count: 10},
-		{name: "an overload raises the order by at most half", state: newState(10, 8), change: func(s *State) { s.Refused = 1000 }, count: 15},
-		{name: "the order is raised at most to the maximum", state: newState(10, 8), change: func(s *State) { s.Refused, s.MaxServers = 1000, 12 }, count: 12},
+		{name: "an overload raises the order by at most half", state: newState(10, 8), change: func(s *State) { s.RefusedLoad = 1000 }, count: 15},
+		{name: "the order is raised at most to the maximum", state: newState(10, 8), change: func(s *State) { s.RefusedLoad, s.MaxServers = 1000, 12 }, count: 12},
 		{name: "the order stays within the stabilisation window", state: newState(10, 1), duration: 50 * time.Second, want: HoldWarmUp, count: 10},
 		{name: "the order stays until a server is drained", state: newState(10, 1), duration: 2 * time.Minute, want: HoldDraining, count: 10},
-		{name: "the order stays while the host list is stale", state: newState(10, 8), change: func(s *State) { s.Refused, s.HostListAge = 1000, 6*time.Second }, want: HoldStaleView, count: 10},
+		{name: "the order stays while the host list is stale", state: newState(10, 8), change: func(s *State) { s.RefusedLoad, s.HostListAge = 1000, 6*time.Second }, want: HoldStaleView, count: 10},
 		{
 			name: "the order stays while load reports are missing", state: newState(10, 8), want: HoldPartialView, count: 10,
 			change: func(s *State) {
-				s.Refused = 1000
+				s.RefusedLoad = 1000
 				for i := range 3 {
 					s.Servers[i].ReportAge = -1
 				}
@@ -116,7 +116,7 @@
 func TestRaisingTheOrderEndsDraining(t *testing.T) {
 	s := newState(10, 1)
 	s.Memory = decideRepeatedly(start, s, 2*time.Minute).Memory
-	s.Refused = 5000
+	s.RefusedLoad = 5000
 	if d := Decide(start.Add(122*time.Second), s); len(d.Drain) != 0 || d.Count <= 10 {
 		t.Errorf("draining %v, count %d, want no draining and more than 10", d.Drain, d.Count)
 	}
--- a/internal/core/fleet/state.go
+++ b/internal/core/fleet/state.go
@@ -29,9 +29,9 @@
 	// HostListAge is the age of the host list.
 	HostListAge time.Duration
 	Servers []Server
-	// Refused is the load that was refused for lack of capacity, as the average number of requests that
+	// RefusedLoad is the load that was refused for lack of capacity, as the average number of requests that
 	// would have been running; 0 if it isn't known.
-	Refused float64
+	RefusedLoad float64
 	// Memory is what the previous decision returned; the zero value at the start of a lease.
 	Memory Memory
 }
--- a/internal/edge/fleet/fault_test.go
+++ b/internal/edge/fleet/fault_test.go
@@ -21,7 +21,7 @@
 // every two seconds, each renewal has a new number, and the runner forgets what it knew at each.
 func TestRenewalsKeepWhatIsKnown(t *testing.T) {
 	f := newFake()
-	f.states[0].Refused, f.states[0].Servers[0].Running, f.states[0].Servers[1].Running = 0, 0, 1
+	f.states[0].RefusedLoad, f.states[0].Servers[0].Running, f.states[0].Servers[1].Running = 0, 0, 1
 	f.states[0].Servers[0].Draining = true
 	r := f.runner()
 	for range 70 {
@@ -94,7 +94,7 @@
 	e := &entry{way: standin.NewDisturbed(memory), lease: standin.NewDisturbed(memory)}
 	self := duty.Holder{HostID: id, Incarnation: incarnation}
 	keeper := duty.NewKeeper(ctx, e.lease, "serverOrders/a", self, duty.WithTiming(zoneTiming()))
-	load := fleet.State{Pool: "p", MinServers: 1, MaxServers: 4, StartupTime: time.Minute, Refused: 100}
+	load := fleet.State{Pool: "p", MinServers: 1, MaxServers: 4, StartupTime: time.Minute, RefusedLoad: 100}
 	deps := Deps{
 		Keeper: plain{keeper},
 		Orders: e.way,
--- a/internal/edge/fleet/runner_test.go
+++ b/internal/edge/fleet/runner_test.go
@@ -60,7 +60,7 @@
 func newFake() *fake {
 	now := time.Now()
 	f := &fake{now: now, number: 7, held: true, deadline: now.Add(4 * time.Second)}
-	full := fleet.State{Pool: "p", MinServers: 1, MaxServers: 10, StartupTime: time.Minute, Refused: 100}
+	full := fleet.State{Pool: "p", MinServers: 1, MaxServers: 10, StartupTime: time.Minute, RefusedLoad: 100}
 	full.Servers = []fleet.Server{{HostID: "s1", Running: 8, Limit: 8}, {HostID: "s2", Running: 8, Limit: 8}}
 	f.states = []fleet.State{full}
 	return f
@@ -117,7 +117,7 @@
 	r.round(t.Context())
 	f.now = f.deadline.Add(time.Second)
 	f.deadline = f.now.Add(4 * time.Second)
-	f.states[0].Refused, f.number = 0, 9
+	f.states[0].RefusedLoad, f.number = 0, 9
 	f.states[0].Servers[0].Running = 7
 	r.round(t.Context())
 	if len(f.orders) != 1 {
@@ -141,7 +141,7 @@
 
 func TestDrainsBeforeItOrdersFewer(t *testing.T) {
 	f := newFake()
-	f.states[0].Refused, f.states[0].Servers[0].Running, f.states[0].Servers[1].Running = 0, 0, 1
+	f.states[0].RefusedLoad, f.states[0].Servers[0].Running, f.states[0].Servers[1].Running = 0, 0, 1
 	r := f.runner()
 	for range 70 {
 		f.now = f.now.Add(2 * time.Second)
--- a/internal/program/process/zone.go
+++ b/internal/program/process/zone.go
@@ -52,7 +52,7 @@
 			StartupTime:      time.Duration(configured.StartupTime),
 			HostListAge:          z.runtime.members.Age(now),
 			Servers:          z.servers(ctx, configured),
-			Refused:          refused[configured.Name],
+			RefusedLoad:          refused[configured.Name],
 		})
 	}
 	return states, nil
