--- a/internal/core/weights/planner.go
+++ b/internal/core/weights/planner.go
@@ -257,8 +257,8 @@
 	return newest[model] - engine.Models[model]
 }
 
-// Ordered records an order that the server accepted or, if its answer was lost, may have accepted.
-func (p *Planner) Ordered(now time.Time, order Order) {
+// RecordOrder records an order that the server accepted or, if its answer was lost, may have accepted.
+func (p *Planner) RecordOrder(now time.Time, order Order) {
 	p.pending[order.Server.Key()] = pendingOrder{order: order, at: now}
 }
 
--- a/internal/core/weights/planner_test.go
+++ b/internal/core/weights/planner_test.go
@@ -92,7 +92,7 @@
 			}
 		}
 		for _, order := range planner.Next(at, engines, newest, nil) {
-			planner.Ordered(at, order)
+			planner.RecordOrder(at, order)
 			for i := range engines {
 				if engines[i].ID == order.Server.ID {
 					loading[i] = at.Add(900 * time.Millisecond)
@@ -163,7 +163,7 @@
 	if len(orders) != 1 {
 		t.Fatal(orders)
 	}
-	planner.Ordered(start, orders[0])
+	planner.RecordOrder(start, orders[0])
 	if repeated := planner.Next(start.Add(orderExpiry/2), engines, newest, nil); len(repeated) != 0 {
 		t.Errorf("repeated before it expired: %v", repeated)
 	}
--- a/internal/edge/leader/weights.go
+++ b/internal/edge/leader/weights.go
@@ -120,10 +120,10 @@
 		Uint8("answer", uint8(result.answer)).AnErr("cause", result.err).Msg("weights ordered")
 	switch {
 	case result.answer == platform.OrderAccepted:
-		planner.Ordered(now, result.order)
+		planner.RecordOrder(now, result.order)
 		w.accepted[key] = result.accepted + 1
 	case result.answer == platform.OrderHolds:
-		planner.Ordered(now, result.order)
+		planner.RecordOrder(now, result.order)
 	case result.err != nil:
 		// The order may have been accepted: how many the server has accepted must be asked again.
 		delete(w.accepted, key)
