--- a/internal/core/weights/planner.go
+++ b/internal/core/weights/planner.go
@@ -262,8 +262,8 @@
 	p.pending[order.Server.Key()] = pendingOrder{order: order, at: now}
 }
 
-// Refused records that an order was certainly not accepted.
-func (p *Planner) Refused(order Order) { delete(p.pending, order.Server.Key()) }
+// RecordRefusal records that an order was certainly not accepted.
+func (p *Planner) RecordRefusal(order Order) { delete(p.pending, order.Server.Key()) }
 
 // ServerCounts returns the number of servers that are assigned to each model.
 func (p *Planner) ServerCounts() map[string]int {
--- a/internal/edge/leader/weights.go
+++ b/internal/edge/leader/weights.go
@@ -130,7 +130,7 @@
 		w.notNow[key] = now.Add(orderRetry)
 	default:
 		delete(w.accepted, key)
-		planner.Refused(result.order)
+		planner.RecordRefusal(result.order)
 		w.notNow[key] = now.Add(orderRetry)
 	}
 }
