--- a/internal/core/fleet/state.go
+++ b/internal/core/fleet/state.go
@@ -28,7 +28,7 @@
 	StartupTime time.Duration
 	// HostListAge is the age of the host list.
 	HostListAge time.Duration
-	Servers []Server
+	Servers     []Server
 	// RefusedLoad is the load that was refused for lack of capacity, as the average number of requests that
 	// would have been running; 0 if it isn't known.
 	RefusedLoad float64
--- a/internal/core/placement/budget.go
+++ b/internal/core/placement/budget.go
@@ -17,7 +17,7 @@
 	cap    float64
 }
 
-// RetryBudgetOption configures a Budget.
+// RetryBudgetOption configures a RetryBudget.
 type RetryBudgetOption func(*RetryBudget)
 
 // WithRatio sets how many retries each first attempt adds to the budget.
--- a/internal/core/placement/doc.go
+++ b/internal/core/placement/doc.go
@@ -24,9 +24,10 @@
 //   - Probes: three random ones, and one or two by prefix. A probe is a frame of about a hundred bytes and takes
 //     half a millisecond. In the measured scenarios the third random probe reduces the p99 by a fifth to a third; a
 //     fourth has little effect.
-//   - Ejection: a server is ejected, that is, gets no requests except trials, when its typical request duration is
-//     three times the median of its peers. With mixed costs, the average over a server's last ten requests varies
-//     by half, so a threshold of twice the median causes false ejections.
+//   - Ejection: a server is ejected, that is, gets no requests except trials while there are others, when its typical
+//     request duration is three times the median of its peers or too many of its requests fail. With mixed costs, the
+//     average over a server's last ten requests varies by half, so a threshold of twice the median causes false
+//     ejections.
 //   - Trials: an ejected server gets a trial request after 5 s, and the interval then doubles up to 80 s. With trials
 //     every 5 s from four entries, one slow server determined the p99 of a pool of ten: 5 s instead of 0.3 s.
 //   - Prefix locations expire after 60 s: cache events arrive late and with gaps, and the content of a cache is
--- a/internal/core/placement/host.go
+++ b/internal/core/placement/host.go
@@ -39,7 +39,7 @@
 	meanLogDuration float64
 	samples         int
 	failureRate     float64
-	// ejected servers get no requests except trials.
+	// ejected servers get no requests except trials while there are others.
 	ejected       bool
 	nextTrial     time.Time
 	trialInterval time.Duration
@@ -48,7 +48,7 @@
 	lastSeen time.Time
 }
 
-// recordRequest updates the averages with the outcome of a request.
+// recordRequest updates the averages with the outcome of a request; a failed probe counts as a failed request.
 func (h *hostState) recordRequest(took time.Duration, failed bool) {
 	if failed {
 		h.failureRate += (1 - h.failureRate) * failureWeight
--- a/internal/program/process/zone.go
+++ b/internal/program/process/zone.go
@@ -50,9 +50,9 @@
 			MinServers:       configured.MinServers,
 			MaxServers:       configured.MaxServers,
 			StartupTime:      time.Duration(configured.StartupTime),
-			HostListAge:          z.runtime.members.Age(now),
+			HostListAge:      z.runtime.members.Age(now),
 			Servers:          z.servers(ctx, configured),
-			RefusedLoad:          refused[configured.Name],
+			RefusedLoad:      refused[configured.Name],
 		})
 	}
 	return states, nil
