--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -81,7 +81,7 @@
 		server:  server,
 		start:   start,
 		trial:   host.ejected && host.onTrial,
-		leaving: host.load.Draining || server.Draining,
+		leaving: host.load.Draining || server.Leaving,
 	}
 }
 
