--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -87,7 +87,7 @@
 	list := newServers(6)
 	list[0].Leaving = true
 	tr := NewTracker(WithSeed(1))
-	tr.Observe(start, "s0002", request.Load{Draining: true})
+	tr.ObserveLoad(start, "s0002", request.Load{Draining: true})
 	for range 50 {
 		got := hostIDs(tr.Candidates(start, list, 7, map[string]bool{"s0001": true}))
 		for _, excluded := range []string{"s0000", "s0001", "s0002"} {
@@ -147,7 +147,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			tr := NewTracker()
 			for id, load := range tt.before {
-				tr.Observe(start, id, load)
+				tr.ObserveLoad(start, id, load)
 			}
 			got, ok := tr.Choose(start, tt.probed, 1)
 			if ok == tt.none || got.HostID != tt.want {
--- a/internal/core/placement/tracker.go
+++ b/internal/core/placement/tracker.go
@@ -189,8 +189,8 @@
 	return append(out, server)
 }
 
-// Observe records a load report of a server.
-func (t *Tracker) Observe(now time.Time, hostID string, load request.Load) {
+// ObserveLoad records a load report of a server.
+func (t *Tracker) ObserveLoad(now time.Time, hostID string, load request.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	host := t.host(now, hostID)
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -242,7 +242,7 @@
 				request.Probe{Organisation: c.organisation, PrefixHash: c.prefix})
 			probed[i] = placement.ProbeResult{Server: server, Load: load, Err: err, RoundTrip: time.Since(sent)}
 			if err == nil {
-				d.tracker.Observe(time.Now(), server.HostID, load)
+				d.tracker.ObserveLoad(time.Now(), server.HostID, load)
 			}
 		})
 	}
