--- a/internal/core/roster/call.go
+++ b/internal/core/roster/call.go
@@ -10,75 +10,77 @@
 // Due is an entry to call now.
 type Due struct {
 	Address netip.AddrPort
-	// Member is the entry as far as it is known.
+	// Member is what is known of the entry; only its address is set if the entry is unknown.
 	Member Member
-	// Copies says that the entry is to keep copies of what only this one knows.
+	// Copies reports whether the entry is to keep copies of data that only this one has.
 	Copies bool
 }
 
-// Due returns the entries to call now and marks them as called; Called ends that. Needed are entries that must hear this one directly.
-func (r *Roster) Due(now time.Time, needed ...netip.AddrPort) []Due {
-	r.settle(now)
+// Due returns the entries to call now, sorted by address, and marks each as being called until Called ends the call. Direct are the
+// addresses of entries that must hear from this one directly.
+func (r *Roster) Due(now time.Time, direct ...netip.AddrPort) []Due {
+	r.updateNeighbours(now)
 	var due []Due
-	take := func(k *known) {
-		k.calling = true
-		k.called = now
-		member := k.member
-		member.Address = k.address
-		due = append(due, Due{Address: k.address, Member: member, Copies: k.after || slices.Contains(needed, k.address)})
+	add := func(p *peerState) {
+		p.calling = true
+		p.lastCalled = now
+		member := p.member
+		member.Address = p.address
+		due = append(due, Due{Address: p.address, Member: member, Copies: p.successor || slices.Contains(direct, p.address)})
 	}
-	for _, k := range r.others {
-		if !k.calling && now.Sub(k.called) >= r.interval(now, k, needed) {
-			take(k)
+	for _, p := range r.peers {
+		if !p.calling && now.Sub(p.lastCalled) >= r.interval(now, p, direct) {
+			add(p)
 		}
 	}
-	if far := r.far(); far != nil && now.Sub(r.farCall) >= farInterval {
-		r.farCall = now
-		take(far)
+	if target := r.antiEntropyTarget(); target != nil && now.Sub(r.lastAntiEntropy) >= antiEntropyInterval {
+		r.lastAntiEntropy = now
+		add(target)
 	}
 	slices.SortFunc(due, func(a, b Due) int { return a.Address.Compare(b.Address) })
 	return due
 }
 
-// never is the interval of entries that are called in turns.
+// never is the interval of entries that are called only as antiEntropyTarget.
 const never = time.Duration(1<<63 - 1)
 
-func (r *Roster) interval(now time.Time, k *known, needed []netip.AddrPort) time.Duration {
+// interval returns the time between two calls to an entry.
+func (r *Roster) interval(now time.Time, p *peerState, direct []netip.AddrPort) time.Duration {
 	switch {
-	case k.member.HostID == "" && now.Sub(r.started) < slowFrom && len(r.Alive()) == 0:
+	case p.member.HostID == "" && now.Sub(r.started) < ringTimeout && len(r.Alive()) == 0:
 		return seedInterval
-	case k.member.HostID == "":
-		return metInterval
-	case k.after && r.learned.After(k.called):
-		return newsInterval
-	case k.after:
+	case p.member.HostID == "":
+		return unknownInterval
+	case p.successor && r.lastUpdate.After(p.lastCalled):
+		return updateInterval
+	case p.successor:
 		return Interval
-	case !k.near.IsZero() && k.alive() && now.Sub(k.heard) >= suspectTime:
+	case !p.neighbourSince.IsZero() && p.alive() && now.Sub(p.lastHeard) >= suspectTimeout:
 		return Interval
-	case slices.Contains(needed, k.address):
-		return min(max(time.Duration(len(r.others))*neededShare, Interval), neededMost)
+	case slices.Contains(direct, p.address):
+		return min(max(time.Duration(len(r.peers))*directIntervalPerEntry, Interval), maxDirectInterval)
 	default:
 		return never
 	}
 }
 
-// far returns the entry that was called longest ago.
-func (r *Roster) far() *known {
-	var far *known
-	for _, k := range r.others {
-		if k.calling || k.member.HostID == "" || k.after {
+// antiEntropyTarget returns the known entry, other than the successors, that was called longest ago; nil if there is none.
+func (r *Roster) antiEntropyTarget() *peerState {
+	var target *peerState
+	for _, p := range r.peers {
+		if p.calling || p.member.HostID == "" || p.successor {
 			continue
 		}
-		if far == nil || cmp.Or(k.called.Compare(far.called), k.address.Compare(far.address)) < 0 {
-			far = k
+		if target == nil || cmp.Or(p.lastCalled.Compare(target.lastCalled), p.address.Compare(target.address)) < 0 {
+			target = p
 		}
 	}
-	return far
+	return target
 }
 
-// Called takes in that a call has ended.
+// Called records that a call to the address has ended, whether it succeeded or not.
 func (r *Roster) Called(address netip.AddrPort) {
-	if k, ok := r.others[address]; ok {
-		k.calling = false
+	if p, ok := r.peers[address]; ok {
+		p.calling = false
 	}
 }
--- a/internal/core/roster/change.go
+++ b/internal/core/roster/change.go
@@ -6,61 +6,61 @@
 	"time"
 )
 
-// Judge marks neighbours that fell silent, and returns them.
+// Judge marks neighbours that have been silent for FailureTimeout as silent, announces that, and returns them sorted by host.
 //
-// Guard: an entry that becomes a neighbour was heard last long ago, as all far ones are. It is given AliveTime from then on; judged by its
-// last word it would be taken for dead at once, and its jobs would run twice.
+// A new neighbour also has FailureTimeout from the moment at which it became one. Like every entry that is no neighbour it was last heard
+// long ago; judged by that alone it would count as failed at once, and its jobs would run twice.
 func (r *Roster) Judge(now time.Time) []Member {
-	var fallen []Member
-	for _, k := range r.others {
-		if !k.alive() || k.near.IsZero() || now.Sub(k.heard) < AliveTime || now.Sub(k.near) < AliveTime {
+	var failed []Member
+	for _, p := range r.peers {
+		if !p.alive() || p.neighbourSince.IsZero() || now.Sub(p.lastHeard) < FailureTimeout || now.Sub(p.neighbourSince) < FailureTimeout {
 			continue
 		}
-		k.silent = true
-		k.changed = now
-		r.stale()
-		r.tell(now, News{Member: k.member, Silent: true})
-		fallen = append(fallen, k.member)
+		p.silent = true
+		p.lastChange = now
+		r.invalidate()
+		r.announce(now, News{Member: p.member, Silent: true})
+		failed = append(failed, p.member)
 	}
-	slices.SortFunc(fallen, func(a, b Member) int { return cmp.Compare(a.HostID, b.HostID) })
-	return fallen
+	slices.SortFunc(failed, func(a, b Member) int { return cmp.Compare(a.HostID, b.HostID) })
+	return failed
 }
 
-// Change is a change of what this entry believes of another.
+// Change is a change of what this entry knows of another one.
 type Change struct {
-	// Former is the member's former run; its HostID is empty if there was none.
+	// Former is the member before the change; its HostID is empty if it was unknown.
 	Former Member
 	Now    Member
 	Silent bool
 }
 
-// Over says that the former run does nothing any more, or will soon.
+// Over reports whether the former run has ended, no longer responds, or has begun to leave.
 func (c Change) Over() bool {
 	return c.Former.HostID != "" && (c.Silent || c.Former.Incarnation != c.Now.Incarnation || c.Now.Leaving && !c.Former.Leaving)
 }
 
-// Heard takes in that a member was heard directly, with the digest of its list; what it told as news is to be applied first. It returns
-// false if nothing changed. The member itself tells that it is there, so that each change is one piece of news and not one of every
-// neighbour.
+// Heard records a call or an answer that came directly from a member, with the digest of the member's list. Updates in the same message
+// must be applied first. It returns false if nothing changed. A change is not announced here: the member announces itself, so that each
+// change spreads as one update and not as one from each neighbour.
 func (r *Roster) Heard(now time.Time, member Member, digest uint64) (Change, bool) {
 	if member.Address == r.self.Address || !member.Address.IsValid() {
 		return Change{}, false
 	}
-	k := r.other(now, member.Address)
-	member.Leaving = member.Leaving || k.member.Leaving && k.member.Incarnation == member.Incarnation
-	change := Change{Former: k.member, Now: member}
-	changed := k.member != member || k.silent
+	p := r.peer(now, member.Address)
+	member.Leaving = member.Leaving || p.member.Leaving && p.member.Incarnation == member.Incarnation
+	change := Change{Former: p.member, Now: member}
+	changed := p.member != member || p.silent
 	if changed {
-		k.become(member)
-		k.silent = false
-		k.changed = now
-		r.stale()
+		p.setMember(member)
+		p.silent = false
+		p.lastChange = now
+		r.invalidate()
 	}
-	k.heard = now
-	k.digest = digest
-	k.digested = now
+	p.lastHeard = now
+	p.reportedDigest = digest
+	p.reportedAt = now
 	if digest == r.Digest() {
-		k.agreed = now
+		p.agreedAt = now
 	}
 	return change, changed
 }
--- a/internal/core/roster/doc.go
+++ b/internal/core/roster/doc.go
@@ -1,12 +1,13 @@
-// Package roster decides whom an entry talks to and which other entries it takes for alive.
+// Package roster keeps an entry's membership list: which other entries are alive, and which of them this entry calls next.
 //
-// Load pattern: up to 380 entries that all must know who lives, within two seconds of a death, since each runs jobs and counts usage that
-// others must take over; 16 hosts fail and 160 are restarted on an ordinary day, so that almost always nothing has changed.
+// It is designed for up to 380 entries. Each runs jobs and counts usage that others must take over, so all entries must learn of a failure
+// within two seconds. On an ordinary day 16 hosts fail and 160 are restarted, so almost all calls find that nothing has changed.
 //
-// Without it: each entry tells every other one everything it knows, and what an entry receives grows with the square of their number.
+// The alternative, in which each entry sends everything it knows to every other one, makes the traffic that an entry receives grow with the
+// square of the number of entries.
 //
-// Entries stand in a ring in an order by hash that is the same for all. Each calls the next one and two further on several times a second
-// (of 380 entries the 7th and the 52nd), watches those and the three that call it, and calls one of the others now and then. What changes
-// (an entry joins, leaves, starts anew, falls silent) is told as news, which each entry passes on for some seconds; the whole list goes
-// only to one whose digest of the list differs.
+// The entries form a ring, sorted by a hash of the host ID, so that all entries agree on the order. Several times a second each entry calls
+// three successors: the next entry and two further along (of 380 entries the 7th and the 52nd). It monitors those three and the three that
+// call it, and calls one of the other entries now and then. A change (an entry joins, leaves, restarts or falls silent) spreads as an
+// update, which each entry passes on for some seconds. The full list is sent only to an entry whose digest of the list differs.
 package roster
--- a/internal/core/roster/join.go
+++ b/internal/core/roster/join.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// registrants is how many entries keep their addresses in the store, so that some remain when a third of all entries are lost.
-	registrants = 6
-	// isolatedPause is the initial pause between reads by an entry that knows no other living one. It doubles up to isolatedMost.
-	isolatedPause = time.Second
-	isolatedMost  = 8 * time.Second
-	// registrantPause is the mean pause between reads by a registrant. Groups of entries that don't know each other merge within it.
+	// registrantCount is how many entries keep their addresses in the store, so that some remain when a third of all entries are lost.
+	registrantCount = 6
+	// isolatedPause is the initial pause between reads by an entry that knows no other living one. It doubles up to maxIsolatedPause.
+	isolatedPause    = time.Second
+	maxIsolatedPause = 8 * time.Second
+	// registrantPause is the mean pause between reads by a registrant. Groups of entries that don't know each other find each other within it.
 	registrantPause = 30 * time.Second
 )
 
-// JoinSchedule decides when an entry writes its address to the platform's store and reads those of others: always while it knows no other
-// living one, else only if it is a registrant, one of the first in an order by hash. It is not safe for concurrent use.
+// JoinSchedule decides when an entry writes its address to the platform's store and reads those of others: an entry that knows no other
+// living one always does, any other only if it is a registrant, one of the first in the order of Predecessors. It is not safe for
+// concurrent use.
 //
-// Guards against every entry writing its address and reading all others at each start.
+// It prevents every entry from writing its address and reading all others at each start.
 type JoinSchedule struct {
 	isolated bool
 	next     time.Time
@@ -32,7 +33,7 @@
 		j.next = now
 		j.pause = isolatedPause
 	}
-	return !now.Before(j.next) && (j.isolated || len(Predecessors(hostID, members)) < registrants)
+	return !now.Before(j.next) && (j.isolated || len(Predecessors(hostID, members)) < registrantCount)
 }
 
 // Done records a successful write and read, and schedules the next one.
@@ -42,5 +43,5 @@
 		return
 	}
 	j.next = now.Add(j.pause)
-	j.pause = min(2*j.pause, isolatedMost)
+	j.pause = min(2*j.pause, maxIsolatedPause)
 }
--- a/internal/core/roster/join_test.go
+++ b/internal/core/roster/join_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// membersExcept returns count members without the one at the index.
-func membersExcept(count, without int) []Member {
+// membersExcept returns count members without the one at the given index; -1 omits none.
+func membersExcept(count, omitted int) []Member {
 	var members []Member
 	for i := range count {
-		if i != without {
+		if i != omitted {
 			members = append(members, Member{HostID: fmt.Sprintf("entry-%d", i)})
 		}
 	}
@@ -33,12 +33,12 @@
 					}
 				}
 			}
-			if want := min(count, registrants); len(used) != want {
+			if want := min(count, registrantCount); len(used) != want {
 				t.Errorf("%d entries used the store, want %d", len(used), want)
 			}
 			for i, times := range used {
 				if times > 5 {
-					t.Errorf("entry %d read the addresses %d times in a minute", i, times)
+					t.Errorf("entry %d read the addresses %d times in a minute, want at most 5", i, times)
 				}
 			}
 		})
@@ -58,11 +58,11 @@
 	}
 	want := []time.Duration{0, 1, 3, 7, 15, 23, 31, 39}
 	if !slices.EqualFunc(due, want, func(got, seconds time.Duration) bool { return got == seconds*time.Second }) {
-		t.Errorf("reads due at %v", due)
+		t.Errorf("reads are due at %v", due)
 	}
 }
 
-// Guards against a partitioned membership that never merges, and against an isolated entry that waits for the pause of a registrant.
+// Guards against groups that never merge after a partition, and against an isolated entry that waits for a registrant's pause.
 func TestGroupsOfEntriesFindEachOther(t *testing.T) {
 	now := time.Now()
 	for _, group := range [][]Member{membersExcept(40, -1), membersExcept(88, -1)[40:], membersExcept(2, -1)} {
@@ -73,7 +73,7 @@
 				used++
 			}
 		}
-		if used != min(registrants, len(group)) {
+		if used != min(registrantCount, len(group)) {
 			t.Errorf("%d of %d entries use the store", used, len(group))
 		}
 	}
--- a/internal/core/roster/member.go
+++ b/internal/core/roster/member.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is one run of an entry.
+// Member describes one run of an entry's process.
 type Member struct {
 	HostID           string         `msgpack:"h" json:"hostId"`
 	Address          netip.AddrPort `msgpack:"a" json:"address"`
 	AvailabilityZone string         `msgpack:"z" json:"availabilityZone"`
-	// Cores is the processor time that the entry has, as part of a core; 0 if its settings don't say.
+	// Cores is the entry's CPU quota in cores, possibly a fraction; 0 if its settings don't give one.
 	Cores float64 `msgpack:"c" json:"cores,omitempty"`
 	// Incarnation is random for each start of the process.
 	Incarnation uint64 `msgpack:"i" json:"incarnation"`
@@ -20,7 +20,7 @@
 	Leaving bool `msgpack:"l" json:"leaving,omitempty"`
 }
 
-// digest is the member's part of the digest of a list.
+// digest returns the member's contribution to the digest of a membership list.
 func (m Member) digest() uint64 {
 	text := m.Address.String() + "/" + strconv.FormatUint(m.Incarnation, 16)
 	if m.Leaving {
@@ -29,13 +29,13 @@
 	return xxhash.Sum64String(text)
 }
 
-// News is a change of one member, told from entry to entry.
+// News is a change of one member's state, passed on from entry to entry.
 type News struct {
-	// ID is random, and the same on all ways by which the news comes.
+	// ID is random. It is the same in all copies of the update, whichever entries pass it on.
 	ID     uint64 `msgpack:"n"`
 	Member Member `msgpack:"m"`
-	// Silent says that the member isn't heard of any more; else it is there as told.
+	// Silent reports that the member no longer responds; otherwise it is alive in the state that Member gives.
 	Silent bool `msgpack:"s"`
-	// Age is the time since the change was noticed, in milliseconds. Ages, not times, go over the wire: clocks differ.
+	// Age is the time since the change was detected, in milliseconds. It is sent instead of a timestamp because the hosts' clocks differ.
 	Age int64 `msgpack:"a"`
 }
--- a/internal/core/roster/news.go
+++ b/internal/core/roster/news.go
@@ -7,162 +7,165 @@
 	"time"
 )
 
-// told is news with the time of the change.
-type told struct {
-	news News
-	at   time.Time
-	// until is when the news isn't told any more; it is remembered as long again.
-	until time.Time
+// updateRecord is an update with the time of the change by this entry's clock.
+type updateRecord struct {
+	update    News
+	changedAt time.Time
+	// passOnUntil is when the update is no longer passed on. It is kept for updateLifetime longer, to recognise late copies.
+	passOnUntil time.Time
 }
 
-// list returns all that is known of the entries.
-func (r *Roster) list(now time.Time) []News {
-	list := make([]News, 0, len(r.others)+1)
+// fullList returns all that is known of the entries, this one included.
+func (r *Roster) fullList(now time.Time) []News {
+	list := make([]News, 0, len(r.peers)+1)
 	list = append(list, News{Member: r.self})
-	for _, k := range r.others {
-		if k.member.HostID != "" {
-			list = append(list, News{Member: k.member, Silent: k.silent, Age: now.Sub(k.changed).Milliseconds()})
+	for _, p := range r.peers {
+		if p.member.HostID != "" {
+			list = append(list, News{Member: p.member, Silent: p.silent, Age: now.Sub(p.lastChange).Milliseconds()})
 		}
 	}
 	return list
 }
 
-// Learn takes in the whole list of another entry. Of each member the newer change counts; it isn't passed on, since all who lack
-// it hear so by their digests.
+// Learn merges the full list of another entry, and returns what changed. For each member the newer change wins. Changes are not passed on
+// as updates: entries that lack them find out by their digests.
 func (r *Roster) Learn(now time.Time, list []News) []Change {
 	var changes []Change
-	for _, news := range list {
-		if change, changed := r.apply(now, since(now, news), news); changed {
+	for _, update := range list {
+		if change, changed := r.apply(now, changeTime(now, update), update); changed {
 			changes = append(changes, change)
 		}
 	}
 	return changes
 }
 
-// since is the time of a change by this entry's clock.
-func since(now time.Time, news News) time.Time {
-	return now.Add(-time.Duration(news.Age) * time.Millisecond)
+// changeTime returns the time of a change by this entry's clock.
+func changeTime(now time.Time, update News) time.Time {
+	return now.Add(-time.Duration(update.Age) * time.Millisecond)
 }
 
-// ListFor returns the whole list for the entry at the address if its own differs, and nothing otherwise. Right after a change the lists of
-// most entries differ for a moment; only one that was never told, or that news didn't bring in line, gets it.
+// ListFor returns the full list if the entry at the address needs it, otherwise nil. Right after a change the lists of most entries differ
+// for a moment; only an entry that was never sent the list, or that updates didn't bring in line within fullListPause, gets it.
 //
-// Guard: most entries are called once in a minute or two, and what such a one told last is long out of date. It was sent the whole list
-// though it had come to know it meanwhile; now only what it told just before counts.
+// A digest counts only if it was reported within suspectTimeout. Most entries are called once in a minute or two, and the digest that such
+// an entry last reported is out of date: it would be sent the full list although it has learned the changes meanwhile.
 func (r *Roster) ListFor(now time.Time, address netip.AddrPort) []News {
-	k, ok := r.others[address]
-	if !ok || k.digest == 0 || k.digest == r.Digest() || now.Sub(k.digested) > suspectTime {
+	p, ok := r.peers[address]
+	if !ok || p.reportedDigest == 0 || p.reportedDigest == r.Digest() || now.Sub(p.reportedAt) > suspectTimeout {
 		return nil
 	}
-	if !k.listed.IsZero() && (now.Sub(k.listed) < listPause || now.Sub(k.agreed) < listPause) {
+	if !p.fullListAt.IsZero() && (now.Sub(p.fullListAt) < fullListPause || now.Sub(p.agreedAt) < fullListPause) {
 		return nil
 	}
-	k.listed = now
-	return r.list(now)
+	p.fullListAt = now
+	return r.fullList(now)
 }
 
-// tell begins to tell news of this entry's own.
-func (r *Roster) tell(now time.Time, news News) {
-	news.ID = rand.Uint64()
-	r.remember(now, news, now)
+// announce starts to spread an update that originates at this entry.
+func (r *Roster) announce(now time.Time, update News) {
+	update.ID = rand.Uint64()
+	r.addUpdate(now, update, now)
 }
 
-func (r *Roster) remember(now time.Time, news News, at time.Time) {
-	r.learned = now
-	t := &told{news: news, at: at, until: at.Add(newsTime)}
-	r.news[news.ID] = t
-	r.recent = append(r.recent, t)
+// addUpdate stores an update so that it is passed on.
+func (r *Roster) addUpdate(now time.Time, update News, changedAt time.Time) {
+	r.lastUpdate = now
+	record := &updateRecord{update: update, changedAt: changedAt, passOnUntil: changedAt.Add(updateLifetime)}
+	r.updates[update.ID] = record
+	r.recent = append(r.recent, record)
 }
 
-// News returns what is to be told, the last learned first.
+// News returns the updates to pass on, most recently learned first, at most maxUpdatesPerCall.
 func (r *Roster) News(now time.Time) []News {
 	var out []News
-	for _, t := range slices.Backward(r.recent) {
-		if len(out) == newsMost {
+	for _, record := range slices.Backward(r.recent) {
+		if len(out) == maxUpdatesPerCall {
 			break
 		}
-		if now.Before(t.until) {
-			news := t.news
-			news.Age = now.Sub(t.at).Milliseconds()
-			out = append(out, news)
+		if now.Before(record.passOnUntil) {
+			update := record.update
+			update.Age = now.Sub(record.changedAt).Milliseconds()
+			out = append(out, update)
 		}
 	}
 	return out
 }
 
-// Apply takes in news from another entry, and passes on what was new here. It returns what changed.
-func (r *Roster) Apply(now time.Time, all []News) []Change {
+// Apply applies updates from another entry, and passes on those that changed something here. It returns the changes.
+func (r *Roster) Apply(now time.Time, updates []News) []Change {
 	var changes []Change
-	for _, news := range all {
-		if r.news[news.ID] != nil {
+	for _, update := range updates {
+		if r.updates[update.ID] != nil {
 			continue
 		}
-		at := since(now, news)
-		if change, changed := r.apply(now, at, news); changed {
-			r.remember(now, news, at)
+		changedAt := changeTime(now, update)
+		if change, changed := r.apply(now, changedAt, update); changed {
+			r.addUpdate(now, update, changedAt)
 			changes = append(changes, change)
 		}
 	}
 	return changes
 }
 
-func (r *Roster) apply(now, at time.Time, news News) (Change, bool) {
-	_, met := r.others[news.Member.Address]
+// apply applies one update unless a newer change of the member is known.
+func (r *Roster) apply(now, changedAt time.Time, update News) (Change, bool) {
+	_, known := r.peers[update.Member.Address]
 	switch {
-	case !news.Member.Address.IsValid() || news.Silent && !met && news.Member.Address != r.self.Address:
+	case !update.Member.Address.IsValid() || update.Silent && !known && update.Member.Address != r.self.Address:
 		return Change{}, false
-	case news.Member.Address == r.self.Address:
-		r.refute(now, news)
+	case update.Member.Address == r.self.Address:
+		r.refute(now, update)
 		return Change{}, false
 	}
-	k := r.other(now, news.Member.Address)
-	// A run that leaves never stays again, so that its leaving counts whenever it comes.
-	leaves := news.Member.Leaving && !k.member.Leaving && k.member.Incarnation == news.Member.Incarnation
-	if k.member.HostID != "" && !at.After(k.changed) && !leaves {
+	p := r.peer(now, update.Member.Address)
+	// A run that has begun to leave never returns to normal work, so the update counts however late it arrives.
+	leaves := update.Member.Leaving && !p.member.Leaving && p.member.Incarnation == update.Member.Incarnation
+	if p.member.HostID != "" && !changedAt.After(p.lastChange) && !leaves {
 		return Change{}, false
 	}
-	if news.Silent {
-		return r.applySilence(now, at, k, news.Member)
+	if update.Silent {
+		return r.applySilent(now, changedAt, p, update.Member)
 	}
-	return r.applyLife(at, k, news.Member)
+	return r.applyAlive(changedAt, p, update.Member)
 }
 
-// refute tells that this entry lives if others take it for dead. All its neighbours say so in each beat for seconds, and one answer
-// does for all.
-func (r *Roster) refute(now time.Time, news News) {
-	if !news.Silent || news.Member.Incarnation != r.self.Incarnation || now.Sub(r.refuted) < AliveTime {
+// refute announces that this entry is alive if an update says that it is silent. All its neighbours repeat that update in each call for
+// seconds, and one announcement answers them all.
+func (r *Roster) refute(now time.Time, update News) {
+	if !update.Silent || update.Member.Incarnation != r.self.Incarnation || now.Sub(r.lastRefutation) < FailureTimeout {
 		return
 	}
-	r.refuted = now
-	r.tell(now, News{Member: r.self})
+	r.lastRefutation = now
+	r.announce(now, News{Member: r.self})
 }
 
-// applySilence believes that an entry is silent unless it was heard here meanwhile.
-func (r *Roster) applySilence(now, at time.Time, k *known, member Member) (Change, bool) {
-	if !k.alive() || k.member.Incarnation != member.Incarnation || now.Sub(k.heard) < AliveTime {
+// applySilent marks an entry as silent unless this entry has heard of it within FailureTimeout.
+func (r *Roster) applySilent(now, changedAt time.Time, p *peerState, member Member) (Change, bool) {
+	if !p.alive() || p.member.Incarnation != member.Incarnation || now.Sub(p.lastHeard) < FailureTimeout {
 		return Change{}, false
 	}
-	k.silent = true
-	k.changed = at
-	r.stale()
-	return Change{Former: k.member, Now: k.member, Silent: true}, true
+	p.silent = true
+	p.lastChange = changedAt
+	r.invalidate()
+	return Change{Former: p.member, Now: p.member, Silent: true}, true
 }
 
-func (r *Roster) applyLife(at time.Time, k *known, member Member) (Change, bool) {
-	if k.member.Incarnation != member.Incarnation && k.member.HostID != "" && k.heard.After(at) && !k.silent {
-		// The run that was heard since then is the newer one.
+// applyAlive marks an entry as alive in the given state.
+func (r *Roster) applyAlive(changedAt time.Time, p *peerState, member Member) (Change, bool) {
+	if p.member.Incarnation != member.Incarnation && p.member.HostID != "" && p.lastHeard.After(changedAt) && !p.silent {
+		// The known run was heard after this change, so it is the newer run.
 		return Change{}, false
 	}
-	change := Change{Former: k.member, Now: member}
-	changed := k.member != member || k.silent
-	k.changed = at
-	if at.After(k.heard) {
-		k.heard = at
+	change := Change{Former: p.member, Now: member}
+	changed := p.member != member || p.silent
+	p.lastChange = changedAt
+	if changedAt.After(p.lastHeard) {
+		p.lastHeard = changedAt
 	}
 	if changed {
-		k.become(member)
-		k.silent = false
-		r.stale()
+		p.setMember(member)
+		p.silent = false
+		r.invalidate()
 	}
 	return change, changed
 }
--- a/internal/core/roster/order.go
+++ b/internal/core/roster/order.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// settledTime is how long after its start an entry that knows others takes its list as complete: they answer its first call within
-	// 100 ms. isolatedTime is how long an entry that knows no other living one waits before it takes itself for the only one.
+	// settledTime is how long after its start an entry that knows others considers its list complete: they answer its first call within
+	// 100 ms. isolatedTime is how long an entry that knows no other living one waits before it assumes that it is the only one.
 	settledTime  = 300 * time.Millisecond
 	isolatedTime = 700 * time.Millisecond
 )
 
-// Settled reports whether an entry has run long enough to rely on its list of living members for its place among them.
+// Settled reports whether an entry has run long enough to rely on its list of living members for its position among them.
 //
-// Guards against every entry taking the first place and reading the store when all start at once.
+// It prevents every entry from taking the first position and reading the store when all start at once.
 func Settled(running time.Duration, members []Member) bool {
 	if len(members) == 0 {
 		return running >= isolatedTime
@@ -24,7 +24,8 @@
 	return running >= settledTime
 }
 
-// Predecessors returns the members that are not leaving and precede the host in an order by hash that is the same at all entries.
+// Predecessors returns the members that precede the host in the order by hash of the host ID, which is the same at all entries. Leaving
+// members are left out.
 func Predecessors(hostID string, members []Member) []Member {
 	own := xxhash.Sum64String(hostID)
 	var predecessors []Member
@@ -36,8 +37,8 @@
 	return predecessors
 }
 
-// leastShare is the fraction of the largest member's cores that WithMostCores requires.
-const leastShare = 0.5
+// minCoreShare is the fraction of the largest member's cores that WithMostCores requires.
+const minCoreShare = 0.5
 
 // WithMostCores returns the members with at least half as many cores as the largest one.
 func WithMostCores(members []Member) []Member {
@@ -45,5 +46,5 @@
 	for _, member := range members {
 		most = max(most, member.Cores)
 	}
-	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Cores < leastShare*most })
+	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Cores < minCoreShare*most })
 }
--- a/internal/core/roster/order_test.go
+++ b/internal/core/roster/order_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Guards against entries that disagree about the order, and against leaving entries that are counted in it.
+// Guards against entries that disagree about the order, and against leaving entries that are included in it.
 func TestAllEntriesAgreeOnTheirOrder(t *testing.T) {
 	const count = 40
 	all := membersExcept(count, -1)
-	places := map[int]bool{}
+	positions := map[int]bool{}
 	for i, member := range all {
-		places[len(Predecessors(member.HostID, membersExcept(count, i)))] = true
+		positions[len(Predecessors(member.HostID, membersExcept(count, i)))] = true
 	}
-	if len(places) != count {
-		t.Errorf("%d places for %d entries", len(places), count)
+	if len(positions) != count {
+		t.Errorf("%d distinct positions for %d entries", len(positions), count)
 	}
 	for i := range all {
 		all[i].Leaving = true
@@ -24,8 +24,8 @@
 	}
 }
 
-// Guards against several fresh entries that each take the first place because they know no other living one yet.
-func TestAFreshEntryWaitsForItsPlaceInTheOrder(t *testing.T) {
+// Guards against several new entries that each take the first position because they know no other living one yet.
+func TestNewEntryWaitsBeforeItTakesAPosition(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		running time.Duration
@@ -45,8 +45,8 @@
 	}
 }
 
-// Guards against fetches from entries with little processor time after a common start.
-func TestEntriesWithMostCores(t *testing.T) {
+// Guards against fetches from entries with a small CPU quota when all entries start at once.
+func TestWithMostCores(t *testing.T) {
 	members := []Member{{HostID: "a", Cores: 0.144}, {HostID: "b", Cores: 0.8}, {HostID: "c", Cores: 0.4}, {HostID: "d"}}
 	var got string
 	for _, member := range WithMostCores(members) {
--- a/internal/core/roster/ring.go
+++ b/internal/core/roster/ring.go
@@ -10,80 +10,81 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// settlePause is how often the neighbours are found out anew.
-const settlePause = Interval / 2
+// neighbourUpdateInterval is the time between two determinations of the neighbours.
+const neighbourUpdateInterval = Interval / 2
 
-// settle finds out who the neighbours are, and forgets entries that are long silent.
-func (r *Roster) settle(now time.Time) {
-	if now.Sub(r.settled) < settlePause {
+// updateNeighbours determines the neighbours, and removes entries that were silent for forgetTimeout and updates that have expired.
+func (r *Roster) updateNeighbours(now time.Time) {
+	if now.Sub(r.neighboursUpdated) < neighbourUpdateInterval {
 		return
 	}
-	r.settled = now
+	r.neighboursUpdated = now
 	after, before := r.neighbours(now)
-	for address, k := range r.others {
+	for address, p := range r.peers {
 		switch {
-		case !k.alive() && now.Sub(k.heard) > forgetTime:
-			delete(r.others, address)
-			r.stale()
+		case !p.alive() && now.Sub(p.lastHeard) > forgetTimeout:
+			delete(r.peers, address)
+			r.invalidate()
 		case !after[address] && !before[address]:
-			k.near = time.Time{}
-		case k.near.IsZero():
-			k.near = now
+			p.neighbourSince = time.Time{}
+		case p.neighbourSince.IsZero():
+			p.neighbourSince = now
 		}
-		k.after = after[address]
+		p.successor = after[address]
 	}
-	keep := slices.IndexFunc(r.recent, func(t *told) bool { return now.Sub(t.until) <= newsTime })
-	if keep < 0 {
-		keep = len(r.recent)
+	firstKept := slices.IndexFunc(r.recent, func(record *updateRecord) bool { return now.Sub(record.passOnUntil) <= updateLifetime })
+	if firstKept < 0 {
+		firstKept = len(r.recent)
 	}
-	for _, t := range r.recent[:keep] {
-		delete(r.news, t.news.ID)
+	for _, record := range r.recent[:firstKept] {
+		delete(r.updates, record.update.ID)
 	}
-	r.recent = slices.Delete(r.recent, 0, keep)
+	r.recent = slices.Delete(r.recent, 0, firstKept)
 }
 
-// neighbours returns the entries after and before this one in the ring of all that may live.
+// neighbours returns the entries that this one calls (after it in the ring) and those that call it (before it).
 func (r *Roster) neighbours(now time.Time) (after, before map[netip.AddrPort]bool) {
 	ring := r.ring(now)
-	at := slices.Index(ring, r.self.Address)
+	index := slices.Index(ring, r.self.Address)
 	after, before = map[netip.AddrPort]bool{}, map[netip.AddrPort]bool{}
-	for _, far := range distances(len(ring)) {
-		after[ring[(at+far)%len(ring)]] = true
-		before[ring[(at-far+len(ring))%len(ring)]] = true
+	for _, distance := range neighbourDistances(len(ring)) {
+		after[ring[(index+distance)%len(ring)]] = true
+		before[ring[(index-distance+len(ring))%len(ring)]] = true
 	}
 	return after, before
 }
 
-// distances returns how far in a ring of so many the entries stand that one calls: the next one, and two more at distances that grow alike.
+// neighbourDistances returns the distances, in a ring of the given size, from an entry to those that it calls: 1, and two more in a
+// geometric progression.
 //
-// Guard: where an entry calls the three that follow it, news comes three places on with each call. Among some dozens of entries some hear
-// after more than a second that another leaves, and among hundreds it goes by the calls to others in turn only.
-func distances(ring int) []int {
-	var found []int
-	for i := range neighbours {
-		far := int(math.Round(math.Pow(float64(ring), float64(i)/neighbours)))
-		if last := len(found) - 1; last >= 0 && far <= found[last] {
-			far = found[last] + 1
+// If an entry called the three that follow it, an update would advance three places with each call. With some dozens of entries some would
+// learn only after more than a second that another leaves; with hundreds updates would arrive by the anti-entropy calls only.
+func neighbourDistances(ringSize int) []int {
+	var distances []int
+	for i := range neighbourCount {
+		distance := int(math.Round(math.Pow(float64(ringSize), float64(i)/neighbourCount)))
+		if last := len(distances) - 1; last >= 0 && distance <= distances[last] {
+			distance = distances[last] + 1
 		}
-		if far < ring {
-			found = append(found, far)
+		if distance < ringSize {
+			distances = append(distances, distance)
 		}
 	}
-	return found
+	return distances
 }
 
-// ring returns the addresses of all entries that may live, this one included, in one order for all. The order is by hash of the host,
-// so that neighbours mostly stand in different availability zones and entries which follow each other in other orders by that hash are
-// neighbours.
+// ring returns the addresses of all entries that may be alive, this one included, in an order that is the same at all entries. The order is
+// by hash of the host ID, so that neighbours are mostly in different availability zones, and entries that follow each other in other orders
+// by the same hash are neighbours.
 func (r *Roster) ring(now time.Time) []netip.AddrPort {
 	type place struct {
 		address netip.AddrPort
 		hash    uint64
 	}
 	places := []place{{r.self.Address, xxhash.Sum64String(r.self.HostID)}}
-	for address, k := range r.others {
-		if k.member.HostID != "" && (!k.silent || now.Sub(k.heard) < slowFrom) {
-			places = append(places, place{address, k.order})
+	for address, p := range r.peers {
+		if p.member.HostID != "" && (!p.silent || now.Sub(p.lastHeard) < ringTimeout) {
+			places = append(places, place{address, p.ringHash})
 		}
 	}
 	slices.SortFunc(places, func(a, b place) int {
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -10,174 +10,182 @@
 )
 
 const (
-	// Interval is the time between two calls to the same neighbour. Both sides learn from each call.
+	// Interval is the time between two calls to the same neighbour. Caller and receiver exchange what they know in each call.
 	Interval = 400 * time.Millisecond
-	// newsInterval is the time between two calls to the same neighbour while there is news that it hasn't got from here.
-	newsInterval = 100 * time.Millisecond
-	// suspectTime is the silence after which a neighbour that should call this entry is called by it: it may know another ring.
-	suspectTime = 2 * Interval
-	// AliveTime is how long a silent neighbour counts as alive: three calls and a pause of the processor may be lost.
-	AliveTime = 1500 * time.Millisecond
-	// neighbours is how many entries further on in the ring an entry calls. All must die at once for a death among them to stay
-	// unnoticed, and as many before notice it as well.
-	neighbours = 3
-	// farInterval is the time between two calls to entries that are no neighbours. They mend what news missed, as after a partition.
-	farInterval = 500 * time.Millisecond
-	// neededShare, times the number of entries, is the time between two calls to an entry that must hear this one directly, so that 140
-	// calls a second reach it at most; but at least Interval and at most neededMost, which the holder of the duties waits for counts.
-	neededShare = 7 * time.Millisecond
-	neededMost  = 2600 * time.Millisecond
-	// metInterval is the time between two calls to an address of which nothing is known.
-	metInterval = time.Second
-	// seedInterval is used instead of metInterval for slowFrom after the start while no other living entry is known.
+	// updateInterval replaces Interval for a neighbour that hasn't been sent the latest update by this entry.
+	updateInterval = 100 * time.Millisecond
+	// suspectTimeout is the silence after which this entry calls a neighbour that should have called it: the neighbour may see another ring.
+	suspectTimeout = 2 * Interval
+	// FailureTimeout is how long a neighbour may be silent and still count as alive. It allows for three lost calls and a paused process.
+	FailureTimeout = 1500 * time.Millisecond
+	// neighbourCount is how many entries further along the ring an entry calls. A failure among them goes unnoticed only if all fail at
+	// once, and as many entries before this one detect failures as well.
+	neighbourCount = 3
+	// antiEntropyInterval is the time between two calls to entries that are not successors. These calls repair what updates missed, for
+	// example after a partition.
+	antiEntropyInterval = 500 * time.Millisecond
+	// directIntervalPerEntry times the number of entries is the time between two calls to an entry that must hear from this one directly,
+	// so that it receives at most 140 calls a second. The result is at least Interval and at most maxDirectInterval, which is how long the
+	// holder of the duties waits for usage counts.
+	directIntervalPerEntry = 7 * time.Millisecond
+	maxDirectInterval      = 2600 * time.Millisecond
+	// unknownInterval is the time between two calls to an address at which no entry is known yet.
+	unknownInterval = time.Second
+	// seedInterval replaces unknownInterval during the first ringTimeout after the start while no other living entry is known.
 	seedInterval = 150 * time.Millisecond
-	// slowFrom is the silence after which an entry counts no more in the ring; it may be gone for good.
-	slowFrom = 5 * time.Second
-	// forgetTime is how long a silent entry is called at all.
-	forgetTime = 2 * time.Minute
-	// listPause is how long news is given to bring two lists in line before a whole list is sent, and the pause between two such lists.
-	listPause = 2 * time.Second
-	// newsTime is how long a change is told: several times as long as it takes to all.
-	newsTime = 6 * time.Second
-	// newsMost is how much news goes with one call. Where more happens at once, as at the start of all, lists do
-	// the rest.
-	newsMost = 40
+	// ringTimeout is the silence after which an entry is removed from the ring, since it may be gone for good.
+	ringTimeout = 5 * time.Second
+	// forgetTimeout is how long a silent entry is still called.
+	forgetTimeout = 2 * time.Minute
+	// fullListPause is how long updates have to bring two lists in line before a full list is sent, and the pause between two full lists
+	// to the same entry.
+	fullListPause = 2 * time.Second
+	// updateLifetime is how long an update is passed on: several times as long as it takes to reach all entries.
+	updateLifetime = 6 * time.Second
+	// maxUpdatesPerCall bounds the updates in one call. If more happens at once, as when all entries start together, full lists carry the
+	// rest.
+	maxUpdatesPerCall = 40
 )
 
-// known is another entry.
-type known struct {
+// peerState is what this entry knows of another one.
+type peerState struct {
 	address netip.AddrPort
-	// member is set by become only; sum is its part of the digest and order its place in the ring.
-	member     Member
-	sum, order uint64
-	// heard is when the entry was heard last, directly or by the news that it lives; called when it was called last.
-	heard, called time.Time
-	// near is when the entry became a neighbour, zero while it is none; after says that it stands after this one in the ring.
-	near    time.Time
-	after   bool
-	calling bool
-	silent  bool
-	// changed is the time of the newest change that is known of it.
-	changed time.Time
-	// digest is that of the list that the entry has, as it told last, and 0 before; digested is when it told so, agreed when it was this
-	// one's, and listed when the whole list was last sent there.
-	digest                   uint64
-	digested, agreed, listed time.Time
+	// member is set by setMember only; memberDigest is its contribution to the list's digest and ringHash its position in the ring.
+	member                 Member
+	memberDigest, ringHash uint64
+	// lastHeard is when the entry was last known to be alive, from a call or from an update; lastCalled is when this entry last called it.
+	lastHeard, lastCalled time.Time
+	// neighbourSince is when the entry became a neighbour, zero while it is none; successor is set for neighbours that this entry calls.
+	neighbourSince time.Time
+	successor      bool
+	calling        bool
+	silent         bool
+	// lastChange is the time of the newest known change of the entry's state.
+	lastChange time.Time
+	// reportedDigest is the digest that the entry last sent of its own list, 0 if it has sent none. reportedAt is when it sent that,
+	// agreedAt when its digest last matched this entry's, and fullListAt when the full list was last sent to it.
+	reportedDigest                   uint64
+	reportedAt, agreedAt, fullListAt time.Time
 }
 
-// become takes in what the entry is. A run that began anew knows nothing, and is told all at its first call.
-func (k *known) become(member Member) {
-	if k.member.Incarnation != member.Incarnation {
-		k.digest = 0
-		k.agreed, k.listed = time.Time{}, time.Time{}
+// setMember replaces the member. A new run of the process knows nothing, so the full list is due to it at its first call.
+func (p *peerState) setMember(member Member) {
+	if p.member.Incarnation != member.Incarnation {
+		p.reportedDigest = 0
+		p.agreedAt, p.fullListAt = time.Time{}, time.Time{}
 	}
-	k.member = member
-	k.sum = member.digest()
-	k.order = xxhash.Sum64String(member.HostID)
+	p.member = member
+	p.memberDigest = member.digest()
+	p.ringHash = xxhash.Sum64String(member.HostID)
 }
 
-func (k *known) alive() bool { return k.member.HostID != "" && !k.silent }
+func (p *peerState) alive() bool { return p.member.HostID != "" && !p.silent }
 
-// Roster is the list of the other entries. It is not safe for concurrent use.
+// Roster is the membership list of one entry. It is not safe for concurrent use.
 type Roster struct {
 	self Member
 	// started is when the roster was created.
 	started time.Time
-	others  map[netip.AddrPort]*known
-	news    map[uint64]*told
-	// recent holds the news in the order in which it was learned.
-	recent []*told
-	// learned is when news came last, refuted when this entry last told that it lives though others took it for dead.
-	learned, refuted time.Time
-	// alive is the sorted list of living members and byHost its index, nil if they must be made anew; digest is theirs where digested
-	// is set.
-	alive    []Member
-	byHost   map[string]Member
-	digest   uint64
-	digested bool
-	farCall  time.Time
-	settled  time.Time
+	peers   map[netip.AddrPort]*peerState
+	updates map[uint64]*updateRecord
+	// recent holds the updates in the order in which they were learned.
+	recent []*updateRecord
+	// lastUpdate is when an update was last added, lastRefutation when this entry last announced that it is alive because others
+	// considered it failed.
+	lastUpdate, lastRefutation time.Time
+	// alive is the sorted list of living members and byHost its index; byHost is nil if both must be rebuilt. digest is valid only if
+	// digestValid is set.
+	alive       []Member
+	byHost      map[string]Member
+	digest      uint64
+	digestValid bool
+	// lastAntiEntropy is when an entry that is not a successor was last called, neighboursUpdated when the neighbours were last determined.
+	lastAntiEntropy   time.Time
+	neighboursUpdated time.Time
 }
 
-// New returns a roster of an entry that knows no other and tells that it is there.
+// New returns a roster that knows no other entry and announces self.
 func New(now time.Time, self Member) *Roster {
-	r := &Roster{self: self, started: now, others: map[netip.AddrPort]*known{}, news: map[uint64]*told{}}
-	r.tell(now, News{Member: self})
+	r := &Roster{self: self, started: now, peers: map[netip.AddrPort]*peerState{}, updates: map[uint64]*updateRecord{}}
+	r.announce(now, News{Member: self})
 	return r
 }
 
 // Self returns this entry.
 func (r *Roster) Self() Member { return r.self }
 
-// Leave marks this entry as leaving.
+// Leave marks this entry as leaving and announces it.
 func (r *Roster) Leave(now time.Time) {
 	r.self.Leaving = true
-	r.stale()
-	r.tell(now, News{Member: r.self})
+	r.invalidate()
+	r.announce(now, News{Member: r.self})
 }
 
-// Meet adds addresses at which entries may be.
+// Meet adds addresses at which other entries may be reached. It ignores invalid addresses and this entry's own.
 func (r *Roster) Meet(now time.Time, addresses ...netip.AddrPort) {
 	for _, address := range addresses {
 		if address.IsValid() && address != r.self.Address {
-			r.other(now, address)
+			r.peer(now, address)
 		}
 	}
 }
 
-// other returns the entry at an address, which may be unknown so far.
-func (r *Roster) other(now time.Time, address netip.AddrPort) *known {
-	k, ok := r.others[address]
+// peer returns the state of the entry at an address, and adds an empty one if the address is new.
+func (r *Roster) peer(now time.Time, address netip.AddrPort) *peerState {
+	p, ok := r.peers[address]
 	if !ok {
-		k = &known{address: address, heard: now, silent: true}
-		r.others[address] = k
+		p = &peerState{address: address, lastHeard: now, silent: true}
+		r.peers[address] = p
 	}
-	return k
+	return p
 }
 
-// Alive returns the other entries that are heard of, sorted by host, leaving ones included. The slice must not be changed.
+// Alive returns the other living entries, including leaving ones, sorted by host. The caller must not change the slice.
 func (r *Roster) Alive() []Member {
 	r.refresh()
 	return r.alive
 }
 
-// Find returns the entry of that name if it is heard of.
+// Find returns the living entry with the host ID.
 func (r *Roster) Find(hostID string) (Member, bool) {
 	r.refresh()
 	member, ok := r.byHost[hostID]
 	return member, ok
 }
 
-// Digest is the same for two entries that know the same list. Each beat needs it, so that it doesn't wait for a sorted list.
+// Digest returns a digest of the living members, this entry included; it is the same at two entries that have the same list. It is computed
+// without the sorted list because every call carries it.
 func (r *Roster) Digest() uint64 {
-	if r.digested {
+	if r.digestValid {
 		return r.digest
 	}
-	r.digested = true
+	r.digestValid = true
 	r.digest = r.self.digest()
-	for _, k := range r.others {
-		if k.alive() {
-			r.digest ^= k.sum
+	for _, p := range r.peers {
+		if p.alive() {
+			r.digest ^= p.memberDigest
 		}
 	}
 	return r.digest
 }
 
-func (r *Roster) stale() {
+// invalidate discards the cached list and digest.
+func (r *Roster) invalidate() {
 	r.byHost = nil
-	r.digested = false
+	r.digestValid = false
 }
 
+// refresh rebuilds the cached list if it was discarded.
 func (r *Roster) refresh() {
 	if r.byHost != nil {
 		return
 	}
 	r.alive = nil
 	r.byHost = map[string]Member{}
-	for _, k := range r.others {
-		if k.alive() {
-			r.alive = append(r.alive, k.member)
-			r.byHost[k.member.HostID] = k.member
+	for _, p := range r.peers {
+		if p.alive() {
+			r.alive = append(r.alive, p.member)
+			r.byHost[p.member.HostID] = p.member
 		}
 	}
 	slices.SortFunc(r.alive, func(a, b Member) int { return cmp.Compare(a.HostID, b.HostID) })
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -17,116 +17,116 @@
 	}
 }
 
-// world is a deployment whose entries call each other without a network.
-type world struct {
+// cluster is a deployment whose entries call each other without a network, in virtual time.
+type cluster struct {
 	t       *testing.T
 	now     time.Time
 	rosters map[netip.AddrPort]*Roster
-	// down entries neither call nor answer; cut says whether a call between two can't go through.
+	// down entries neither call nor answer; cut reports whether the network between two entries is partitioned.
 	down  map[netip.AddrPort]bool
 	cut   func(a, b netip.AddrPort) bool
 	calls int
-	// changes are those that each entry learned.
+	// changes holds the changes that each entry learned, by its address.
 	changes map[netip.AddrPort][]Change
-	// lists counts whole lists that went over the wire, news single changes.
-	lists, news int
+	// lists counts the full lists that were sent, updates the single updates.
+	lists, updates int
 }
 
-// newWorld starts so many entries at once that know the first three as seeds.
-func newWorld(t *testing.T, count int) *world {
-	w := &world{
+// newCluster starts count entries at once that have the first three as seeds.
+func newCluster(t *testing.T, count int) *cluster {
+	c := &cluster{
 		t: t, now: start, rosters: map[netip.AddrPort]*Roster{}, down: map[netip.AddrPort]bool{},
 		cut: func(netip.AddrPort, netip.AddrPort) bool { return false }, changes: map[netip.AddrPort][]Change{},
 	}
 	for i := range count {
-		w.start(member(i))
+		c.start(member(i))
 	}
-	return w
+	return c
 }
 
-// newWarmWorld returns a deployment that has run for long: all know all, and nothing is told any more.
-func newWarmWorld(t *testing.T, count int) *world {
-	w := newWorld(t, count)
-	for _, r := range w.rosters {
+// newStableCluster returns a cluster that has run for long: all entries know each other, and no update is being passed on.
+func newStableCluster(t *testing.T, count int) *cluster {
+	c := newCluster(t, count)
+	for _, r := range c.rosters {
 		for i := range count {
 			if m := member(i); m.Address != r.self.Address {
-				k := r.other(w.now, m.Address)
-				k.become(m)
-				k.silent = false
+				p := r.peer(c.now, m.Address)
+				p.setMember(m)
+				p.silent = false
 			}
 		}
-		r.stale()
-		r.news, r.recent = map[uint64]*told{}, nil
+		r.invalidate()
+		r.updates, r.recent = map[uint64]*updateRecord{}, nil
 	}
-	w.run(2 * time.Second)
-	clear(w.changes)
-	return w
+	c.run(2 * time.Second)
+	clear(c.changes)
+	return c
 }
 
-func (w *world) start(m Member) {
-	r := New(w.now, m)
-	r.Meet(w.now, member(0).Address, member(1).Address, member(2).Address)
-	w.rosters[m.Address] = r
-	delete(w.down, m.Address)
+func (c *cluster) start(m Member) {
+	r := New(c.now, m)
+	r.Meet(c.now, member(0).Address, member(1).Address, member(2).Address)
+	c.rosters[m.Address] = r
+	delete(c.down, m.Address)
 }
 
-// tell is what a call or its answer carries.
-func (w *world) tell(from, to *Roster) {
-	news := from.News(w.now)
-	w.news += len(news)
-	w.note(to, to.Apply(w.now, news)...)
-	if list := from.ListFor(w.now, to.self.Address); len(list) > 0 {
-		w.lists++
-		w.note(to, to.Learn(w.now, list)...)
+// deliver passes what a call or its answer carries to the receiver.
+func (c *cluster) deliver(from, to *Roster) {
+	updates := from.News(c.now)
+	c.updates += len(updates)
+	c.recordChanges(to, to.Apply(c.now, updates)...)
+	if list := from.ListFor(c.now, to.self.Address); len(list) > 0 {
+		c.lists++
+		c.recordChanges(to, to.Learn(c.now, list)...)
 	}
-	if change, changed := to.Heard(w.now, from.self, from.Digest()); changed {
-		w.note(to, change)
+	if change, changed := to.Heard(c.now, from.self, from.Digest()); changed {
+		c.recordChanges(to, change)
 	}
 }
 
-func (w *world) note(r *Roster, changes ...Change) {
+func (c *cluster) recordChanges(r *Roster, changes ...Change) {
 	if len(changes) == 0 {
 		return
 	}
-	w.changes[r.self.Address] = append(w.changes[r.self.Address], changes...)
+	c.changes[r.self.Address] = append(c.changes[r.self.Address], changes...)
 }
 
-// run lets time pass in steps of a tenth of a second.
-func (w *world) run(length time.Duration) {
-	for end := w.now.Add(length); w.now.Before(end); w.now = w.now.Add(100 * time.Millisecond) {
-		for address, r := range w.rosters {
-			if w.down[address] {
+// run advances the time by the duration in steps of 100 ms.
+func (c *cluster) run(duration time.Duration) {
+	for end := c.now.Add(duration); c.now.Before(end); c.now = c.now.Add(100 * time.Millisecond) {
+		for address, r := range c.rosters {
+			if c.down[address] {
 				continue
 			}
-			for _, due := range r.Due(w.now) {
+			for _, due := range r.Due(c.now) {
 				to := due.Address
-				other, there := w.rosters[to]
-				if there && !w.down[to] && !w.cut(address, to) {
-					w.calls++
-					w.tell(r, other)
-					w.tell(other, r)
+				other, exists := c.rosters[to]
+				if exists && !c.down[to] && !c.cut(address, to) {
+					c.calls++
+					c.deliver(r, other)
+					c.deliver(other, r)
 				}
 				r.Called(to)
 			}
-			for _, fallen := range r.Judge(w.now) {
-				w.note(r, Change{Former: fallen, Now: fallen, Silent: true})
+			for _, failed := range r.Judge(c.now) {
+				c.recordChanges(r, Change{Former: failed, Now: failed, Silent: true})
 			}
 		}
 	}
 }
 
-// agreed says whether all that run know exactly those that run.
-func (w *world) agreed() bool {
-	running := len(w.rosters) - len(w.down)
-	for address, r := range w.rosters {
-		if w.down[address] {
+// converged reports whether each running entry's list holds exactly the other running entries.
+func (c *cluster) converged() bool {
+	running := len(c.rosters) - len(c.down)
+	for address, r := range c.rosters {
+		if c.down[address] {
 			continue
 		}
 		if len(r.Alive()) != running-1 {
 			return false
 		}
 		for _, m := range r.Alive() {
-			if w.down[m.Address] || w.rosters[m.Address].self.Incarnation != m.Incarnation {
+			if c.down[m.Address] || c.rosters[m.Address].self.Incarnation != m.Incarnation {
 				return false
 			}
 		}
@@ -134,231 +134,234 @@
 	return true
 }
 
-func (w *world) within(what string, most time.Duration) {
-	w.t.Helper()
-	for began := w.now; w.now.Sub(began) < most; {
-		w.run(100 * time.Millisecond)
-		if w.agreed() {
+// requireConvergence runs the cluster until it has converged, and fails the test if that takes longer than limit.
+func (c *cluster) requireConvergence(event string, limit time.Duration) {
+	c.t.Helper()
+	for began := c.now; c.now.Sub(began) < limit; {
+		c.run(100 * time.Millisecond)
+		if c.converged() {
 			return
 		}
 	}
-	w.t.Fatalf("not within %v: %s", most, what)
+	c.t.Fatalf("no convergence within %v after %s", limit, event)
 }
 
-// 380 entries start at once. All must know each other within seconds, and then, with nothing to tell, each makes ten calls a second
-// that carry no list and no news: what control may take at that size leaves room for a few hundred bytes a call.
-func TestManyEntriesMeetAndRest(t *testing.T) {
-	w := newWorld(t, 380)
-	w.within("all know all", 8*time.Second)
-	w.run(6 * time.Second)
-	w.calls, w.lists, w.news = 0, 0, 0
-	clear(w.changes)
-	w.run(2 * time.Second)
-	if perEntry := float64(w.calls) / 380 / 2; perEntry > 10 {
-		t.Errorf("%.1f calls a second an entry", perEntry)
+// Guards against a large deployment whose entries don't find each other within seconds after a common start, and against idle traffic: when
+// nothing changes, each entry makes at most ten calls a second, and they carry no list and no update. The traffic budget of the control
+// plane leaves a few hundred bytes for each call at this size.
+func TestLargeDeploymentConvergesAndIsThenIdle(t *testing.T) {
+	c := newCluster(t, 380)
+	c.requireConvergence("the start", 8*time.Second)
+	c.run(6 * time.Second)
+	c.calls, c.lists, c.updates = 0, 0, 0
+	clear(c.changes)
+	c.run(2 * time.Second)
+	if perEntry := float64(c.calls) / 380 / 2; perEntry > 10 {
+		t.Errorf("%.1f calls a second by each entry, want at most 10", perEntry)
 	}
-	if w.lists > 0 || w.news > 0 || len(w.changes) > 0 {
-		t.Errorf("%d lists, %d news and %d changes at rest", w.lists, w.news, len(w.changes))
+	if c.lists > 0 || c.updates > 0 || len(c.changes) > 0 {
+		t.Errorf("%d lists, %d updates and %d changes while idle, want none", c.lists, c.updates, len(c.changes))
 	}
 }
 
-// A host dies. Its jobs and its counts of usage must be taken over, so that all entries must know within AliveTime and the rounds in which
-// news spreads, and each must hear so once.
-func TestADeathIsKnownToAllInTime(t *testing.T) {
+// Guards against jobs and usage counts of a failed host that are taken over late or twice: all entries must learn of the failure within
+// FailureTimeout and the time in which an update spreads, and each must learn of it once.
+func TestFailureIsKnownToAllInTime(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		entries int
-		dead    int
-		most    time.Duration
+		failed  int
+		limit   time.Duration
 	}{
-		{name: "one of four", entries: 4, dead: 1, most: 2500 * time.Millisecond},
-		{name: "one of 27", entries: 27, dead: 1, most: 3 * time.Second},
-		{name: "one of 380", entries: 380, dead: 1, most: 4 * time.Second},
-		{name: "a zone of 380", entries: 380, dead: 17, most: 12 * time.Second},
+		{name: "one of four", entries: 4, failed: 1, limit: 2500 * time.Millisecond},
+		{name: "one of 27", entries: 27, failed: 1, limit: 3 * time.Second},
+		{name: "one of 380", entries: 380, failed: 1, limit: 4 * time.Second},
+		{name: "a zone of 380", entries: 380, failed: 17, limit: 12 * time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			w := newWarmWorld(t, test.entries)
-			for i := range test.dead {
-				w.down[member(i+3).Address] = true
+			c := newStableCluster(t, test.entries)
+			for i := range test.failed {
+				c.down[member(i+3).Address] = true
 			}
-			w.within("all know of the death", test.most)
-			for address, changes := range w.changes {
-				if len(changes) != test.dead {
-					t.Errorf("%s heard of %d changes: %+v", address, len(changes), changes)
+			c.requireConvergence("the failure", test.limit)
+			for address, changes := range c.changes {
+				if len(changes) != test.failed {
+					t.Errorf("%s learned %d changes: %+v", address, len(changes), changes)
 				}
 			}
 		})
 	}
 }
 
-// A process dies and is back at once under the same address. What it ran is gone, and every entry must learn that the former run
-// is over although it never fell silent.
-func TestARestartIsKnownToAll(t *testing.T) {
-	w := newWorld(t, 27)
-	w.within("all know all", 8*time.Second)
-	w.run(10 * time.Second)
-	clear(w.changes)
-	again := member(5)
-	again.Incarnation = 999
-	w.start(again)
-	w.within("all know of the new run", 5*time.Second)
-	for address, changes := range w.changes {
-		over := 0
+// Guards against a restart that goes unnoticed: a process that fails and is back at once under the same address never falls silent, but the
+// work of its former run is lost, so every entry must learn that the former run has ended.
+func TestRestartIsKnownToAll(t *testing.T) {
+	c := newCluster(t, 27)
+	c.requireConvergence("the start", 8*time.Second)
+	c.run(10 * time.Second)
+	clear(c.changes)
+	restarted := member(5)
+	restarted.Incarnation = 999
+	c.start(restarted)
+	c.requireConvergence("the restart", 5*time.Second)
+	for address, changes := range c.changes {
+		endings := 0
 		for _, change := range changes {
 			if change.Over() && change.Former.Incarnation == member(5).Incarnation {
-				over++
+				endings++
 			}
 		}
-		if over != 1 && address != again.Address {
-			t.Errorf("%s heard %d times that the former run is over", address, over)
+		if endings != 1 && address != restarted.Address {
+			t.Errorf("%s learned %d times that the former run has ended, want once", address, endings)
 		}
 	}
 }
 
-// An entry that was started again calls a neighbour for the first time, and must hear of all others in its answer: until then it would send
-// work to nobody and take nothing over.
-func TestARestartedEntryIsToldAllAtOnce(t *testing.T) {
-	w := newWarmWorld(t, 27)
-	again := member(5)
-	again.Incarnation = 999
-	w.start(again)
-	w.run(500 * time.Millisecond)
-	if alive := len(w.rosters[again.Address].Alive()); alive != 26 {
-		t.Errorf("it knows of %d others after half a second", alive)
+// Guards against a restarted entry that waits for updates to learn of the others: until it knows them it sends work to none and takes
+// nothing over. The answer to its first call must carry the full list.
+func TestRestartedEntryGetsFullListAtOnce(t *testing.T) {
+	c := newStableCluster(t, 27)
+	restarted := member(5)
+	restarted.Incarnation = 999
+	c.start(restarted)
+	c.run(500 * time.Millisecond)
+	if alive := len(c.rosters[restarted.Address].Alive()); alive != 26 {
+		t.Errorf("the restarted entry knows %d others after half a second, want 26", alive)
 	}
 }
 
-// An entry that leaves says so once, and all must stop giving it work within a second or two.
-func TestALeavingEntryIsKnownToAll(t *testing.T) {
-	w := newWorld(t, 27)
-	w.within("all know all", 8*time.Second)
-	w.rosters[member(9).Address].Leave(w.now)
-	w.run(1500 * time.Millisecond)
-	for address, r := range w.rosters {
+// Guards against work for a leaving entry: it announces once that it leaves, and all must know within 1.5 s.
+func TestLeavingEntryIsKnownToAll(t *testing.T) {
+	c := newCluster(t, 27)
+	c.requireConvergence("the start", 8*time.Second)
+	c.rosters[member(9).Address].Leave(c.now)
+	c.run(1500 * time.Millisecond)
+	for address, r := range c.rosters {
 		if m, ok := r.Find(member(9).HostID); address != member(9).Address && (!ok || !m.Leaving) {
-			t.Errorf("%s doesn't know", address)
+			t.Errorf("%s doesn't know that the entry is leaving", address)
 		}
 	}
 }
 
-// A process stands still for a few seconds and goes on. It was taken for dead, and all must take it for alive again soon.
-func TestAnEntryThatWakesIsAliveAgain(t *testing.T) {
-	w := newWorld(t, 27)
-	w.within("all know all", 8*time.Second)
-	frozen := member(5).Address
-	w.down[frozen] = true
-	w.run(4 * time.Second)
-	delete(w.down, frozen)
-	thawed := w.now.Add(-time.Millisecond)
-	w.within("all know that it lives", 3*time.Second)
-	own := 0
-	for _, each := range w.rosters[frozen].recent {
-		if each.news.Member.Address == frozen && each.at.After(thawed) {
-			own++
+// Guards against an entry that stays marked as silent after its process was paused for a few seconds, and against an entry that refutes
+// each copy of the update about its failure.
+func TestResumedEntryIsAliveAgain(t *testing.T) {
+	c := newCluster(t, 27)
+	c.requireConvergence("the start", 8*time.Second)
+	paused := member(5).Address
+	c.down[paused] = true
+	c.run(4 * time.Second)
+	delete(c.down, paused)
+	resumed := c.now.Add(-time.Millisecond)
+	c.requireConvergence("the pause", 3*time.Second)
+	announcements := 0
+	for _, record := range c.rosters[paused].recent {
+		if record.update.Member.Address == paused && record.changedAt.After(resumed) {
+			announcements++
 		}
 	}
-	if own > 2 {
-		t.Errorf("it told %d times that it lives", own)
+	if announcements > 2 {
+		t.Errorf("the entry announced %d times that it is alive, want at most 2", announcements)
 	}
 }
 
-// A partition parts the entries in two halves for half a minute. Each half takes the other for dead; when it heals both must find each other
-// again, although no news of that time is told any more.
-func TestHalvesFindEachOther(t *testing.T) {
-	w := newWorld(t, 26)
-	w.within("all know all", 8*time.Second)
+// Guards against a partition that never heals: for 30 s each half of the entries marks the other as silent, and when the network is back
+// the updates from that time are no longer passed on.
+func TestPartitionHeals(t *testing.T) {
+	c := newCluster(t, 26)
+	c.requireConvergence("the start", 8*time.Second)
 	half := func(a netip.AddrPort) bool { return a.Addr().As4()[3]%2 == 0 }
-	w.cut = func(a, b netip.AddrPort) bool { return half(a) != half(b) }
-	w.run(30 * time.Second)
-	w.cut = func(netip.AddrPort, netip.AddrPort) bool { return false }
-	w.within("all know all again", 10*time.Second)
+	c.cut = func(a, b netip.AddrPort) bool { return half(a) != half(b) }
+	c.run(30 * time.Second)
+	c.cut = func(netip.AddrPort, netip.AddrPort) bool { return false }
+	c.requireConvergence("the partition", 10*time.Second)
 }
 
-// An entry becomes the neighbour of one that it heard of only through others. It must not be taken for dead at once because nobody
-// called it here so far.
-func TestANewNeighbourIsGivenTime(t *testing.T) {
-	w := newWorld(t, 40)
-	w.within("all know all", 8*time.Second)
-	w.run(20 * time.Second)
-	clear(w.changes)
+// Guards against a living entry that is declared silent as soon as it becomes a neighbour: until then it was known through others only, so
+// its last direct contact lies far back.
+func TestNewNeighbourHasTimeToRespond(t *testing.T) {
+	c := newCluster(t, 40)
+	c.requireConvergence("the start", 8*time.Second)
+	c.run(20 * time.Second)
+	clear(c.changes)
 	for i := 3; i < 9; i++ {
-		w.down[member(i).Address] = true
+		c.down[member(i).Address] = true
 	}
-	w.run(15 * time.Second)
-	for address, changes := range w.changes {
+	c.run(15 * time.Second)
+	for address, changes := range c.changes {
 		for _, change := range changes {
-			if !w.down[change.Now.Address] {
-				t.Errorf("%s took %s for dead", address, change.Now.HostID)
+			if !c.down[change.Now.Address] {
+				t.Errorf("%s considered %s failed", address, change.Now.HostID)
 			}
 		}
 	}
 }
 
-func TestAnEntryThatMustHearDirectlyIsCalled(t *testing.T) {
-	w := newWorld(t, 40)
-	w.within("all know all", 8*time.Second)
-	r := w.rosters[member(0).Address]
-	needed := member(30).Address
+func TestDirectEntryIsCalled(t *testing.T) {
+	c := newCluster(t, 40)
+	c.requireConvergence("the start", 8*time.Second)
+	r := c.rosters[member(0).Address]
+	direct := member(30).Address
 	called := 0
 	for range 40 {
-		w.now = w.now.Add(100 * time.Millisecond)
-		for _, due := range r.Due(w.now, needed) {
-			if due.Address == needed && due.Copies {
+		c.now = c.now.Add(100 * time.Millisecond)
+		for _, due := range r.Due(c.now, direct) {
+			if due.Address == direct && due.Copies {
 				called++
 			}
 			r.Called(due.Address)
 		}
 	}
 	if called < 2 {
-		t.Errorf("called %d times in four seconds", called)
+		t.Errorf("called %d times in four seconds, want at least 2", called)
 	}
 }
 
-func TestAddressesOfNobodyAreForgotten(t *testing.T) {
+func TestAddressWithoutEntryIsForgotten(t *testing.T) {
 	r := New(start, member(0))
 	r.Meet(start, member(1).Address)
 	if due := r.Due(start); len(due) != 1 {
-		t.Errorf("called %v", due)
+		t.Errorf("due calls %v, want one", due)
 	}
 	r.Called(member(1).Address)
-	if r.Due(start.Add(forgetTime + time.Second)); len(r.others) != 0 {
-		t.Errorf("still %d", len(r.others))
+	if r.Due(start.Add(forgetTimeout + time.Second)); len(r.peers) != 0 {
+		t.Errorf("%d addresses are still known", len(r.peers))
 	}
 }
 
-// An entry that is called in turn told a minute ago that its list differs, and has learned the rest since. Calling it again must not send the
-// whole list; telling so again must.
-func TestOldWordOfADifferentListIsNoReasonForOne(t *testing.T) {
+// Guards against full lists that are sent because of an outdated digest: a digest that differed a minute ago, before the entry learned the
+// rest, must not cause one; a digest that differs now must.
+func TestOutdatedDigestCausesNoFullList(t *testing.T) {
 	r := New(start, member(0))
 	r.Heard(start, member(1), 42)
 	now := start.Add(time.Minute)
 	if list := r.ListFor(now, member(1).Address); list != nil {
-		t.Errorf("%d members sent", len(list))
+		t.Errorf("full list of %d members sent", len(list))
 	}
 	r.Heard(now, member(1), 42)
 	if list := r.ListFor(now, member(1).Address); len(list) != 2 {
-		t.Errorf("%d members sent", len(list))
+		t.Errorf("full list of %d members sent", len(list))
 	}
 }
 
-// Guards against a start that is delayed by metInterval because its seeds were not listening yet at the first call.
-func TestAFreshEntryCallsItsSeedsAgainSoon(t *testing.T) {
+// Guards against a start that is delayed by unknownInterval because the seeds were not listening yet at the first call.
+func TestNewEntryCallsItsSeedsAgainSoon(t *testing.T) {
 	now := time.Now()
 	seed := member(2)
 	r := New(now, member(1))
 	r.Meet(now, seed.Address)
 	calls := 0
-	for at := now; at.Before(now.Add(slowFrom)); at = at.Add(50 * time.Millisecond) {
+	for at := now; at.Before(now.Add(ringTimeout)); at = at.Add(50 * time.Millisecond) {
 		for _, due := range r.Due(at) {
 			calls++
 			r.Called(due.Address)
 		}
 	}
-	if most := int(slowFrom/seedInterval) + 1; calls < most-3 || calls > most {
-		t.Errorf("%d calls in the first %v", calls, slowFrom)
+	if limit := int(ringTimeout/seedInterval) + 1; calls < limit-3 || calls > limit {
+		t.Errorf("%d calls in the first %v", calls, ringTimeout)
 	}
 	calls = 0
-	for at := now.Add(slowFrom); at.Before(now.Add(slowFrom + 10*time.Second)); at = at.Add(50 * time.Millisecond) {
+	for at := now.Add(ringTimeout); at.Before(now.Add(ringTimeout + 10*time.Second)); at = at.Add(50 * time.Millisecond) {
 		for _, due := range r.Due(at) {
 			calls++
 			r.Called(due.Address)
