--- a/internal/core/lease/holder.go
+++ b/internal/core/lease/holder.go
@@ -19,31 +19,31 @@
 // Record is the value of the lease object.
 type Record struct {
 	Holder Holder `json:"holder"`
-	// Renewal counts the holder's writes, so that a write whose answer was lost is recognised.
+	// Renewal counts the holder's writes, so that the holder recognises a write whose answer was lost.
 	Renewal uint64 `json:"renewal"`
-	// Released says that the holder stopped before it wrote this, so nobody needs to wait.
+	// Released reports that the holder stopped before it wrote this record, so the next holder need not wait.
 	Released bool `json:"released,omitempty"`
-	// Past are the hosts that held the duty before, the last one last.
+	// Past are the hosts that held the duty before, most recent last.
 	Past []Tenure `json:"past,omitempty"`
-	// Notes are what the holder tells whoever reads the object; the lease itself makes nothing of them.
+	// Notes are information from the holder for readers of the object. The lease ignores them.
 	Notes []string `json:"notes,omitempty"`
 }
 
-// Tenure is the end of a host's time as the holder.
+// Tenure records when a host stopped being the holder.
 type Tenure struct {
 	HostID string `json:"hostId"`
-	// Until is when the next holder took over, by that one's wall clock.
+	// Until is when the next holder took over, by the next holder's wall clock.
 	Until time.Time `json:"until"`
 }
 
-// sameWrite says whether two records are the same write of one holder.
+// sameWrite reports whether two records come from the same write by one holder. Past and Notes are not compared.
 func (r Record) sameWrite(other Record) bool {
 	return r.Holder == other.Holder && r.Renewal == other.Renewal && r.Released == other.Released
 }
 
-// ReadRecord decodes the value of a lease object.
+// ReadRecord decodes the JSON value of a lease object.
 func ReadRecord(value []byte) (Record, error) {
 	var record Record
 	err := json.Unmarshal(value, &record)
-	return record, errors.Wrap(err, "lease record")
+	return record, errors.Wrap(err, "decode lease record")
 }
--- a/internal/core/lease/machine.go
+++ b/internal/core/lease/machine.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// Timing of a lease. All hosts of a deployment must use the same.
+// Timing holds the durations of a lease. All hosts of a deployment must use the same.
 type Timing struct {
-	// Term is how long a renewal counts at most.
+	// Term is how long a renewal is valid at most.
 	Term time.Duration
 	// Renew is the time between renewals.
 	Renew time.Duration
-	// Margin is how much earlier than Term the holder stops, and how much longer a taker waits.
+	// Margin is how much earlier than Term the holder stops, and how much longer than Term a contender waits.
 	Margin time.Duration
 }
 
-// DefaultTiming makes a duty change hands within 7 s of its holder's death. Two renewals may fail
-// before the term ends. Between the holder's stop, 5 s after a renewal, and the earliest takeover,
-// 7 s after it, lie 2 s: an order whose receiver ignores the fencing number must not be under way
-// for longer, and clocks may differ in rate by a fifth.
+// DefaultTiming lets another host take a duty over within 7 s of its holder's failure. Two renewals may
+// fail before the term ends. The holder stops 5 s after a renewal, and the earliest takeover is 7 s
+// after it. Because of these 2 s the clocks' rates may differ by a fifth, and an order to a receiver
+// that ignores the fencing number must not be in flight for longer than that.
 func DefaultTiming() Timing {
 	return Timing{Term: 6 * time.Second, Renew: 2 * time.Second, Margin: time.Second}
 }
 
-// StepKind is what the caller is to do next.
+// StepKind is the kind of a Step.
 type StepKind uint8
 
 // The kinds of steps.
 const (
-	// StepRead: read the object and tell Observed.
+	// StepRead: read the object and call Observed, ObservedSince or ObservedAbsent.
 	StepRead StepKind = iota + 1
-	// StepWatch: wait for a change of the object for up to Step.Wait, and tell Observed.
+	// StepWatch: wait up to Step.Wait for a change of the object, and report the object as for StepRead.
 	StepWatch
-	// StepWrite: write Step.Record if the object's version is Step.IfVersion, and tell Wrote,
+	// StepWrite: write Step.Record if the object's version is Step.IfVersion, and call Wrote,
 	// NotWritten or Doubtful.
 	StepWrite
-	// StepWait: ask again after Step.Wait.
+	// StepWait: call Next again after Step.Wait.
 	StepWait
 )
 
-// Step is what the caller is to do next.
+// Step is the next action of the caller.
 type Step struct {
 	Kind      StepKind
 	Wait      time.Duration
@@ -47,42 +47,43 @@
 	Record    Record
 }
 
-// Grant is the right to carry out the duty for a time.
+// Grant is the right to carry out the duty for one term.
 type Grant struct {
-	// Version of the object that the right stems from: the fencing number.
+	// Version is the version of the object that gave the right; it serves as the fencing number.
 	Version uint64
-	// Since is the moment before the renewal was sent, from which the term counts.
+	// Since is the moment before the renewal was sent. The term counts from then.
 	Since Instant
-	// Past are the hosts that held the duty before this holder took it over, the last one last.
+	// Past are the hosts that held the duty before this holder took it over, most recent last.
 	Past []Tenure
 }
 
-// observation is the object as last seen.
+// observation is the lease object as last seen.
 type observation struct {
 	known   bool
 	exists  bool
 	version uint64
 	record  Record
-	// first is when this host first saw the version.
-	first Instant
+	// firstSeen is when this host first saw the version.
+	firstSeen Instant
 }
 
-// write is a renewal whose fate is not known.
+// write is a write whose result is not known.
 type write struct {
 	record Record
 	sent   Instant
 }
 
-// maxPending bounds the writes of unknown fate that are remembered. A forgotten one that turns out
-// to have been written is not counted as a grant, which is safe.
+// maxPending bounds the writes of unknown result that are remembered. If a forgotten one turns out to
+// have succeeded it gives no grant, which is safe.
 const maxPending = 16
 
-// Machine follows one lease object for one holder. It is not safe for concurrent use.
+// Machine is the state machine of one host for one lease object. It is not safe for concurrent use.
 //
-// It guards against two holders at once. That would need a taker whose write succeeds while the old
-// holder still counts its term. The old holder counts from before it sent the renewal that made
-// version V, the taker from after it saw V, and only waits longer; its write succeeds only if V is
-// still the newest. A renewal whose answer was lost counts for nothing until it is seen in the object.
+// It prevents two holders at once. For that, a contender's write would have to succeed before the old
+// holder's term has ended. The old holder counts its term from before it sent the renewal that created
+// version V. The contender waits longer than a term, counted from after it saw V, and its write succeeds
+// only if V is still the newest version. A renewal whose answer was lost gives no grant until it is seen
+// in the object.
 type Machine struct {
 	timing   Timing
 	self     Holder
@@ -92,93 +93,95 @@
 	grant    *Grant
 	pending  []write
 	renewal  uint64
-	// doubt is set while the object may differ from what was seen.
-	doubt bool
-	// renewed is when the last write was prepared; retry is set if it is known or feared to have failed.
+	// uncertain is set while the object may differ from what was last seen.
+	uncertain bool
+	// renewed is when the last write was prepared; retry is set if that write failed or its result is unknown.
 	renewed Instant
 	retry   bool
-	// past are the hosts of the holders before this one.
+	// past are the holders before this one, most recent last.
 	past []Tenure
-	// oneProcess is set where a host runs one process at a time.
+	// oneProcess is set if each host runs one process at a time.
 	oneProcess bool
 }
 
-// NewMachine returns a machine that has seen nothing yet.
+// NewMachine returns a machine that has not seen the object yet. It takes the duty over only if contend is set.
 func NewMachine(self Holder, contend bool, timing Timing) *Machine {
-	return &Machine{timing: timing, self: self, contend: contend, doubt: true}
+	return &Machine{timing: timing, self: self, contend: contend, uncertain: true}
 }
 
-// SetContend says whether the host may take the duty over; a holder goes on renewing all the same.
+// SetContend sets whether the host may take the duty over. A holder goes on renewing in either case.
 func (m *Machine) SetContend(contend bool) { m.contend = contend }
 
-// SetOneProcess says that a host runs one process at a time, so that a holder on this host with another incarnation has ended.
-// A restarted holder then takes its duty over again at once rather than after a term.
+// SetOneProcess sets whether each host runs one process at a time, so that a holder on this host with another incarnation has ended.
+// A restarted holder then takes its duty over again at once and doesn't wait for the term to end.
 func (m *Machine) SetOneProcess(oneProcess bool) { m.oneProcess = oneProcess }
 
-// Next returns what to do at now. Now must be taken before the step is carried out, since a write's
-// term counts from it.
+// Next returns the next step. Now must be read before the step is carried out, since the term that a
+// write gives counts from it.
 func (m *Machine) Next(now Instant) Step {
 	switch {
-	case m.doubt:
+	case m.uncertain:
 		return Step{Kind: StepRead}
 	case m.released:
 		return m.nextReleased(now)
-	case m.mine():
+	case m.heldBySelf():
 		return m.nextHolder(now)
 	case !m.contend:
 		return Step{Kind: StepWatch, IfVersion: m.seen.version, Wait: m.timing.Term}
 	default:
-		return m.nextTaker(now)
+		return m.nextContender(now)
 	}
 }
 
-// nextReleased gives the object back if it is still this holder's.
+// nextReleased writes a released record if this holder still holds the lease.
 func (m *Machine) nextReleased(now Instant) Step {
-	if !m.mine() {
+	if !m.heldBySelf() {
 		return Step{Kind: StepWait, Wait: m.timing.Term}
 	}
-	return m.prepare(now, true)
+	return m.prepareWrite(now, true)
 }
 
+// nextHolder renews the lease when that is due.
 func (m *Machine) nextHolder(now Instant) Step {
 	due := m.timing.Renew - now.Elapsed(m.renewed)
 	if m.grant != nil && !m.retry && due > 0 {
 		return Step{Kind: StepWait, Wait: due}
 	}
-	return m.prepare(now, false)
+	return m.prepareWrite(now, false)
 }
 
-// nextTaker waits by the monotonic clock alone: a wall clock that is stepped forward must not make
-// the wait shorter than the term that the holder counts.
-func (m *Machine) nextTaker(now Instant) Step {
-	waited := now.Monotonic - m.seen.first.Monotonic
-	left := m.timing.Term + m.timing.Margin - waited
-	if m.free() || m.ownEarlier() || left <= 0 {
-		return m.prepare(now, false)
+// nextContender takes a free lease, or one whose term has ended. It waits by the monotonic clock alone:
+// if the wall clock is stepped forward, the wait must not become shorter than the holder's term.
+func (m *Machine) nextContender(now Instant) Step {
+	waited := now.Monotonic - m.seen.firstSeen.Monotonic
+	remaining := m.timing.Term + m.timing.Margin - waited
+	if m.free() || m.heldByEarlierRun() || remaining <= 0 {
+		return m.prepareWrite(now, false)
 	}
-	return Step{Kind: StepWatch, IfVersion: m.seen.version, Wait: left}
+	return Step{Kind: StepWatch, IfVersion: m.seen.version, Wait: remaining}
 }
 
-// pastMost is how many former holders are remembered: more than take over from each other within some seconds.
-const pastMost = 4
+// maxPast bounds the former holders in a record. More than these don't take over from each other within some seconds.
+const maxPast = 4
 
-// succeed returns the former holders once the one of the record is one of them.
-func succeed(last Record, now Instant) []Tenure {
+// appendTenure returns the record's former holders followed by its holder, which is taken over from now.
+func appendTenure(last Record, now Instant) []Tenure {
 	if last.Holder.HostID == "" {
 		return nil
 	}
 	past := append(slices.Clone(last.Past), Tenure{HostID: last.Holder.HostID, Until: now.Wall})
-	return past[max(0, len(past)-pastMost):]
+	return past[max(0, len(past)-maxPast):]
 }
 
-// ownEarlier says that the holder is an earlier process of this host, which has ended.
-func (m *Machine) ownEarlier() bool {
+// heldByEarlierRun reports whether the holder is an earlier process of this host, which has ended.
+func (m *Machine) heldByEarlierRun() bool {
 	return m.oneProcess && m.seen.record.Holder.HostID == m.self.HostID && m.seen.record.Holder != m.self
 }
 
-func (m *Machine) prepare(now Instant, release bool) Step {
-	if !m.mine() {
-		m.past = succeed(m.seen.record, now)
+// prepareWrite returns the step that takes, renews or releases the lease, and remembers the write as pending.
+func (m *Machine) prepareWrite(now Instant, release bool) Step {
+	if !m.heldBySelf() {
+		m.past = appendTenure(m.seen.record, now)
 	}
 	m.renewal++
 	m.renewed = now
@@ -191,83 +194,85 @@
 	return Step{Kind: StepWrite, IfVersion: m.seen.version, Record: record}
 }
 
-// Wrote takes in that the last write took effect and gave the object this version.
+// Wrote reports that the last write succeeded and gave the object this version; now is after the answer came.
 func (m *Machine) Wrote(now Instant, version uint64) {
 	last := m.pending[len(m.pending)-1]
 	m.Observed(now, version, last.record)
 }
 
-// NotWritten takes in that the last write certainly had no effect. Conflict says that the object
-// has another version than the one seen.
+// NotWritten reports that the last write certainly had no effect. Conflict reports that the object's
+// version is not the one last seen.
 func (m *Machine) NotWritten(conflict bool) {
 	m.pending = m.pending[:len(m.pending)-1]
-	m.doubt = m.doubt || conflict
+	m.uncertain = m.uncertain || conflict
 	m.retry = true
 }
 
-// Doubtful takes in that the last write may have taken effect, now or later.
+// Doubtful reports that the result of the last write is unknown: it may have taken effect, or may yet.
 func (m *Machine) Doubtful() {
-	m.doubt = true
+	m.uncertain = true
 	m.retry = true
 }
 
-// Observed takes in the object as read; now is after the answer came.
+// Observed reports the object as read; now is after the answer came.
 func (m *Machine) Observed(now Instant, version uint64, record Record) {
 	m.ObservedSince(now, version, record)
 }
 
-// ObservedSince takes in the object as read. First is when this host learned, by whatever means, that the object has the version;
-// a taker's wait counts from then. It must not lie before the write that made the version had succeeded.
-func (m *Machine) ObservedSince(first Instant, version uint64, record Record) {
+// ObservedSince reports the object as read. FirstSeen is when this host learned, by whatever means, that the object has the version; a
+// contender's wait counts from then. It must not be earlier than the success of the write that created the version.
+func (m *Machine) ObservedSince(firstSeen Instant, version uint64, record Record) {
 	if !m.seen.known || m.seen.version != version {
-		m.seen = observation{known: true, exists: true, version: version, record: record, first: first}
-		m.settle()
+		m.seen = observation{known: true, exists: true, version: version, record: record, firstSeen: firstSeen}
+		m.resolvePending()
 	}
-	m.doubt = false
+	m.uncertain = false
 }
 
-// ObservedAbsent takes in that there is no object.
+// ObservedAbsent reports that the object does not exist.
 func (m *Machine) ObservedAbsent(now Instant) {
 	if !m.seen.known || m.seen.exists {
-		m.seen = observation{known: true, first: now}
+		m.seen = observation{known: true, firstSeen: now}
 		m.grant = nil
 	}
-	m.doubt = false
+	m.uncertain = false
 }
 
-// settle learns from a new version what became of this holder's writes. Writes conditional on an
-// older version can have no effect any more.
-func (m *Machine) settle() {
+// resolvePending derives from a new version which of this holder's pending writes succeeded. The others
+// were conditional on an older version and can't take effect any more.
+func (m *Machine) resolvePending() {
 	m.grant = nil
-	if !m.released && m.mine() {
-		at := slices.IndexFunc(m.pending, func(w write) bool { return w.record.sameWrite(m.seen.record) })
-		if at >= 0 {
-			m.grant = &Grant{Version: m.seen.version, Since: m.pending[at].sent, Past: m.seen.record.Past}
+	if !m.released && m.heldBySelf() {
+		i := slices.IndexFunc(m.pending, func(w write) bool { return w.record.sameWrite(m.seen.record) })
+		if i >= 0 {
+			m.grant = &Grant{Version: m.seen.version, Since: m.pending[i].sent, Past: m.seen.record.Past}
 		}
 	}
 	m.pending = nil
 }
 
-func (m *Machine) mine() bool {
+// heldBySelf reports whether this process holds the lease as last seen.
+func (m *Machine) heldBySelf() bool {
 	return m.seen.exists && !m.seen.record.Released && m.seen.record.Holder == m.self
 }
 
+// free reports whether nobody holds the lease as last seen.
 func (m *Machine) free() bool { return !m.seen.exists || m.seen.record.Released }
 
-// Release stops the duty at once and lets Next give the object back; the machine never takes the
+// Release ends the grant at once and makes Next release the lease object. The machine never takes the
 // duty again.
 func (m *Machine) Release() {
 	m.released = true
 	m.grant = nil
 }
 
-// Released reports whether a release is done: the object is known to be somebody else's or free. A holder that never
-// wrote has nothing to give back, so that a host that leaves in an outage need not wait for leases that it never had.
+// Released reports whether a release is complete: the lease is known to be free or held by another process. A holder that never
+// wrote has nothing to release, so that a host that leaves during an outage need not wait for leases that it never held.
 func (m *Machine) Released() bool {
-	return m.released && (m.renewal == 0 || !m.doubt && !m.mine())
+	return m.released && (m.renewal == 0 || !m.uncertain && !m.heldBySelf())
 }
 
-// Grant returns the newest grant, which may have run out.
+// Grant returns the newest grant, whose term may have ended.
 func (m *Machine) Grant() (Grant, bool) {
 	if m.grant == nil {
 		return Grant{}, false
@@ -275,13 +280,13 @@
 	return *m.grant, true
 }
 
-// Holder returns the holder last seen in the object, if it was not released.
+// Holder returns the holder last seen in the object. It returns false if the lease is free.
 func (m *Machine) Holder() (Holder, bool) {
 	return m.seen.record.Holder, m.seen.exists && !m.seen.record.Released
 }
 
-// Held reports whether the grant still counts at now. It needs no I/O, so that a holder that was
-// paused finds out when it wakes.
+// Held reports whether the grant is still valid at now. It needs no I/O, so that a holder that was
+// paused finds out as soon as it runs again.
 func (t Timing) Held(grant Grant, now Instant) bool {
 	return now.Elapsed(grant.Since) < t.Term-t.Margin
 }
--- a/internal/core/lease/machine_test.go
+++ b/internal/core/lease/machine_test.go
@@ -26,24 +26,26 @@
 	return true
 }
 
-// call is a call that a host has sent.
+// call is a call to the platform that a host has sent.
 type call struct {
-	step    Step
-	reached bool
+	step Step
+	// arrived is set once the platform has executed the call, written if it was a write that succeeded.
+	arrived bool
 	written bool
-	found   object
+	// result is the object after the call.
+	result object
 }
 
-// host is one contender with its own clocks.
+// host is a contender with its own clocks.
 type host struct {
 	machine   *Machine
 	self      Holder
 	monotonic time.Duration
 	wall      time.Duration
-	// sleeps: the monotonic clock stands still while the machine is suspended; otherwise the wall clock is
-	// stepped. A machine that does both in one term is beyond what the lease can see.
-	sleeps  bool
-	sending *call
+	// suspends selects the disturbance of the host's clocks: suspension, during which the monotonic clock stops, or else steps
+	// of the wall clock. If both happen in one term, the lease can't detect it.
+	suspends bool
+	inFlight *call
 }
 
 func (h *host) now() Instant {
@@ -55,116 +57,123 @@
 	return ok && DefaultTiming().Held(grant, h.now())
 }
 
-// world is a platform and its contenders in virtual time.
-type world struct {
+// simulation is a platform and its contenders in virtual time.
+type simulation struct {
 	object object
 	hosts  []*host
-	// late are writes whose senders gave up waiting; they may still take effect.
+	// late are writes whose senders have stopped waiting; they may still take effect.
 	late []Step
 }
 
-func newWorld(count int, sleeps func(int) bool) *world {
-	w := &world{}
+func newSimulation(count int, suspends func(int) bool) *simulation {
+	s := &simulation{}
 	for i := range count {
 		self := Holder{HostID: fmt.Sprintf("entry-%d", i), Incarnation: 1}
-		w.hosts = append(w.hosts, &host{
-			machine: NewMachine(self, true, DefaultTiming()), self: self, sleeps: sleeps(i),
+		s.hosts = append(s.hosts, &host{
+			machine: NewMachine(self, true, DefaultTiming()), self: self, suspends: suspends(i),
 			monotonic: time.Duration(i) * time.Hour, wall: time.Duration(i) * time.Minute,
 		})
 	}
-	return w
+	return s
 }
 
-func (w *world) advance(by time.Duration) {
-	for _, h := range w.hosts {
+func (s *simulation) advance(by time.Duration) {
+	for _, h := range s.hosts {
 		h.monotonic += by
 		h.wall += by
 	}
 }
 
-func (w *world) send(h *host) {
-	if h.sending != nil {
+// send starts the host's next step unless a call is in flight.
+func (s *simulation) send(h *host) {
+	if h.inFlight != nil {
 		return
 	}
 	step := h.machine.Next(h.now())
 	if step.Kind != StepWait {
-		h.sending = &call{step: step}
+		h.inFlight = &call{step: step}
 	}
 }
 
-func (w *world) reach(h *host) {
-	if h.sending == nil || h.sending.reached {
+// arrive lets the platform execute the host's call.
+func (s *simulation) arrive(h *host) {
+	if h.inFlight == nil || h.inFlight.arrived {
 		return
 	}
-	h.sending.reached = true
-	if h.sending.step.Kind == StepWrite {
-		h.sending.written = w.object.put(h.sending.step)
+	h.inFlight.arrived = true
+	if h.inFlight.step.Kind == StepWrite {
+		h.inFlight.written = s.object.put(h.inFlight.step)
 	}
-	h.sending.found = w.object
+	h.inFlight.result = s.object
 }
 
-func (w *world) answer(h *host) {
-	sent := h.sending
-	if sent == nil || !sent.reached {
+// answer delivers the platform's answer to the host.
+func (s *simulation) answer(h *host) {
+	sent := h.inFlight
+	if sent == nil || !sent.arrived {
 		return
 	}
-	h.sending = nil
+	h.inFlight = nil
 	switch {
 	case sent.step.Kind == StepWrite && sent.written:
-		h.machine.Wrote(h.now(), sent.found.version)
+		h.machine.Wrote(h.now(), sent.result.version)
 	case sent.step.Kind == StepWrite:
 		h.machine.NotWritten(true)
-	case sent.found.exists:
-		h.machine.Observed(h.now(), sent.found.version, sent.found.record)
+	case sent.result.exists:
+		h.machine.Observed(h.now(), sent.result.version, sent.result.record)
 	default:
 		h.machine.ObservedAbsent(h.now())
 	}
 }
 
-// lose ends a call without an answer; a write may be under way still.
-func (w *world) lose(h *host) {
-	sent := h.sending
+// lose ends a call without an answer; a write may still be in flight.
+func (s *simulation) lose(h *host) {
+	sent := h.inFlight
 	if sent == nil {
 		return
 	}
-	h.sending = nil
+	h.inFlight = nil
 	if sent.step.Kind != StepWrite {
 		return
 	}
 	h.machine.Doubtful()
-	if !sent.reached {
-		w.late = append(w.late, sent.step)
+	if !sent.arrived {
+		s.late = append(s.late, sent.step)
 	}
 }
 
-func (w *world) refuse(h *host) {
-	if h.sending == nil || h.sending.reached {
+// refuse ends a call with an error that excludes any effect.
+func (s *simulation) refuse(h *host) {
+	if h.inFlight == nil || h.inFlight.arrived {
 		return
 	}
-	if h.sending.step.Kind == StepWrite {
+	if h.inFlight.step.Kind == StepWrite {
 		h.machine.NotWritten(false)
 	}
-	h.sending = nil
+	h.inFlight = nil
 }
 
-func (w *world) run(h *host) {
-	w.send(h)
-	w.reach(h)
-	w.answer(h)
+// run carries out the host's next step in full.
+func (s *simulation) run(h *host) {
+	s.send(h)
+	s.arrive(h)
+	s.answer(h)
 }
 
-func (w *world) restart(h *host) {
-	if h.sending != nil && !h.sending.reached && h.sending.step.Kind == StepWrite {
-		w.late = append(w.late, h.sending.step)
+// restart replaces the host's process by one with a new incarnation.
+func (s *simulation) restart(h *host) {
+	if h.inFlight != nil && !h.inFlight.arrived && h.inFlight.step.Kind == StepWrite {
+		s.late = append(s.late, h.inFlight.step)
 	}
-	h.sending = nil
+	h.inFlight = nil
 	h.self.Incarnation++
 	h.machine = NewMachine(h.self, true, DefaultTiming())
 }
 
-func (w *world) holders() []string {
+// holders returns the processes that hold the duty by their own clocks.
+func (s *simulation) holders() []string {
 	var held []string
-	for _, h := range w.hosts {
+	for _, h := range s.hosts {
 		if h.held() {
 			held = append(held, fmt.Sprintf("%s incarnation %d", h.self.HostID, h.self.Incarnation))
 		}
@@ -172,79 +181,77 @@
 	return held
 }
 
-// TestTwoHoldersNever plays random schedules.
-//
-// What a user would see: two hosts order servers for one zone, or report one window twice. A holder is
-// paused or its renewal's answer is lost, its term runs out, another host takes over, and the first one
-// wakes and writes. Clocks are stepped and machines suspended meanwhile, calls take effect late.
-func TestTwoHoldersNever(t *testing.T) {
+// Guards against two holders at once, with which two hosts would order servers for one availability zone or
+// report one window twice. Random schedules pause holders, lose the answers to renewals, step clocks, suspend
+// machines and let calls take effect late, so that a former holder may resume after another host took over.
+func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 3).Draw(t, "hosts")
-		sleeps := rapid.Bool().Draw(t, "sleeps")
-		w := newWorld(count, func(int) bool { return sleeps })
-		one := func(t *rapid.T) *host { return w.hosts[rapid.IntRange(0, count-1).Draw(t, "host")] }
-		run := func(t *rapid.T) { w.run(one(t)) }
-		advance := func(t *rapid.T) { w.advance(rapid.SampledFrom(spans).Draw(t, "span")) }
+		suspends := rapid.Bool().Draw(t, "suspends")
+		s := newSimulation(count, func(int) bool { return suspends })
+		anyHost := func(t *rapid.T) *host { return s.hosts[rapid.IntRange(0, count-1).Draw(t, "host")] }
+		run := func(t *rapid.T) { s.run(anyHost(t)) }
+		advance := func(t *rapid.T) { s.advance(rapid.SampledFrom(spans).Draw(t, "span")) }
 		t.Repeat(map[string]func(*rapid.T){
-			"run":      run,
-			"runAgain": run,
-			"advance":  advance,
-			"pass":     advance,
-			"clock":    func(t *rapid.T) { w.disturbClock(one(t), rapid.SampledFrom(spans).Draw(t, "span")) },
+			"run":          run,
+			"runAgain":     run,
+			"advance":      advance,
+			"advanceAgain": advance,
+			"clockForward": func(t *rapid.T) { s.disturbClock(anyHost(t), rapid.SampledFrom(spans).Draw(t, "span")) },
 			"clockBack": func(t *rapid.T) {
-				w.disturbClock(one(t), -rapid.SampledFrom(spans).Draw(t, "span"))
+				s.disturbClock(anyHost(t), -rapid.SampledFrom(spans).Draw(t, "span"))
 			},
-			"send":   func(t *rapid.T) { w.send(one(t)) },
-			"reach":  func(t *rapid.T) { w.reach(one(t)) },
-			"answer": func(t *rapid.T) { w.answer(one(t)) },
-			"lose":   func(t *rapid.T) { w.lose(one(t)) },
-			"rare":   func(t *rapid.T) { w.rare(t, one(t)) },
+			"send":   func(t *rapid.T) { s.send(anyHost(t)) },
+			"arrive": func(t *rapid.T) { s.arrive(anyHost(t)) },
+			"answer": func(t *rapid.T) { s.answer(anyHost(t)) },
+			"lose":   func(t *rapid.T) { s.lose(anyHost(t)) },
+			"rare":   func(t *rapid.T) { s.rare(t, anyHost(t)) },
 			"": func(t *rapid.T) {
-				if held := w.holders(); len(held) > 1 {
+				if held := s.holders(); len(held) > 1 {
 					t.Fatalf("held by %q at once", held)
 				}
 			},
 		})
-		takeover(t, w)
+		checkTakeover(t, s)
 	})
 }
 
-// spans are times around which the lease decides differently.
+// spans are durations below, at and above those at which the lease decides differently.
 var spans = []time.Duration{
 	300 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, 5 * time.Second, 7 * time.Second, 20 * time.Second,
 }
 
-// disturbClock suspends the machine for a time, or steps its wall clock.
-func (w *world) disturbClock(h *host, by time.Duration) {
-	if !h.sleeps {
+// disturbClock suspends the host's machine for the duration, or steps its wall clock by it.
+func (s *simulation) disturbClock(h *host, by time.Duration) {
+	if !h.suspends {
 		h.wall += by
 		return
 	}
-	w.advance(by.Abs())
+	s.advance(by.Abs())
 	h.monotonic -= by.Abs()
 }
 
-// rare plays what would end most schedules early if it came often.
-func (w *world) rare(t *rapid.T, h *host) {
+// rare carries out an event that would end most schedules early if it were frequent.
+func (s *simulation) rare(t *rapid.T, h *host) {
 	switch rapid.IntRange(0, 9).Draw(t, "rare") {
 	case 0:
-		w.restart(h)
+		s.restart(h)
 	case 1:
 		h.machine.Release()
 	case 2, 3, 4, 5:
-		w.refuse(h)
+		s.refuse(h)
 	default:
-		if len(w.late) > 0 {
-			w.object.put(w.late[rapid.IntRange(0, len(w.late)-1).Draw(t, "late")])
+		if len(s.late) > 0 {
+			s.object.put(s.late[rapid.IntRange(0, len(s.late)-1).Draw(t, "late")])
 		}
 	}
 }
 
-// takeover lets all calls go through and expects that a host which has not given up holds the duty soon.
-func takeover(t *rapid.T, w *world) {
+// checkTakeover lets all calls succeed and checks that a host that has not released the duty holds it within 20 s.
+func checkTakeover(t *rapid.T, s *simulation) {
 	contenders := 0
-	for _, h := range w.hosts {
-		w.lose(h)
+	for _, h := range s.hosts {
+		s.lose(h)
 		if !h.machine.released {
 			contenders++
 		}
@@ -253,136 +260,130 @@
 		return
 	}
 	for range 40 {
-		for _, h := range w.hosts {
-			w.run(h)
+		for _, h := range s.hosts {
+			s.run(h)
 		}
-		w.advance(500 * time.Millisecond)
-		if held := w.holders(); len(held) == 1 {
+		s.advance(500 * time.Millisecond)
+		if held := s.holders(); len(held) == 1 {
 			return
 		}
 	}
-	t.Fatalf("nobody holds the duty 20 s after the faults ended")
-}
-
-// TestPausedHolderWakes is a paused process.
-//
-// What a user would see: an old order reaches the platform after a newer one of another host. The holder
-// is stopped for 30 s right after a renewal, another host takes over, the first one goes on where it
-// stood. It must know without any call that its term is over.
-func TestPausedHolderWakes(t *testing.T) {
-	w := newWorld(2, func(int) bool { return false })
-	first, second := w.hosts[0], w.hosts[1]
-	until(t, w, first)
-	w.run(second)
+	t.Fatalf("no host holds the duty 20 s after the faults ended")
+}
+
+// Guards against an outdated order that reaches the platform after a newer one from another host: the holder is
+// paused for 30 s right after a renewal, another host takes over, and the first one resumes. It must know
+// without any call that its term has ended.
+func TestPausedHolderResumes(t *testing.T) {
+	s := newSimulation(2, func(int) bool { return false })
+	first, second := s.hosts[0], s.hosts[1]
+	acquire(t, s, first)
+	s.run(second)
 	for range 30 {
-		w.advance(time.Second)
-		w.run(second)
+		s.advance(time.Second)
+		s.run(second)
 	}
 	if first.held() || !second.held() {
-		t.Fatalf("held by %q, want the second host only", w.holders())
+		t.Fatalf("held by %q, want only the second host", s.holders())
 	}
 }
 
-// renewalSent returns a world whose only host holds the duty and has sent a renewal, and when it did.
-func renewalSent(t *testing.T) (*world, *host, Instant) {
+// renewalSent returns a simulation whose only host holds the duty and has a renewal in flight, and when it sent that.
+func renewalSent(t *testing.T) (*simulation, *host, Instant) {
 	t.Helper()
-	w := newWorld(1, func(int) bool { return false })
-	h := w.hosts[0]
-	until(t, w, h)
-	w.advance(DefaultTiming().Renew)
+	s := newSimulation(1, func(int) bool { return false })
+	h := s.hosts[0]
+	acquire(t, s, h)
+	s.advance(DefaultTiming().Renew)
 	sent := h.now()
-	w.send(h)
-	return w, h, sent
+	s.send(h)
+	return s, h, sent
 }
 
-// checkGrant wants the object's version, counted from the moment at which its write was sent.
-func (w *world) checkGrant(t *testing.T, h *host, sent Instant) {
+// checkGrant checks that the host has a grant for the object's version, counted from sent.
+func (s *simulation) checkGrant(t *testing.T, h *host, sent Instant) {
 	t.Helper()
 	grant, _ := h.machine.Grant()
-	want := Grant{Version: w.object.version, Since: sent}
+	want := Grant{Version: s.object.version, Since: sent}
 	if diff := cmp.Diff(want, grant); diff != "" {
 		t.Errorf("grant (-want +got):\n%s", diff)
 	}
 }
 
-// TestLostRenewalAnswer is an answer lost after the effect.
-//
-// What a user would see: a duty that nobody carries out for seconds, or one carried out on a fencing
-// number that is not the object's. The renewal is written, its answer lost; the holder reads the object,
-// knows its own record and counts from before it sent that renewal.
+// Guards against a duty that nobody carries out for seconds, or that is carried out with a fencing number other
+// than the object's version. The renewal is written and its answer lost; the holder reads the object,
+// recognises its own record and counts the term from before it sent that renewal.
 func TestLostRenewalAnswer(t *testing.T) {
-	w, h, sent := renewalSent(t)
-	w.reach(h)
-	w.lose(h)
-	w.advance(time.Second)
-	w.run(h)
-	w.checkGrant(t, h, sent)
-}
-
-// TestOlderOfTwoLostRenewals has two renewals of unknown fate.
-//
-// What a user would see: two holders for a second. The first renewal is written late, the second one's
-// answer is lost after a conflict. The object shows the first; the term must count from that one and not
-// from the second, which came after a taker may have started to wait.
+	s, h, sent := renewalSent(t)
+	s.arrive(h)
+	s.lose(h)
+	s.advance(time.Second)
+	s.run(h)
+	s.checkGrant(t, h, sent)
+}
+
+// Guards against two holders for a second. The results of two renewals are unknown: the first is written late,
+// the second fails with a conflict and its answer is lost. The object holds the first, so the term must count
+// from that one and not from the second, which was sent after a contender may have started to wait.
 func TestOlderOfTwoLostRenewals(t *testing.T) {
-	w, h, sent := renewalSent(t)
-	w.lose(h)
-	w.run(h) // reads the object: the renewal has not been written yet
-	w.advance(time.Second)
-	w.send(h)
-	w.object.put(w.late[0])
-	w.reach(h)
-	w.lose(h)
-	w.run(h)
-	w.checkGrant(t, h, sent)
-}
-
-// TestRelease lets the next holder take over without a wait.
+	s, h, sent := renewalSent(t)
+	s.lose(h)
+	s.run(h) // reads the object: the renewal has not been written yet
+	s.advance(time.Second)
+	s.send(h)
+	s.object.put(s.late[0])
+	s.arrive(h)
+	s.lose(h)
+	s.run(h)
+	s.checkGrant(t, h, sent)
+}
+
+// Guards against a takeover that waits for the term to end although the holder released the duty.
 func TestRelease(t *testing.T) {
-	w := newWorld(2, func(int) bool { return false })
-	first, second := w.hosts[0], w.hosts[1]
-	until(t, w, first)
-	w.run(second)
+	s := newSimulation(2, func(int) bool { return false })
+	first, second := s.hosts[0], s.hosts[1]
+	acquire(t, s, first)
+	s.run(second)
 	first.machine.Release()
 	if first.held() {
-		t.Error("held after release")
+		t.Error("the duty is held after its release")
 	}
-	w.run(first)
-	w.run(second)
-	w.run(second)
+	s.run(first)
+	s.run(second)
+	s.run(second)
 	if !second.held() || !first.machine.Released() {
-		t.Errorf("held by %q, want the second host at once", w.holders())
+		t.Errorf("held by %q, want the second host at once", s.holders())
 	}
 }
 
-// TestObserverNeverWrites covers a host that does not contend.
+// Guards against a write by a host that does not contend.
 func TestObserverNeverWrites(t *testing.T) {
 	m := NewMachine(Holder{HostID: "entry-9"}, false, DefaultTiming())
 	now := Instant{}
 	for range 20 {
 		if step := m.Next(now); step.Kind == StepWrite {
-			t.Fatalf("step %+v", step)
+			t.Fatalf("unexpected write: %+v", step)
 		}
 		m.ObservedAbsent(now)
 		now.Monotonic += 10 * time.Second
 	}
 }
 
-// until runs the host until it holds the duty.
-func until(t *testing.T, w *world, h *host) {
+// acquire runs the host until it holds the duty.
+func acquire(t *testing.T, s *simulation, h *host) {
 	t.Helper()
 	for range 5 {
-		w.run(h)
+		s.run(h)
 		if h.held() {
 			return
 		}
 	}
-	t.Fatal("the host does not take the duty")
+	t.Fatal("the host has not taken the duty over after five steps")
 }
 
-// A holder is killed and started again at once, and nobody carries out its duty for a whole term: the lease names a run of the
-// process that has ended, and only its host can know that. Where a host runs one process at a time it takes the lease over at once.
-func TestARestartedHolderTakesOverAtOnce(t *testing.T) {
+// Guards against a duty that nobody carries out for a whole term after its holder was killed and restarted at once: the lease names a
+// run of the process that has ended, and only its host can know that. If a host runs one process at a time, it takes over at once.
+func TestRestartedHolderTakesOverAtOnce(t *testing.T) {
 	earlier := Holder{HostID: "h1", Incarnation: 1}
 	for _, test := range []struct {
 		name       string
@@ -391,7 +392,7 @@
 		want       StepKind
 	}{
 		{name: "same host, one process", self: Holder{HostID: "h1", Incarnation: 2}, oneProcess: true, want: StepWrite},
-		{name: "same host, maybe several processes", self: Holder{HostID: "h1", Incarnation: 2}, want: StepWatch},
+		{name: "same host, possibly several processes", self: Holder{HostID: "h1", Incarnation: 2}, want: StepWatch},
 		{name: "another host", self: Holder{HostID: "h2", Incarnation: 2}, oneProcess: true, want: StepWatch},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -401,7 +402,7 @@
 			machine.Observed(now, 7, Record{Holder: earlier, Renewal: 3})
 			step := machine.Next(now)
 			if step.Kind != test.want {
-				t.Fatalf("step %v", step.Kind)
+				t.Fatalf("unexpected step %v", step.Kind)
 			}
 			if step.Kind != StepWrite {
 				return
@@ -415,9 +416,10 @@
 	}
 }
 
-// The holder was lost in an outage of the store. Others had heard its last renewal from itself, and read the object only when the
-// store was back; counted from the read, the duty rests for a whole term more.
-func TestATakersWaitCountsFromWhatItHeard(t *testing.T) {
+// Guards against a duty that nobody carries out for a whole term more than needed: the holder was lost in an outage of the store. The
+// others had learned of its last renewal from the holder itself, and could read the object only when the store was back. The wait must
+// count from when they learned of the renewal.
+func TestContenderWaitCountsFromKnownRenewal(t *testing.T) {
 	timing := DefaultTiming()
 	wait := timing.Term + timing.Margin
 	at := func(since time.Duration) Instant {
@@ -425,19 +427,19 @@
 	}
 	for _, test := range []struct {
 		name string
-		// heard is when the renewal was heard of, read when it was read.
-		heard, read time.Duration
-		want        StepKind
+		// learned is when the host learned of the renewal, read when it read the object.
+		learned, read time.Duration
+		want          StepKind
 	}{
-		{name: "heard long before", heard: 0, read: wait, want: StepWrite},
-		{name: "heard a little before", heard: wait / 2, read: wait, want: StepWatch},
-		{name: "not heard", heard: wait, read: wait, want: StepWatch},
+		{name: "learned long before", learned: 0, read: wait, want: StepWrite},
+		{name: "learned a little before", learned: wait / 2, read: wait, want: StepWatch},
+		{name: "learned from the read", learned: wait, read: wait, want: StepWatch},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			machine := NewMachine(Holder{HostID: "h2"}, true, timing)
-			machine.ObservedSince(at(test.heard), 7, Record{Holder: Holder{HostID: "h1"}})
+			machine.ObservedSince(at(test.learned), 7, Record{Holder: Holder{HostID: "h1"}})
 			if step := machine.Next(at(test.read)); step.Kind != test.want {
-				t.Errorf("step %v", step.Kind)
+				t.Errorf("unexpected step %v", step.Kind)
 			}
 		})
 	}
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -10,8 +10,8 @@
 	"github.com/oleandershelf/oleandershelf/lease"
 )
 
-// Two processes contend for the duty of sending invoices. The first holds it and sends under its fence; when it leaves, it releases the
-// duty, and the second goes on at once, under a higher number.
+// Two processes contend for the duty of sending invoices. The first holds it and sends an invoice with its fence's number. When it
+// releases the duty, the second takes over at once, with a higher number.
 func Example() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -20,7 +20,7 @@
 	sent := send(ctx, first)
 	second := lease.NewKeeper(ctx, store, "invoices", holder("billing-2", 2))
 	_, both := second.Held(time.Now())
-	fmt.Println("second holds beside the first:", both)
+	fmt.Println("second holds together with the first:", both)
 	if err := first.Release(ctx); err != nil {
 		fmt.Println(err)
 	}
@@ -29,12 +29,13 @@
 	fmt.Println("first holds after its release:", still)
 	fmt.Println("the number has grown:", next > sent)
 	// Output:
-	// second holds beside the first: false
+	// second holds together with the first: false
 	// first holds after its release: false
 	// the number has grown: true
 }
 
-// send waits for the duty and returns the number to send with an invoice. A real write would end by the fence's deadline.
+// send waits until the keeper holds the duty and returns the number to send with an invoice. A real write must also end by the
+// fence's deadline.
 func send(ctx context.Context, keeper *lease.Keeper) lease.Version {
 	for {
 		changed := keeper.Changed()
