--- a/internal/core/usage/arithmetic.go
+++ b/internal/core/usage/arithmetic.go
@@ -1,6 +1,6 @@
 package usage
 
-// Plus returns the sum of both amounts.
+// Plus returns the sum of a and b.
 func (a Amount) Plus(b Amount) Amount {
 	return Amount{
 		Requests:   a.Requests + b.Requests,
@@ -9,7 +9,7 @@
 	}
 }
 
-// Max returns the larger value of each field.
+// Max returns the larger value of a and b for each field.
 func (a Amount) Max(b Amount) Amount {
 	return Amount{
 		Requests:   max(a.Requests, b.Requests),
@@ -18,7 +18,7 @@
 	}
 }
 
-// Minus returns a without b; a field never goes below zero.
+// Minus returns a minus b. No field goes below zero.
 func (a Amount) Minus(b Amount) Amount {
 	return Amount{
 		Requests:   a.Requests - min(a.Requests, b.Requests),
--- a/internal/core/usage/benchmark_test.go
+++ b/internal/core/usage/benchmark_test.go
@@ -7,8 +7,8 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/usage"
 )
 
-// filled returns a ledger of one window with a cell for each agent and organisation.
-func filled(agents, organisations int) *usage.Ledger {
+// newFilledLedger returns a ledger with one window and a cell for each agent and organisation.
+func newFilledLedger(agents, organisations int) *usage.Ledger {
 	ledger := usage.NewLedger()
 	for agent := range agents {
 		for organisation := range organisations {
@@ -22,7 +22,7 @@
 func BenchmarkMerge(b *testing.B) {
 	for _, agents := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("cells=%d", agents*8), func(b *testing.B) {
-			counts := filled(agents, 8).Counts()
+			counts := newFilledLedger(agents, 8).Counts()
 			ledger := usage.NewLedger()
 			i := 0
 			for b.Loop() {
@@ -36,7 +36,7 @@
 func BenchmarkSums(b *testing.B) {
 	for _, agents := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("cells=%d", agents*8), func(b *testing.B) {
-			counts := filled(agents, 8).Counts()
+			counts := newFilledLedger(agents, 8).Counts()
 			for b.Loop() {
 				tally := usage.NewTally()
 				for _, count := range counts {
--- a/internal/core/usage/closing_test.go
+++ b/internal/core/usage/closing_test.go
@@ -10,26 +10,26 @@
 func TestDueWindows(t *testing.T) {
 	const length = 5 * time.Second
 	for _, test := range []struct {
-		name    string
-		now     int64
-		missing bool
-		want    []int64
+		name         string
+		now          int64
+		entryMissing bool
+		want         []int64
 	}{
-		{name: "those that ended lately", now: 1000, want: []int64{197, 198}},
-		{name: "the last one settles", now: 1003, want: []int64{197, 198}},
-		{name: "the last one has just settled", now: 1004, want: []int64{198, 199}},
-		{name: "an entry is missing", now: 1004, missing: true, want: []int64{198}},
-		{name: "and may not come back", now: 1007, missing: true, want: []int64{198, 199}},
+		{name: "windows that ended recently", now: 1000, want: []int64{197, 198}},
+		{name: "last window within its delay", now: 1003, want: []int64{197, 198}},
+		{name: "last window after its delay", now: 1004, want: []int64{198, 199}},
+		{name: "last window while an entry is missing", now: 1004, entryMissing: true, want: []int64{198}},
+		{name: "last window after the delay for a missing entry", now: 1007, entryMissing: true, want: []int64{198, 199}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if diff := cmp.Diff(test.want, DueWindows(time.Unix(test.now, 0), length, test.missing)); diff != "" {
+			if diff := cmp.Diff(test.want, DueWindows(time.Unix(test.now, 0), length, test.entryMissing)); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-func TestWindowSumsAllWriters(t *testing.T) {
+func TestWindowSumsAllAgents(t *testing.T) {
 	ledger := NewLedger()
 	ledger.Add(Cell{Agent: 1, Organisation: "north", Window: 10}, Amount{Requests: 2})
 	ledger.Merge(Count{Cell: Cell{Agent: 2, Organisation: "north", Window: 10}, Amount: Amount{Requests: 3}})
--- a/internal/core/usage/ledger.go
+++ b/internal/core/usage/ledger.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// DefaultCellLimit is the number of cells from which Add opens no new windows. A cell takes about
-// 150 bytes, so that a ledger at its limit stays below 10 MB.
+// DefaultCellLimit is the number of cells from which Add starts no new windows. A cell takes about
+// 150 bytes, so that a ledger at its limit takes less than 10 MB.
 const DefaultCellLimit = 50_000
 
-// series is a cell without its window.
+// series identifies the cells that differ only in the window.
 type series struct {
 	agent        uint64
 	organisation string
 }
 
-// Ledger holds the counts that a host knows. It merges by maximum, so that repeats, copies and
-// any order of arrival leave the same sums. It is safe for concurrent use.
+// Ledger holds the counts that a host knows. Counts of a cell merge by maximum, so that the sums don't
+// depend on repeats, copies and the order of arrival. It is safe for concurrent use.
 type Ledger struct {
-	mutex  sync.Mutex
-	limit  int
-	cells  map[Cell]Amount
-	newest map[series]int64
+	mutex sync.Mutex
+	limit int
+	cells map[Cell]Amount
+	// newestWindow holds the start of the latest window of each series.
+	newestWindow map[series]int64
 }
 
-// LedgerOption changes a ledger under construction.
+// LedgerOption configures a new Ledger.
 type LedgerOption func(*Ledger)
 
-// WithCellLimit sets the number of cells from which Add opens no new windows.
+// WithCellLimit sets the number of cells from which Add starts no new windows.
 func WithCellLimit(limit int) LedgerOption {
 	return func(l *Ledger) { l.limit = limit }
 }
@@ -37,9 +38,9 @@
 // NewLedger returns an empty ledger.
 func NewLedger(opts ...LedgerOption) *Ledger {
 	ledger := &Ledger{
-		limit:  DefaultCellLimit,
-		cells:  make(map[Cell]Amount),
-		newest: make(map[series]int64),
+		limit:        DefaultCellLimit,
+		cells:        make(map[Cell]Amount),
+		newestWindow: make(map[series]int64),
 	}
 	for _, opt := range opts {
 		opt(ledger)
@@ -52,22 +53,22 @@
 	return max(int64(length/time.Second), 1)
 }
 
-// WindowStart returns the start in Unix seconds of the window that holds at; windows are cut from
+// WindowStart returns the start, in Unix seconds, of the window that contains at. Windows are aligned to
 // the Unix epoch in UTC.
 func WindowStart(at time.Time, length time.Duration) int64 {
 	return at.Unix() - at.Unix()%WindowSeconds(length)
 }
 
-// Add grows the cell by the amount and returns its new total. Only the cell's single writer may call it.
+// Add adds the amount to the cell and returns its new total. Only the cell's single writer may call it.
 //
-// In an outage of the platform nothing is flushed and every window would add cells without end.
-// At the limit Add therefore grows the newest cell that the same entry, agent and organisation
-// already have: the total stays right, and only the window of the usage is an earlier one.
+// During an outage of the platform nothing is flushed, and each window would add cells without bound.
+// At the limit Add therefore uses the latest cell that the same agent and organisation already
+// have: the total stays correct, but the usage is counted in an earlier window.
 func (l *Ledger) Add(cell Cell, amount Amount) Count {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if _, ok := l.cells[cell]; !ok && len(l.cells) >= l.limit {
-		if window, known := l.newest[seriesOf(cell)]; known {
+		if window, known := l.newestWindow[seriesOf(cell)]; known {
 			cell.Window = window
 		}
 	}
@@ -76,7 +77,7 @@
 	return Count{Cell: cell, Amount: total}
 }
 
-// Merge takes over what the count has beyond the ledger and reports whether the ledger changed.
+// Merge raises the cell's amount to the count's where that is larger, and reports whether the ledger changed.
 func (l *Ledger) Merge(count Count) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -89,7 +90,7 @@
 	return true
 }
 
-// Counts returns all counts, sorted by window, organisation, entry and agent.
+// Counts returns all counts, sorted by window, organisation and agent.
 func (l *Ledger) Counts() []Count {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -101,7 +102,7 @@
 	return counts
 }
 
-// Sum returns what the organisation used in the window that starts at the Unix second.
+// Sum returns the usage of the organisation in the window that starts at the Unix second.
 func (l *Ledger) Sum(organisation string, window int64) Amount {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -114,7 +115,7 @@
 	return sum
 }
 
-// Forget drops the cells for which drop returns true, and returns how many there were.
+// Forget deletes the cells for which drop returns true, and returns how many it deleted.
 func (l *Ledger) Forget(drop func(Count) bool) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -124,14 +125,14 @@
 			continue
 		}
 		delete(l.cells, cell)
-		if l.newest[seriesOf(cell)] == cell.Window {
-			delete(l.newest, seriesOf(cell))
+		if l.newestWindow[seriesOf(cell)] == cell.Window {
+			delete(l.newestWindow, seriesOf(cell))
 		}
 	}
 	return before - len(l.cells)
 }
 
-// Has reports whether the ledger knows the cell.
+// Has reports whether the ledger contains the cell.
 func (l *Ledger) Has(cell Cell) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -149,8 +150,8 @@
 func (l *Ledger) set(cell Cell, amount Amount) {
 	l.cells[cell] = amount
 	key := seriesOf(cell)
-	if window, ok := l.newest[key]; !ok || cell.Window > window {
-		l.newest[key] = cell.Window
+	if window, ok := l.newestWindow[key]; !ok || cell.Window > window {
+		l.newestWindow[key] = cell.Window
 	}
 }
 
--- a/internal/core/usage/ledger_test.go
+++ b/internal/core/usage/ledger_test.go
@@ -14,9 +14,9 @@
 	return usage.Amount{Requests: requests, Tokens: 10 * requests, ServerTime: time.Duration(requests) * time.Second}
 }
 
-// An invoice is wrong by one lookup: a count arrived twice, in the wrong order, or by two hosts.
-// Whatever copies, repeats and orders there are, the merged sum is the writer's.
-func TestMergeIsTheSameForAllOrdersAndRepeats(t *testing.T) {
+// Guards against a wrong invoice after counts arrived twice, out of order, or from two hosts. The merged sums
+// must equal the writer's for any copies, repeats and order of the counts.
+func TestMergeIgnoresOrderAndRepeats(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		writer := usage.NewLedger()
 		var sent []usage.Count
@@ -53,9 +53,9 @@
 	})
 }
 
-// The platform is down for days and every hour brings new cells: the process runs out of memory
-// and takes the counts with it. At its limit the ledger must stop growing and lose no usage.
-func TestLedgerAtItsLimitKeepsTheTotalAndItsSize(t *testing.T) {
+// Guards against a process that runs out of memory and loses its counts when the platform is down for days
+// and each hour adds cells. At its limit the ledger must stop growing and lose no usage.
+func TestLedgerAtLimitKeepsTotalAndSize(t *testing.T) {
 	ledger := usage.NewLedger(usage.WithCellLimit(2))
 	for hour := range int64(10) {
 		ledger.Add(usage.Cell{Agent: 1, Organisation: "sahil", Window: 3600 * hour}, amount(1))
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestDue(t *testing.T) {
+func TestUnreportedAndTotal(t *testing.T) {
 	used := map[int64]usage.Amount{0: amount(9), 1: amount(5), 2: amount(4), 3: amount(1), 4: amount(2)}
 	accounted := map[int64]usage.Amount{1: amount(3), 2: amount(4)}
 	got := usage.Due(used, accounted, 0, 3)
@@ -76,8 +76,8 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	figures, carriedOver := usage.Total(got, 3)
-	if diff := cmp.Diff([]usage.Amount{amount(3), amount(2)}, []usage.Amount{figures, carriedOver}); diff != "" {
+	total, carriedOver := usage.Total(got, 3)
+	if diff := cmp.Diff([]usage.Amount{amount(3), amount(2)}, []usage.Amount{total, carriedOver}); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/core/usage/share.go
+++ b/internal/core/usage/share.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// Share is the part of a report that ran in one window.
+// Share is the part of a report's usage that belongs to one window.
 type Share struct {
 	// Window is the start of the window in Unix seconds.
 	Window int64  `json:"window"`
 	Amount Amount `json:"amount"`
 }
 
-// Sums are amounts by organisation and window.
+// Sums holds amounts by organisation and start of the window in Unix seconds.
 type Sums map[string]map[int64]Amount
 
-// Plus grows one sum.
+// Plus adds the share to the organisation's sum for its window.
 func (s Sums) Plus(organisation string, share Share) {
 	windows, ok := s[organisation]
 	if !ok {
@@ -26,12 +26,12 @@
 	windows[share.Window] = windows[share.Window].Plus(share.Amount)
 }
 
-// Organisations returns the names, sorted.
+// Organisations returns the names of the organisations, sorted.
 func (s Sums) Organisations() []string {
 	return slices.Sorted(maps.Keys(s))
 }
 
-// First returns the earliest window in which something was used.
+// First returns the start of the earliest window, and false if there is none.
 func (s Sums) First() (window int64, ok bool) {
 	for _, windows := range s {
 		for start := range windows {
@@ -43,28 +43,28 @@
 	return window, ok
 }
 
-// Due returns what an organisation used from the window after oldest up to the window through and
-// what no earlier report accounted for, by window. Since counts only grow, what arrives after a
-// window was closed is due in the next one, once.
+// Due returns the usage of an organisation that earlier reports have not accounted for, by window, for the
+// windows after oldest up to and including through. Since counts only grow, usage that arrives after its
+// window was closed is reported once, with the next window.
 func Due(used, accounted map[int64]Amount, oldest, through int64) []Share {
 	var due []Share
 	for window, amount := range used {
-		rest := amount.Minus(accounted[window])
-		if window > oldest && window <= through && !rest.IsZero() {
-			due = append(due, Share{Window: window, Amount: rest})
+		unreported := amount.Minus(accounted[window])
+		if window > oldest && window <= through && !unreported.IsZero() {
+			due = append(due, Share{Window: window, Amount: unreported})
 		}
 	}
 	slices.SortFunc(due, func(a, b Share) int { return cmp.Compare(a.Window, b.Window) })
 	return due
 }
 
-// Total sums the shares, and apart those of windows before the given one.
-func Total(shares []Share, window int64) (figures, carriedOver Amount) {
+// Total returns the sum of the shares, and the part of it that belongs to windows before the given one.
+func Total(shares []Share, window int64) (total, carriedOver Amount) {
 	for _, share := range shares {
-		figures = figures.Plus(share.Amount)
+		total = total.Plus(share.Amount)
 		if share.Window < window {
 			carriedOver = carriedOver.Plus(share.Amount)
 		}
 	}
-	return figures, carriedOver
+	return total, carriedOver
 }
--- a/internal/core/usage/tally.go
+++ b/internal/core/usage/tally.go
@@ -1,38 +1,39 @@
 package usage
 
-// tallied names a count of the window of a Tally.
-type tallied struct {
+// tallyKey identifies a cell of a Tally's window. Its organisation is an index into Tally.names.
+type tallyKey struct {
 	agent        uint64
 	organisation uint32
 }
 
-// Tally sums the counts of one window by organisation. Copies of a count merge by maximum, as in a Ledger, so all
-// counts have to be kept until the sums are taken; but with a number for the organisation and without the window, which
-// takes less memory. It is not safe for concurrent use.
+// Tally sums the counts of one window by organisation. Copies of a count merge by maximum, as in a Ledger, so all counts
+// must be kept until the sums are computed. To save memory their keys hold an index for the organisation and no window. It
+// is not safe for concurrent use.
 type Tally struct {
-	places  map[string]uint32
+	// indexes maps the name of an organisation to its index in names.
+	indexes map[string]uint32
 	names   []string
-	amounts map[tallied]Amount
+	amounts map[tallyKey]Amount
 }
 
 // NewTally returns an empty tally.
 func NewTally() *Tally {
-	return &Tally{places: make(map[string]uint32), amounts: make(map[tallied]Amount)}
+	return &Tally{indexes: make(map[string]uint32), amounts: make(map[tallyKey]Amount)}
 }
 
-// Merge takes over what the count has beyond the tally. The count must be one of the tally's window.
+// Merge raises the cell's amount to the count's where that is larger. The count must belong to the tally's window.
 func (t *Tally) Merge(count Count) {
-	place, ok := t.places[count.Cell.Organisation]
+	index, ok := t.indexes[count.Cell.Organisation]
 	if !ok {
-		place = uint32(len(t.names)) //nolint:gosec // far fewer organisations
-		t.places[count.Cell.Organisation] = place
+		index = uint32(len(t.names)) //nolint:gosec // the number of organisations is far below 2^32
+		t.indexes[count.Cell.Organisation] = index
 		t.names = append(t.names, count.Cell.Organisation)
 	}
-	key := tallied{agent: count.Cell.Agent, organisation: place}
+	key := tallyKey{agent: count.Cell.Agent, organisation: index}
 	t.amounts[key] = t.amounts[key].Max(count.Amount)
 }
 
-// Sums returns what each organisation used.
+// Sums returns the usage of each organisation.
 func (t *Tally) Sums() map[string]Amount {
 	sums := make(map[string]Amount, len(t.names))
 	for key, amount := range t.amounts {
