--- a/internal/core/execution/record.go
+++ b/internal/core/execution/record.go
@@ -1,13 +1,13 @@
-// Package execution records what became of each request at an agent, so that a request runs at most
-// once and a verdict of "not run" stays true.
+// Package execution records the state of each request at an agent, so that a request runs at most once
+// and a verdict of "not run" stays true.
 //
-// The load pattern: connections break while requests are queued or running, and the asking side then
-// asks what became of them; frames may still arrive after that question. Without the record a late
-// frame would run a request whose caller was told that it never will, and has sent it again.
+// Connections break while requests are queued or running. The sender then asks for the state of its
+// requests, and a request's frame may still arrive after that. Without the record such a late frame would
+// run a request whose caller was told that it never will, and may have sent it again.
 //
-// Forgetting is safe at any time: each incarnation of a sender has a horizon, and an identifier at or
-// below it that is not in the record is never run. What is lost by forgetting is only precision: such
-// a request is answered with "may have run".
+// It is safe to forget an ended request at any time: each incarnation of a sender has a horizon, and a
+// request whose ID is at or below the horizon and not in the record is never run. Only precision is lost:
+// the answer for such a request is "may have run".
 package execution
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// State is what became of a request.
+// State is the state of a request.
 type State uint8
 
 // The states of a request. Queued and running requests are never forgotten.
@@ -27,80 +27,81 @@
 	Unseen State = iota
 	Queued
 	Running
-	// Ran: the request ran and ended.
+	// Ran: the request ran to its end.
 	Ran
-	// Uncertain: the request was started and its end is unknown.
+	// Uncertain: the request was started and its outcome is unknown.
 	Uncertain
 	// Fenced: the request has not run and never will.
 	Fenced
-	// Forgotten: the record no longer knows; the request may have run and will not run again.
+	// Forgotten: the request's state was removed from the record; it may have run and will not run again.
 	Forgotten
 )
 
 const (
-	// defaultKeep is far longer than a frame may be late: a connection that is silent for a few
-	// seconds is closed by both sides, and an answer in doubt is settled within seconds too.
-	defaultKeep = 10 * time.Minute
-	// defaultIncarnationKeep outlives the slowest replacement of a host with a connection half open.
-	defaultIncarnationKeep = 24 * time.Hour
-	// defaultCapacity bounds the ended requests: 10 minutes at 100 a second, about 8 MB.
+	// defaultRetention is far longer than a frame can be delayed: both sides close a connection that is
+	// silent for a few seconds, and senders ask about a lost answer within seconds as well.
+	defaultRetention = 10 * time.Minute
+	// defaultIncarnationRetention is longer than the slowest replacement of a host that left a half-open connection.
+	defaultIncarnationRetention = 24 * time.Hour
+	// defaultCapacity bounds the ended requests: 10 minutes at 100 requests a second, about 8 MB.
 	defaultCapacity = 60_000
-	// retryInProgress is when the caller of a request that is still running may ask again.
+	// retryInProgress is how long the caller of a request that is still in progress should wait before it retries.
 	retryInProgress = time.Second
 )
 
-// ErrState is returned when a request is not in the state that a step needs.
-var ErrState = errors.New("request is not in the state needed")
+// ErrState is returned when a request is not in the state that an operation requires.
+var ErrState = errors.New("request is not in the required state")
 
-// Record holds the state of each request. It is not safe for use by several goroutines.
+// Record holds the state of each request. It is not safe for concurrent use.
 type Record struct {
-	keep, incarnationKeep time.Duration
-	capacity              int
-	states                map[request.ID]State
-	ended                 []ended
-	incarnations          map[uint64]*incarnation
+	retention, incarnationRetention time.Duration
+	capacity                        int
+	states                          map[request.ID]State
+	ended                           []ended
+	incarnations                    map[uint64]*incarnation
 }
 
-// ended is a request that may be forgotten, in the order of ending.
+// ended is a request that has ended and may be forgotten. Record.ended is sorted by the time of the end.
 type ended struct {
 	id request.ID
 	at time.Time
 }
 
-// incarnation is what is known of one sender.
+// incarnation is what is known of one sending process.
 type incarnation struct {
-	// horizon is the highest counter forgotten.
+	// horizon is the highest counter of a forgotten request.
 	horizon uint64
-	seen    time.Time
-	kept    int
+	// lastUsed is when the state of one of its requests last changed, stored how many of its requests are in the record.
+	lastUsed time.Time
+	stored   int
 }
 
 // Option configures a Record.
 type Option func(*Record)
 
-// WithKeep sets how long an ended request is remembered.
-func WithKeep(keep time.Duration) Option {
-	return func(r *Record) { r.keep = keep }
+// WithRetention sets how long an ended request is kept.
+func WithRetention(retention time.Duration) Option {
+	return func(r *Record) { r.retention = retention }
 }
 
-// WithIncarnationKeep sets how long the horizon of a silent sender is remembered.
-func WithIncarnationKeep(keep time.Duration) Option {
-	return func(r *Record) { r.incarnationKeep = keep }
+// WithIncarnationRetention sets how long the horizon of a sender without requests is kept.
+func WithIncarnationRetention(retention time.Duration) Option {
+	return func(r *Record) { r.incarnationRetention = retention }
 }
 
-// WithCapacity bounds the ended requests that are remembered.
-func WithCapacity(count int) Option {
-	return func(r *Record) { r.capacity = count }
+// WithCapacity sets the maximum number of ended requests that are kept.
+func WithCapacity(capacity int) Option {
+	return func(r *Record) { r.capacity = capacity }
 }
 
 // NewRecord returns an empty record.
 func NewRecord(opts ...Option) *Record {
 	r := &Record{
-		keep:            defaultKeep,
-		incarnationKeep: defaultIncarnationKeep,
-		capacity:        defaultCapacity,
-		states:          make(map[request.ID]State),
-		incarnations:    make(map[uint64]*incarnation),
+		retention:            defaultRetention,
+		incarnationRetention: defaultIncarnationRetention,
+		capacity:             defaultCapacity,
+		states:               make(map[request.ID]State),
+		incarnations:         make(map[uint64]*incarnation),
 	}
 	for _, opt := range opts {
 		opt(r)
@@ -108,7 +109,7 @@
 	return r
 }
 
-// State returns what the record knows of a request.
+// State returns the state of a request.
 func (r *Record) State(id request.ID) State {
 	if state, ok := r.states[id]; ok {
 		return state
@@ -119,8 +120,8 @@
 	return Unseen
 }
 
-// Begin takes a request into the queue. Any request but an unseen one is refused: its frame came
-// twice, or late, after the asking side was told what became of it.
+// Begin records a new request as queued. It refuses a request in any other state than Unseen: its frame
+// arrived twice, or only after the sender had asked for its state.
 func (r *Record) Begin(now time.Time, id request.ID) error {
 	switch state := r.State(id); state {
 	case Unseen:
@@ -133,16 +134,17 @@
 			"request %s is in progress", id)
 	default:
 		return verdict.Refuse(verdict.MayHaveRun, verdict.ReasonFenced, 0,
-			"request %s was taken before", id)
+			"request %s was accepted before", id)
 	}
 }
 
+// fenced returns the refusal for a fenced request.
 func fenced(id request.ID) *verdict.Refusal {
 	return verdict.Refuse(verdict.NotRun, verdict.ReasonFenced, 0,
-		"request %s was recorded as never to be run", id)
+		"request %s was fenced and will never run", id)
 }
 
-// Start marks a queued request as running. It fails when the request was fenced in the queue.
+// Start marks a queued request as running. It fails if the request was fenced while it was queued.
 func (r *Record) Start(now time.Time, id request.ID) error {
 	switch r.State(id) {
 	case Queued:
@@ -151,11 +153,11 @@
 	case Fenced:
 		return fenced(id)
 	default:
-		return errors.Wrapf(ErrState, "start %s", id)
+		return errors.Wrapf(ErrState, "start request %s", id)
 	}
 }
 
-// Remove fences a request that is queued; false if it was not.
+// Remove fences a queued request. It returns false if the request is not queued.
 func (r *Record) Remove(now time.Time, id request.ID) bool {
 	if r.State(id) != Queued {
 		return false
@@ -164,10 +166,10 @@
 	return true
 }
 
-// Finish ends a running request. NotRun is for a request that did not reach the backend server.
+// Finish ends a running request. The verdict is NotRun if the request did not reach the backend server.
 func (r *Record) Finish(now time.Time, id request.ID, v verdict.Verdict) error {
 	if r.State(id) != Running {
-		return errors.Wrapf(ErrState, "finish %s", id)
+		return errors.Wrapf(ErrState, "finish request %s", id)
 	}
 	switch v {
 	case verdict.NotRun:
@@ -180,8 +182,8 @@
 	return nil
 }
 
-// Settle says what became of a request whose connection was lost. A request that is unseen or still
-// queued is fenced first, so that NotRun stays true if its frame or its turn comes later.
+// Settle returns the verdict on a request whose connection was lost. An unseen or queued request is fenced
+// first, so that NotRun stays true if its frame arrives, or it reaches the head of the queue, later.
 func (r *Record) Settle(now time.Time, id request.ID) request.Settled {
 	switch r.State(id) {
 	case Unseen, Queued:
@@ -198,15 +200,16 @@
 	}
 }
 
+// set stores the state of a request, and forgets the oldest ended requests beyond the capacity.
 func (r *Record) set(now time.Time, id request.ID, state State) {
 	sender, ok := r.incarnations[id.Incarnation]
 	if !ok {
 		sender = &incarnation{}
 		r.incarnations[id.Incarnation] = sender
 	}
-	sender.seen = now
+	sender.lastUsed = now
 	if _, ok := r.states[id]; !ok {
-		sender.kept++
+		sender.stored++
 	}
 	r.states[id] = state
 	if state != Queued && state != Running {
@@ -217,28 +220,29 @@
 	}
 }
 
-// Expire forgets the requests that ended long ago, and the senders that have been silent for long.
+// Expire forgets the requests and the senders whose retention has passed.
 func (r *Record) Expire(now time.Time) {
-	for len(r.ended) > 0 && now.Sub(r.ended[0].at) >= r.keep {
+	for len(r.ended) > 0 && now.Sub(r.ended[0].at) >= r.retention {
 		r.forgetOldest()
 	}
-	for number, sender := range r.incarnations {
-		if sender.kept == 0 && now.Sub(sender.seen) >= r.incarnationKeep {
-			delete(r.incarnations, number)
+	for id, sender := range r.incarnations {
+		if sender.stored == 0 && now.Sub(sender.lastUsed) >= r.incarnationRetention {
+			delete(r.incarnations, id)
 		}
 	}
 }
 
+// forgetOldest removes the request that ended first and raises its sender's horizon to it.
 func (r *Record) forgetOldest() {
 	id := r.ended[0].id
 	r.ended = r.ended[1:]
 	delete(r.states, id)
 	sender := r.incarnations[id.Incarnation]
 	sender.horizon = max(sender.horizon, id.Counter)
-	sender.kept--
+	sender.stored--
 }
 
-// Counts is the size of a record, for dumps.
+// Counts holds the number of requests in each state and the number of known senders, for state dumps.
 type Counts struct {
 	Queued       int `json:"queued"`
 	Running      int `json:"running"`
@@ -248,7 +252,7 @@
 	Incarnations int `json:"incarnations"`
 }
 
-// Counts returns how many requests are in each state.
+// Counts returns the current counts.
 func (r *Record) Counts() Counts {
 	counts := Counts{Incarnations: len(r.incarnations)}
 	for _, state := range r.states {
@@ -263,7 +267,7 @@
 			counts.Uncertain++
 		case Fenced:
 			counts.Fenced++
-		default: // the others are never stored
+		default: // Unseen and Forgotten are never stored
 		}
 	}
 	return counts
--- a/internal/core/execution/record_test.go
+++ b/internal/core/execution/record_test.go
@@ -13,9 +13,9 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// An entry loses its connection while the request's frame is still on the way. It asks what became
-// of it, hears "not run" and sends the call elsewhere. If the late frame then ran, an airline would be
-// billed twice.
+// Guards against a request that runs twice: an entry loses its connection while the request's frame is still
+// in flight, asks for the verdict, gets "not run" and sends the call to another agent. The late frame must
+// not run, or an airline would be billed twice.
 func TestLateFrameAfterSettleNeverRuns(t *testing.T) {
 	r := NewRecord()
 	id := request.ID{Incarnation: 1, Counter: 1}
@@ -25,7 +25,7 @@
 	err := r.Begin(start, id)
 	refusal, ok := verdict.As(err)
 	if !ok || refusal.Verdict != verdict.NotRun || refusal.Reason != verdict.ReasonFenced {
-		t.Errorf("late frame: %v", err)
+		t.Errorf("late frame: got %v, want a refusal as fenced", err)
 	}
 }
 
@@ -46,11 +46,11 @@
 		{name: "removed", steps: func(r *Record) { begin(r); r.Remove(start, id) }, want: request.Settled{Verdict: verdict.NotRun}},
 		{name: "running", steps: run, want: request.Settled{Verdict: verdict.MayHaveRun, Running: true}},
 		{name: "ran", steps: finish(verdict.Ran), want: request.Settled{Verdict: verdict.Ran}},
-		{name: "lost at the server", steps: finish(verdict.MayHaveRun), want: request.Settled{Verdict: verdict.MayHaveRun}},
-		{name: "never reached the server", steps: finish(verdict.NotRun), want: request.Settled{Verdict: verdict.NotRun}},
+		{name: "lost at the backend server", steps: finish(verdict.MayHaveRun), want: request.Settled{Verdict: verdict.MayHaveRun}},
+		{name: "never reached the backend server", steps: finish(verdict.NotRun), want: request.Settled{Verdict: verdict.NotRun}},
 		{name: "ran and forgotten", steps: func(r *Record) {
 			finish(verdict.Ran)(r)
-			r.Expire(start.Add(defaultKeep))
+			r.Expire(start.Add(defaultRetention))
 		}, want: request.Settled{Verdict: verdict.MayHaveRun}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -63,96 +63,97 @@
 	}
 }
 
-// truth is what really happened to a request, beside what the record says.
-type truth struct {
-	runs   int
+// history is what happened to a request, independently of the record.
+type history struct {
+	runs int
+	// notRun is set once the record has answered NotRun.
 	notRun bool
 }
 
-// Frames come late, doubled and crossed with questions about them, the record forgets by time and by
-// number, and senders come and go. However they interleave, no request runs twice, none runs after
-// its asker was told that it never will, and none is called "not run" that ran.
+// Guards against a request that runs twice, that runs after its sender was told "not run", or that ran and is
+// reported as "not run". Frames arrive late, twice, and before or after queries about them, and the record forgets requests
+// by time and by number, in any order.
 func TestRecordUnderRandomInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := NewRecord(WithKeep(time.Minute), WithCapacity(rapid.IntRange(1, 10).Draw(t, "capacity")))
+		r := NewRecord(WithRetention(time.Minute), WithCapacity(rapid.IntRange(1, 10).Draw(t, "capacity")))
 		now := start
-		truths := make(map[request.ID]*truth)
-		live := make(map[request.ID]State)
-		draw := func(t *rapid.T) (request.ID, *truth) {
+		histories := make(map[request.ID]*history)
+		active := make(map[request.ID]State)
+		draw := func(t *rapid.T) (request.ID, *history) {
 			id := request.ID{
 				Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"),
 				Counter:     rapid.Uint64Range(1, 12).Draw(t, "counter"),
 			}
-			if truths[id] == nil {
-				truths[id] = &truth{}
+			if histories[id] == nil {
+				histories[id] = &history{}
 			}
-			return id, truths[id]
+			return id, histories[id]
 		}
-		refused := func(t *rapid.T, id request.ID, err error) {
+		checkRefusal := func(t *rapid.T, id request.ID, err error) {
 			refusal, ok := verdict.As(err)
 			if ok && refusal.Verdict == verdict.NotRun {
-				if truths[id].runs > 0 {
-					t.Fatalf("%s was called not run and has run", id)
+				if histories[id].runs > 0 {
+					t.Fatalf("%s is reported as not run but has run", id)
 				}
-				truths[id].notRun = true
+				histories[id].notRun = true
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"frame": func(t *rapid.T) {
 				id, _ := draw(t)
 				if err := r.Begin(now, id); err != nil {
-					refused(t, id, err)
+					checkRefusal(t, id, err)
 					return
 				}
-				live[id] = Queued
+				active[id] = Queued
 			},
 			"start": func(t *rapid.T) {
-				id, what := draw(t)
-				if live[id] != Queued {
+				id, past := draw(t)
+				if active[id] != Queued {
 					return
 				}
 				if err := r.Start(now, id); err != nil {
-					delete(live, id)
-					refused(t, id, err)
+					delete(active, id)
+					checkRefusal(t, id, err)
 					return
 				}
-				live[id] = Running
-				what.runs++
-				if what.runs > 1 || what.notRun {
-					t.Fatalf("%s runs for the %d. time, called not run: %v", id, what.runs, what.notRun)
+				active[id] = Running
+				past.runs++
+				if past.runs > 1 || past.notRun {
+					t.Fatalf("%s: run number %d, reported as not run: %v", id, past.runs, past.notRun)
 				}
 			},
 			"remove": func(t *rapid.T) {
-				id, what := draw(t)
-				if live[id] != Queued {
+				id, past := draw(t)
+				if active[id] != Queued {
 					return
 				}
 				r.Remove(now, id)
-				delete(live, id)
-				what.notRun = true
+				delete(active, id)
+				past.notRun = true
 			},
 			"finish": func(t *rapid.T) {
 				id, _ := draw(t)
-				if live[id] != Running {
+				if active[id] != Running {
 					return
 				}
-				delete(live, id)
+				delete(active, id)
 				v := rapid.SampledFrom([]verdict.Verdict{verdict.MayHaveRun, verdict.Ran}).Draw(t, "verdict")
 				if err := r.Finish(now, id, v); err != nil {
 					t.Fatal(err)
 				}
 			},
 			"settle": func(t *rapid.T) {
-				id, what := draw(t)
+				id, past := draw(t)
 				settled := r.Settle(now, id)
-				if settled.Running != (live[id] == Running) {
-					t.Fatalf("%s: running %v", id, settled.Running)
+				if settled.Running != (active[id] == Running) {
+					t.Fatalf("%s: settled as running: %v", id, settled.Running)
 				}
-				if settled.Verdict == verdict.Ran && what.runs == 0 {
-					t.Fatalf("%s was called ran and has not run", id)
+				if settled.Verdict == verdict.Ran && past.runs == 0 {
+					t.Fatalf("%s is reported as ran but has not run", id)
 				}
 				if settled.Verdict == verdict.NotRun {
-					refused(t, id, verdict.Refuse(verdict.NotRun, "", 0, ""))
+					checkRefusal(t, id, verdict.Refuse(verdict.NotRun, "", 0, ""))
 				}
 			},
 			"time": func(t *rapid.T) {
@@ -162,20 +163,20 @@
 			"": func(t *rapid.T) {
 				counts := r.Counts()
 				if ended := counts.Ran + counts.Uncertain + counts.Fenced; ended > r.capacity {
-					t.Fatalf("%d ended requests are kept, %d allowed", ended, r.capacity)
+					t.Fatalf("%d ended requests are kept, want at most %d", ended, r.capacity)
 				}
 			},
 		})
 	})
 }
 
-// A caller retries a booking with the same idempotency key, at once, later, or for another booking.
-// However its calls interleave with the run and its loss, the booking runs at most once.
+// Guards against a booking that runs twice. Its caller retries with the same idempotency key, at once, later, or
+// for another booking, in any order with the run and the loss of its answer.
 func TestKeysUnderRandomInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := NewKeys[int](time.Hour, 3)
 		now := start
-		type claimed struct {
+		type expectedRun struct {
 			digest  Digest
 			running bool
 			ran     bool
@@ -183,7 +184,7 @@
 			outcome int
 			since   time.Time
 		}
-		model := make(map[Key]*claimed)
+		model := make(map[Key]*expectedRun)
 		draw := func(t *rapid.T) Key {
 			return Key{Organisation: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "organisation"),
 				Hash: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "key")}
@@ -196,21 +197,21 @@
 				switch {
 				case known == nil && err != nil:
 					if refusal, ok := verdict.As(err); !ok || refusal.Reason != verdict.ReasonNoRoom || len(model) < 3 {
-						t.Fatalf("new key: %v", err)
+						t.Fatalf("claim of a new key: %v", err)
 					}
 				case known == nil:
-					model[key] = &claimed{digest: digest, running: true}
+					model[key] = &expectedRun{digest: digest, running: true}
 				case known.digest != digest:
 					if refusal, ok := verdict.As(err); !ok || refusal.Reason != verdict.ReasonKeyReused {
-						t.Fatalf("another call: %v", err)
+						t.Fatalf("claim for another call: %v", err)
 					}
 				case known.ran:
 					if err != nil || !ran || outcome != known.outcome {
-						t.Fatalf("repeat: %d, %v, %v", outcome, ran, err)
+						t.Fatalf("claim after the run: outcome %d, ran %v, error %v", outcome, ran, err)
 					}
 				default:
 					if refusal, ok := verdict.As(err); !ok || refusal.Verdict != verdict.MayHaveRun {
-						t.Fatalf("running or lost: %v", err)
+						t.Fatalf("claim of a running or lost call: %v", err)
 					}
 				}
 			},
@@ -223,7 +224,7 @@
 				v := rapid.SampledFrom([]verdict.Verdict{verdict.NotRun, verdict.MayHaveRun, verdict.Ran}).Draw(t, "verdict")
 				outcome := rapid.Int().Draw(t, "outcome")
 				k.Finish(now, key, v, outcome)
-				*known = claimed{digest: known.digest, ran: v == verdict.Ran, lost: v == verdict.MayHaveRun,
+				*known = expectedRun{digest: known.digest, ran: v == verdict.Ran, lost: v == verdict.MayHaveRun,
 					outcome: outcome, since: now}
 				if v == verdict.NotRun {
 					delete(model, key)
@@ -240,14 +241,14 @@
 			},
 			"": func(t *rapid.T) {
 				if k.Len() != len(model) {
-					t.Fatalf("%d keys, %d expected", k.Len(), len(model))
+					t.Fatalf("%d keys, want %d", k.Len(), len(model))
 				}
 			},
 		})
 	})
 }
 
-// The size of one remembered request, for the capacity page.
+// BenchmarkRecord measures the memory of one ended request, for the capacity page.
 func BenchmarkRecord(b *testing.B) {
 	b.ReportAllocs()
 	r := NewRecord()
