--- a/internal/core/roster/call.go
+++ b/internal/core/roster/call.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Due is an entry to call now.
-type Due struct {
+// DueCall is an entry to call now.
+type DueCall struct {
 	Address netip.AddrPort
 	// Member is what is known of the entry; only its address is set if the entry is unknown.
 	Member Member
@@ -18,15 +18,15 @@
 
 // Due returns the entries to call now, sorted by address, and marks each as being called until Called ends the call. Direct are the
 // addresses of entries that must hear from this one directly.
-func (r *Roster) Due(now time.Time, direct ...netip.AddrPort) []Due {
+func (r *Roster) Due(now time.Time, direct ...netip.AddrPort) []DueCall {
 	r.updateNeighbours(now)
-	var due []Due
+	var due []DueCall
 	add := func(p *peerState) {
 		p.calling = true
 		p.lastCalled = now
 		member := p.member
 		member.Address = p.address
-		due = append(due, Due{Address: p.address, Member: member, Copies: p.successor || slices.Contains(direct, p.address)})
+		due = append(due, DueCall{Address: p.address, Member: member, Copies: p.successor || slices.Contains(direct, p.address)})
 	}
 	for _, p := range r.peers {
 		if !p.calling && now.Sub(p.lastCalled) >= r.interval(now, p, direct) {
@@ -37,7 +37,7 @@
 		r.lastAntiEntropy = now
 		add(target)
 	}
-	slices.SortFunc(due, func(a, b Due) int { return a.Address.Compare(b.Address) })
+	slices.SortFunc(due, func(a, b DueCall) int { return a.Address.Compare(b.Address) })
 	return due
 }
 
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -127,7 +127,7 @@
 // callAll sends beats to all entries whose turn it is.
 func (g *Gossip) callAll(ctx context.Context, now time.Time) {
 	needed := g.needed()
-	var due []roster.Due
+	var due []roster.DueCall
 	g.locked(func(r *roster.Roster) { due = r.Due(now, needed...) })
 	for _, each := range due {
 		g.work.Go(func() { g.call(ctx, each) })
@@ -145,7 +145,7 @@
 	return addresses
 }
 
-func (g *Gossip) call(ctx context.Context, due roster.Due) {
+func (g *Gossip) call(ctx context.Context, due roster.DueCall) {
 	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
 	defer cancel()
 	beat := g.beat(time.Now(), due.Member, due.Copies)
