--- a/internal/core/roster/call.go
+++ b/internal/core/roster/call.go
@@ -16,9 +16,9 @@
 	Copies bool
 }
 
-// Due returns the entries to call now, sorted by address, and marks each as being called until Called ends the call. Direct are the
+// DueCalls returns the entries to call now, sorted by address, and marks each as being called until Called ends the call. Direct are the
 // addresses of entries that must hear from this one directly.
-func (r *Roster) Due(now time.Time, direct ...netip.AddrPort) []DueCall {
+func (r *Roster) DueCalls(now time.Time, direct ...netip.AddrPort) []DueCall {
 	r.updateNeighbours(now)
 	var due []DueCall
 	add := func(p *peerState) {
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -98,7 +98,7 @@
 			if c.down[address] {
 				continue
 			}
-			for _, due := range r.Due(c.now) {
+			for _, due := range r.DueCalls(c.now) {
 				to := due.Address
 				other, exists := c.rosters[to]
 				if exists && !c.down[to] && !c.cut(address, to) {
@@ -305,7 +305,7 @@
 	called := 0
 	for range 40 {
 		c.now = c.now.Add(100 * time.Millisecond)
-		for _, due := range r.Due(c.now, direct) {
+		for _, due := range r.DueCalls(c.now, direct) {
 			if due.Address == direct && due.Copies {
 				called++
 			}
@@ -320,11 +320,11 @@
 func TestAddressWithoutEntryIsForgotten(t *testing.T) {
 	r := New(start, member(0))
 	r.Meet(start, member(1).Address)
-	if due := r.Due(start); len(due) != 1 {
+	if due := r.DueCalls(start); len(due) != 1 {
 		t.Errorf("due calls %v, want one", due)
 	}
 	r.Called(member(1).Address)
-	if r.Due(start.Add(forgetTimeout + time.Second)); len(r.peers) != 0 {
+	if r.DueCalls(start.Add(forgetTimeout + time.Second)); len(r.peers) != 0 {
 		t.Errorf("%d addresses are still known", len(r.peers))
 	}
 }
@@ -352,7 +352,7 @@
 	r.Meet(now, seed.Address)
 	calls := 0
 	for at := now; at.Before(now.Add(ringTimeout)); at = at.Add(50 * time.Millisecond) {
-		for _, due := range r.Due(at) {
+		for _, due := range r.DueCalls(at) {
 			calls++
 			r.Called(due.Address)
 		}
@@ -362,7 +362,7 @@
 	}
 	calls = 0
 	for at := now.Add(ringTimeout); at.Before(now.Add(ringTimeout + 10*time.Second)); at = at.Add(50 * time.Millisecond) {
-		for _, due := range r.Due(at) {
+		for _, due := range r.DueCalls(at) {
 			calls++
 			r.Called(due.Address)
 		}
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -128,7 +128,7 @@
 func (g *Gossip) callAll(ctx context.Context, now time.Time) {
 	needed := g.needed()
 	var due []roster.DueCall
-	g.locked(func(r *roster.Roster) { due = r.Due(now, needed...) })
+	g.locked(func(r *roster.Roster) { due = r.DueCalls(now, needed...) })
 	for _, each := range due {
 		g.work.Go(func() { g.call(ctx, each) })
 	}
