--- a/internal/core/roster/call.go
+++ b/internal/core/roster/call.go
@@ -12,8 +12,8 @@
 	Address netip.AddrPort
 	// Member is what is known of the entry; only its address is set if the entry is unknown.
 	Member Member
-	// Copies reports whether the entry is to keep copies of data that only this one has.
-	Copies bool
+	// KeepsCopies reports whether the entry is to keep copies of data that only this one has.
+	KeepsCopies bool
 }
 
 // DueCalls returns the entries to call now, sorted by address, and marks each as being called until Called ends the call. Direct are the
@@ -26,7 +26,7 @@
 		p.lastCalled = now
 		member := p.member
 		member.Address = p.address
-		due = append(due, DueCall{Address: p.address, Member: member, Copies: p.successor || slices.Contains(direct, p.address)})
+		due = append(due, DueCall{Address: p.address, Member: member, KeepsCopies: p.successor || slices.Contains(direct, p.address)})
 	}
 	for _, p := range r.peers {
 		if !p.calling && now.Sub(p.lastCalled) >= r.interval(now, p, direct) {
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -306,7 +306,7 @@
 	for range 40 {
 		c.now = c.now.Add(100 * time.Millisecond)
 		for _, due := range r.DueCalls(c.now, direct) {
-			if due.Address == direct && due.Copies {
+			if due.Address == direct && due.KeepsCopies {
 				called++
 			}
 			r.Called(due.Address)
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -148,7 +148,7 @@
 func (g *Gossip) call(ctx context.Context, due roster.DueCall) {
 	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
 	defer cancel()
-	beat := g.beat(time.Now(), due.Member, due.Copies)
+	beat := g.beat(time.Now(), due.Member, due.KeepsCopies)
 	answer, err := peer.Ask[Beat, Beat](ctx, g.client, due.Address, MethodBeat, beat)
 	g.locked(func(r *roster.Roster) { r.Called(due.Address) })
 	if err != nil {
