--- a/internal/core/roster/call.go
+++ b/internal/core/roster/call.go
@@ -16,7 +16,7 @@
 	KeepsCopies bool
 }
 
-// DueCalls returns the entries to call now, sorted by address, and marks each as being called until Called ends the call. Direct are the
+// DueCalls returns the entries to call now, sorted by address, and marks each as being called until CallEnded. Direct are the
 // addresses of entries that must hear from this one directly.
 func (r *Roster) DueCalls(now time.Time, direct ...netip.AddrPort) []DueCall {
 	r.updateNeighbours(now)
@@ -78,8 +78,8 @@
 	return target
 }
 
-// Called records that a call to the address has ended, whether it succeeded or not.
-func (r *Roster) Called(address netip.AddrPort) {
+// CallEnded records that a call to the address has ended, whether it succeeded or not.
+func (r *Roster) CallEnded(address netip.AddrPort) {
 	if p, ok := r.peers[address]; ok {
 		p.calling = false
 	}
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -106,7 +106,7 @@
 					c.deliver(r, other)
 					c.deliver(other, r)
 				}
-				r.Called(to)
+				r.CallEnded(to)
 			}
 			for _, failed := range r.Judge(c.now) {
 				c.recordChanges(r, Change{Former: failed, Now: failed, Silent: true})
@@ -309,7 +309,7 @@
 			if due.Address == direct && due.KeepsCopies {
 				called++
 			}
-			r.Called(due.Address)
+			r.CallEnded(due.Address)
 		}
 	}
 	if called < 2 {
@@ -323,7 +323,7 @@
 	if due := r.DueCalls(start); len(due) != 1 {
 		t.Errorf("due calls %v, want one", due)
 	}
-	r.Called(member(1).Address)
+	r.CallEnded(member(1).Address)
 	if r.DueCalls(start.Add(forgetTimeout + time.Second)); len(r.peers) != 0 {
 		t.Errorf("%d addresses are still known", len(r.peers))
 	}
@@ -354,7 +354,7 @@
 	for at := now; at.Before(now.Add(ringTimeout)); at = at.Add(50 * time.Millisecond) {
 		for _, due := range r.DueCalls(at) {
 			calls++
-			r.Called(due.Address)
+			r.CallEnded(due.Address)
 		}
 	}
 	if limit := int(ringTimeout/seedInterval) + 1; calls < limit-3 || calls > limit {
@@ -364,7 +364,7 @@
 	for at := now.Add(ringTimeout); at.Before(now.Add(ringTimeout + 10*time.Second)); at = at.Add(50 * time.Millisecond) {
 		for _, due := range r.DueCalls(at) {
 			calls++
-			r.Called(due.Address)
+			r.CallEnded(due.Address)
 		}
 	}
 	if calls > 11 {
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -150,7 +150,7 @@
 	defer cancel()
 	beat := g.beat(time.Now(), due.Member, due.KeepsCopies)
 	answer, err := peer.Ask[Beat, Beat](ctx, g.client, due.Address, MethodBeat, beat)
-	g.locked(func(r *roster.Roster) { r.Called(due.Address) })
+	g.locked(func(r *roster.Roster) { r.CallEnded(due.Address) })
 	if err != nil {
 		// Who doesn't answer is taken for silent after a time.
 		return
