--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -121,8 +121,8 @@
 	r.announce(now, News{Member: r.self})
 }
 
-// Meet adds addresses at which other entries may be reached. It ignores invalid addresses and this entry's own.
-func (r *Roster) Meet(now time.Time, addresses ...netip.AddrPort) {
+// AddAddresses adds addresses at which other entries may be reached. It ignores invalid addresses and this entry's own.
+func (r *Roster) AddAddresses(now time.Time, addresses ...netip.AddrPort) {
 	for _, address := range addresses {
 		if address.IsValid() && address != r.self.Address {
 			r.peer(now, address)
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -65,7 +65,7 @@
 
 func (c *cluster) start(m Member) {
 	r := New(c.now, m)
-	r.Meet(c.now, member(0).Address, member(1).Address, member(2).Address)
+	r.AddAddresses(c.now, member(0).Address, member(1).Address, member(2).Address)
 	c.rosters[m.Address] = r
 	delete(c.down, m.Address)
 }
@@ -319,7 +319,7 @@
 
 func TestAddressWithoutEntryIsForgotten(t *testing.T) {
 	r := New(start, member(0))
-	r.Meet(start, member(1).Address)
+	r.AddAddresses(start, member(1).Address)
 	if due := r.DueCalls(start); len(due) != 1 {
 		t.Errorf("due calls %v, want one", due)
 	}
@@ -349,7 +349,7 @@
 	now := time.Now()
 	seed := member(2)
 	r := New(now, member(1))
-	r.Meet(now, seed.Address)
+	r.AddAddresses(now, seed.Address)
 	calls := 0
 	for at := now; at.Before(now.Add(ringTimeout)); at = at.Add(50 * time.Millisecond) {
 		for _, due := range r.DueCalls(at) {
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -84,7 +84,7 @@
 
 // Meet adds addresses at which entries may be.
 func (g *Gossip) Meet(addresses ...netip.AddrPort) {
-	g.locked(func(r *roster.Roster) { r.Meet(time.Now(), addresses...) })
+	g.locked(func(r *roster.Roster) { r.AddAddresses(time.Now(), addresses...) })
 }
 
 // Self returns this entry.
