--- a/internal/core/roster/change.go
+++ b/internal/core/roster/change.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Judge marks neighbours that have been silent for FailureTimeout as silent, announces that, and returns them sorted by host.
+// DetectFailures marks neighbours that have been silent for FailureTimeout as silent, announces that, and returns them sorted by host.
 //
 // A new neighbour also has FailureTimeout from the moment at which it became one. Like every entry that is no neighbour it was last heard
 // long ago; judged by that alone it would count as failed at once, and its jobs would run twice.
-func (r *Roster) Judge(now time.Time) []Member {
+func (r *Roster) DetectFailures(now time.Time) []Member {
 	var failed []Member
 	for _, p := range r.peers {
 		if !p.alive() || p.neighbourSince.IsZero() || now.Sub(p.lastHeard) < FailureTimeout || now.Sub(p.neighbourSince) < FailureTimeout {
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -108,7 +108,7 @@
 				}
 				r.CallEnded(to)
 			}
-			for _, failed := range r.Judge(c.now) {
+			for _, failed := range r.DetectFailures(c.now) {
 				c.recordChanges(r, Change{Former: failed, Now: failed, Silent: true})
 			}
 		}
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -196,7 +196,7 @@
 // judge tells the handler of entries that fell silent.
 func (g *Gossip) judge(now time.Time) {
 	var fallen []Member
-	g.locked(func(r *roster.Roster) { fallen = r.Judge(now) })
+	g.locked(func(r *roster.Roster) { fallen = r.DetectFailures(now) })
 	for _, member := range fallen {
 		g.tell(now, roster.Change{Former: member, Now: member, Silent: true})
 	}
