--- a/internal/core/roster/change.go
+++ b/internal/core/roster/change.go
@@ -39,10 +39,10 @@
 	return c.Former.HostID != "" && (c.Silent || c.Former.Incarnation != c.Now.Incarnation || c.Now.Leaving && !c.Former.Leaving)
 }
 
-// Heard records a call or an answer that came directly from a member, with the digest of the member's list. Updates in the same message
+// RecordContact records a call or an answer that came directly from a member, with the digest of the member's list. Updates in the same message
 // must be applied first. It returns false if nothing changed. A change is not announced here: the member announces itself, so that each
 // change spreads as one update and not as one from each neighbour.
-func (r *Roster) Heard(now time.Time, member Member, digest uint64) (Change, bool) {
+func (r *Roster) RecordContact(now time.Time, member Member, digest uint64) (Change, bool) {
 	if member.Address == r.self.Address || !member.Address.IsValid() {
 		return Change{}, false
 	}
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -79,7 +79,7 @@
 		c.lists++
 		c.recordChanges(to, to.Learn(c.now, list)...)
 	}
-	if change, changed := to.Heard(c.now, from.self, from.Digest()); changed {
+	if change, changed := to.RecordContact(c.now, from.self, from.Digest()); changed {
 		c.recordChanges(to, change)
 	}
 }
@@ -333,12 +333,12 @@
 // rest, must not cause one; a digest that differs now must.
 func TestOutdatedDigestCausesNoFullList(t *testing.T) {
 	r := New(start, member(0))
-	r.Heard(start, member(1), 42)
+	r.RecordContact(start, member(1), 42)
 	now := start.Add(time.Minute)
 	if list := r.ListFor(now, member(1).Address); list != nil {
 		t.Errorf("full list of %d members sent", len(list))
 	}
-	r.Heard(now, member(1), 42)
+	r.RecordContact(now, member(1), 42)
 	if list := r.ListFor(now, member(1).Address); len(list) != 2 {
 		t.Errorf("full list of %d members sent", len(list))
 	}
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -166,7 +166,7 @@
 	g.locked(func(r *roster.Roster) {
 		changes = append(changes, r.Apply(now, beat.News)...)
 		changes = append(changes, r.Learn(now, beat.List)...)
-		if change, changed := r.Heard(now, beat.From, beat.Digest); changed {
+		if change, changed := r.RecordContact(now, beat.From, beat.Digest); changed {
 			changes = append(changes, change)
 		}
 	})
