--- a/internal/core/roster/news.go
+++ b/internal/core/roster/news.go
@@ -27,9 +27,9 @@
 	return list
 }
 
-// Learn merges the full list of another entry, and returns what changed. For each member the newer change wins. Changes are not passed on
+// MergeList merges the full list of another entry, and returns what changed. For each member the newer change wins. Changes are not passed on
 // as updates: entries that lack them find out by their digests.
-func (r *Roster) Learn(now time.Time, list []News) []Change {
+func (r *Roster) MergeList(now time.Time, list []News) []Change {
 	var changes []Change
 	for _, update := range list {
 		if change, changed := r.apply(now, changeTime(now, update), update); changed {
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -77,7 +77,7 @@
 	c.recordChanges(to, to.Apply(c.now, updates)...)
 	if list := from.ListFor(c.now, to.self.Address); len(list) > 0 {
 		c.lists++
-		c.recordChanges(to, to.Learn(c.now, list)...)
+		c.recordChanges(to, to.MergeList(c.now, list)...)
 	}
 	if change, changed := to.RecordContact(c.now, from.self, from.Digest()); changed {
 		c.recordChanges(to, change)
