--- a/internal/core/roster/news.go
+++ b/internal/core/roster/news.go
@@ -44,12 +44,12 @@
 	return now.Add(-time.Duration(update.Age) * time.Millisecond)
 }
 
-// ListFor returns the full list if the entry at the address needs it, otherwise nil. Right after a change the lists of most entries differ
+// FullListFor returns the full list if the entry at the address needs it, otherwise nil. Right after a change the lists of most entries differ
 // for a moment; only an entry that was never sent the list, or that updates didn't bring in line within fullListPause, gets it.
 //
 // A digest counts only if it was reported within suspectTimeout. Most entries are called once in a minute or two, and the digest that such
 // an entry last reported is out of date: it would be sent the full list although it has learned the changes meanwhile.
-func (r *Roster) ListFor(now time.Time, address netip.AddrPort) []News {
+func (r *Roster) FullListFor(now time.Time, address netip.AddrPort) []News {
 	p, ok := r.peers[address]
 	if !ok || p.reportedDigest == 0 || p.reportedDigest == r.Digest() || now.Sub(p.reportedAt) > suspectTimeout {
 		return nil
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -75,7 +75,7 @@
 	updates := from.News(c.now)
 	c.updates += len(updates)
 	c.recordChanges(to, to.Apply(c.now, updates)...)
-	if list := from.ListFor(c.now, to.self.Address); len(list) > 0 {
+	if list := from.FullListFor(c.now, to.self.Address); len(list) > 0 {
 		c.lists++
 		c.recordChanges(to, to.MergeList(c.now, list)...)
 	}
@@ -335,11 +335,11 @@
 	r := New(start, member(0))
 	r.RecordContact(start, member(1), 42)
 	now := start.Add(time.Minute)
-	if list := r.ListFor(now, member(1).Address); list != nil {
+	if list := r.FullListFor(now, member(1).Address); list != nil {
 		t.Errorf("full list of %d members sent", len(list))
 	}
 	r.RecordContact(now, member(1), 42)
-	if list := r.ListFor(now, member(1).Address); len(list) != 2 {
+	if list := r.FullListFor(now, member(1).Address); len(list) != 2 {
 		t.Errorf("full list of %d members sent", len(list))
 	}
 }
