--- a/internal/core/roster/news.go
+++ b/internal/core/roster/news.go
@@ -91,8 +91,8 @@
 	return out
 }
 
-// Apply applies updates from another entry, and passes on those that changed something here. It returns the changes.
-func (r *Roster) Apply(now time.Time, updates []News) []Change {
+// ApplyUpdates applies updates from another entry, and passes on those that changed something here. It returns the changes.
+func (r *Roster) ApplyUpdates(now time.Time, updates []News) []Change {
 	var changes []Change
 	for _, update := range updates {
 		if r.updates[update.ID] != nil {
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -74,7 +74,7 @@
 func (c *cluster) deliver(from, to *Roster) {
 	updates := from.News(c.now)
 	c.updates += len(updates)
-	c.recordChanges(to, to.Apply(c.now, updates)...)
+	c.recordChanges(to, to.ApplyUpdates(c.now, updates)...)
 	if list := from.FullListFor(c.now, to.self.Address); len(list) > 0 {
 		c.lists++
 		c.recordChanges(to, to.MergeList(c.now, list)...)
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -164,7 +164,7 @@
 func (g *Gossip) heard(now time.Time, beat Beat) {
 	var changes []roster.Change
 	g.locked(func(r *roster.Roster) {
-		changes = append(changes, r.Apply(now, beat.News)...)
+		changes = append(changes, r.ApplyUpdates(now, beat.News)...)
 		changes = append(changes, r.MergeList(now, beat.List)...)
 		if change, changed := r.RecordContact(now, beat.From, beat.Digest); changed {
 			changes = append(changes, change)
