--- a/internal/core/roster/news.go
+++ b/internal/core/roster/news.go
@@ -75,8 +75,8 @@
 	r.recent = append(r.recent, record)
 }
 
-// News returns the updates to pass on, most recently learned first, at most maxUpdatesPerCall.
-func (r *Roster) News(now time.Time) []News {
+// PendingUpdates returns the updates to pass on, most recently learned first, at most maxUpdatesPerCall.
+func (r *Roster) PendingUpdates(now time.Time) []News {
 	var out []News
 	for _, record := range slices.Backward(r.recent) {
 		if len(out) == maxUpdatesPerCall {
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -72,7 +72,7 @@
 
 // deliver passes what a call or its answer carries to the receiver.
 func (c *cluster) deliver(from, to *Roster) {
-	updates := from.News(c.now)
+	updates := from.PendingUpdates(c.now)
 	c.updates += len(updates)
 	c.recordChanges(to, to.ApplyUpdates(c.now, updates)...)
 	if list := from.FullListFor(c.now, to.self.Address); len(list) > 0 {
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -119,7 +119,7 @@
 	g.locked(func(r *roster.Roster) {
 		beat.From = r.Self()
 		beat.Digest = r.Digest()
-		beat.News = r.News(now)
+		beat.News = r.PendingUpdates(now)
 	})
 	return beat
 }
