--- a/internal/core/roster/change.go
+++ b/internal/core/roster/change.go
@@ -19,7 +19,7 @@
 		p.silent = true
 		p.lastChange = now
 		r.invalidate()
-		r.announce(now, News{Member: p.member, Silent: true})
+		r.announce(now, Update{Member: p.member, Silent: true})
 		failed = append(failed, p.member)
 	}
 	slices.SortFunc(failed, func(a, b Member) int { return cmp.Compare(a.HostID, b.HostID) })
--- a/internal/core/roster/member.go
+++ b/internal/core/roster/member.go
@@ -29,8 +29,8 @@
 	return xxhash.Sum64String(text)
 }
 
-// News is a change of one member's state, passed on from entry to entry.
-type News struct {
+// Update is a change of one member's state, passed on from entry to entry.
+type Update struct {
 	// ID is random. It is the same in all copies of the update, whichever entries pass it on.
 	ID     uint64 `msgpack:"n"`
 	Member Member `msgpack:"m"`
--- a/internal/core/roster/news.go
+++ b/internal/core/roster/news.go
@@ -9,19 +9,19 @@
 
 // updateRecord is an update with the time of the change by this entry's clock.
 type updateRecord struct {
-	update    News
+	update    Update
 	changedAt time.Time
 	// passOnUntil is when the update is no longer passed on. It is kept for updateLifetime longer, to recognise late copies.
 	passOnUntil time.Time
 }
 
 // fullList returns all that is known of the entries, this one included.
-func (r *Roster) fullList(now time.Time) []News {
-	list := make([]News, 0, len(r.peers)+1)
-	list = append(list, News{Member: r.self})
+func (r *Roster) fullList(now time.Time) []Update {
+	list := make([]Update, 0, len(r.peers)+1)
+	list = append(list, Update{Member: r.self})
 	for _, p := range r.peers {
 		if p.member.HostID != "" {
-			list = append(list, News{Member: p.member, Silent: p.silent, Age: now.Sub(p.lastChange).Milliseconds()})
+			list = append(list, Update{Member: p.member, Silent: p.silent, Age: now.Sub(p.lastChange).Milliseconds()})
 		}
 	}
 	return list
@@ -29,7 +29,7 @@
 
 // MergeList merges the full list of another entry, and returns what changed. For each member the newer change wins. Changes are not passed on
 // as updates: entries that lack them find out by their digests.
-func (r *Roster) MergeList(now time.Time, list []News) []Change {
+func (r *Roster) MergeList(now time.Time, list []Update) []Change {
 	var changes []Change
 	for _, update := range list {
 		if change, changed := r.apply(now, changeTime(now, update), update); changed {
@@ -40,7 +40,7 @@
 }
 
 // changeTime returns the time of a change by this entry's clock.
-func changeTime(now time.Time, update News) time.Time {
+func changeTime(now time.Time, update Update) time.Time {
 	return now.Add(-time.Duration(update.Age) * time.Millisecond)
 }
 
@@ -49,7 +49,7 @@
 //
 // A digest counts only if it was reported within suspectTimeout. Most entries are called once in a minute or two, and the digest that such
 // an entry last reported is out of date: it would be sent the full list although it has learned the changes meanwhile.
-func (r *Roster) FullListFor(now time.Time, address netip.AddrPort) []News {
+func (r *Roster) FullListFor(now time.Time, address netip.AddrPort) []Update {
 	p, ok := r.peers[address]
 	if !ok || p.reportedDigest == 0 || p.reportedDigest == r.Digest() || now.Sub(p.reportedAt) > suspectTimeout {
 		return nil
@@ -62,13 +62,13 @@
 }
 
 // announce starts to spread an update that originates at this entry.
-func (r *Roster) announce(now time.Time, update News) {
+func (r *Roster) announce(now time.Time, update Update) {
 	update.ID = rand.Uint64()
 	r.addUpdate(now, update, now)
 }
 
 // addUpdate stores an update so that it is passed on.
-func (r *Roster) addUpdate(now time.Time, update News, changedAt time.Time) {
+func (r *Roster) addUpdate(now time.Time, update Update, changedAt time.Time) {
 	r.lastUpdate = now
 	record := &updateRecord{update: update, changedAt: changedAt, passOnUntil: changedAt.Add(updateLifetime)}
 	r.updates[update.ID] = record
@@ -76,8 +76,8 @@
 }
 
 // PendingUpdates returns the updates to pass on, most recently learned first, at most maxUpdatesPerCall.
-func (r *Roster) PendingUpdates(now time.Time) []News {
-	var out []News
+func (r *Roster) PendingUpdates(now time.Time) []Update {
+	var out []Update
 	for _, record := range slices.Backward(r.recent) {
 		if len(out) == maxUpdatesPerCall {
 			break
@@ -92,7 +92,7 @@
 }
 
 // ApplyUpdates applies updates from another entry, and passes on those that changed something here. It returns the changes.
-func (r *Roster) ApplyUpdates(now time.Time, updates []News) []Change {
+func (r *Roster) ApplyUpdates(now time.Time, updates []Update) []Change {
 	var changes []Change
 	for _, update := range updates {
 		if r.updates[update.ID] != nil {
@@ -108,7 +108,7 @@
 }
 
 // apply applies one update unless a newer change of the member is known.
-func (r *Roster) apply(now, changedAt time.Time, update News) (Change, bool) {
+func (r *Roster) apply(now, changedAt time.Time, update Update) (Change, bool) {
 	_, known := r.peers[update.Member.Address]
 	switch {
 	case !update.Member.Address.IsValid() || update.Silent && !known && update.Member.Address != r.self.Address:
@@ -131,12 +131,12 @@
 
 // refute announces that this entry is alive if an update says that it is silent. All its neighbours repeat that update in each call for
 // seconds, and one announcement answers them all.
-func (r *Roster) refute(now time.Time, update News) {
+func (r *Roster) refute(now time.Time, update Update) {
 	if !update.Silent || update.Member.Incarnation != r.self.Incarnation || now.Sub(r.lastRefutation) < FailureTimeout {
 		return
 	}
 	r.lastRefutation = now
-	r.announce(now, News{Member: r.self})
+	r.announce(now, Update{Member: r.self})
 }
 
 // applySilent marks an entry as silent unless this entry has heard of it within FailureTimeout.
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -107,7 +107,7 @@
 // New returns a roster that knows no other entry and announces self.
 func New(now time.Time, self Member) *Roster {
 	r := &Roster{self: self, started: now, peers: map[netip.AddrPort]*peerState{}, updates: map[uint64]*updateRecord{}}
-	r.announce(now, News{Member: self})
+	r.announce(now, Update{Member: self})
 	return r
 }
 
@@ -118,7 +118,7 @@
 func (r *Roster) Leave(now time.Time) {
 	r.self.Leaving = true
 	r.invalidate()
-	r.announce(now, News{Member: r.self})
+	r.announce(now, Update{Member: r.self})
 }
 
 // AddAddresses adds addresses at which other entries may be reached. It ignores invalid addresses and this entry's own.
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -112,7 +112,7 @@
 
 // beat returns a beat for an entry.
 func (g *Gossip) beat(now time.Time, to Member, copies bool) Beat {
-	var list []roster.News
+	var list []roster.Update
 	g.locked(func(r *roster.Roster) { list = r.FullListFor(now, to.Address) })
 	beat := g.handler.Beat(now, To{Member: to, Copies: copies, Whole: len(list) > 0})
 	beat.List = list
--- a/internal/edge/gossip/message.go
+++ b/internal/edge/gossip/message.go
@@ -23,9 +23,9 @@
 	From Member `msgpack:"f"`
 	// Digest is that of the list of entries that the entry has, News what changed of it lately, and List all of it for one whose list
 	// differs.
-	Digest uint64        `msgpack:"d"`
-	News   []roster.News `msgpack:"n"`
-	List   []roster.News `msgpack:"m"`
+	Digest uint64          `msgpack:"d"`
+	News   []roster.Update `msgpack:"n"`
+	List   []roster.Update `msgpack:"m"`
 	// Revisions are the revisions of the parts of the store's state that the entry has, by kind.
 	Revisions map[string]uint64 `msgpack:"v"`
 	// Running is the number of requests that the entry runs at each backend server.
