--- a/internal/core/roster/change.go
+++ b/internal/core/roster/change.go
@@ -28,15 +28,15 @@
 
 // Change is a change of what this entry knows of another one.
 type Change struct {
-	// Former is the member before the change; its HostID is empty if it was unknown.
-	Former Member
-	Now    Member
-	Silent bool
+	// Previous is the member before the change; its HostID is empty if it was unknown.
+	Previous Member
+	Now      Member
+	Silent   bool
 }
 
 // Over reports whether the former run has ended, no longer responds, or has begun to leave.
 func (c Change) Over() bool {
-	return c.Former.HostID != "" && (c.Silent || c.Former.Incarnation != c.Now.Incarnation || c.Now.Leaving && !c.Former.Leaving)
+	return c.Previous.HostID != "" && (c.Silent || c.Previous.Incarnation != c.Now.Incarnation || c.Now.Leaving && !c.Previous.Leaving)
 }
 
 // RecordContact records a call or an answer that came directly from a member, with the digest of the member's list. Updates in the same message
@@ -48,7 +48,7 @@
 	}
 	p := r.peer(now, member.Address)
 	member.Leaving = member.Leaving || p.member.Leaving && p.member.Incarnation == member.Incarnation
-	change := Change{Former: p.member, Now: member}
+	change := Change{Previous: p.member, Now: member}
 	changed := p.member != member || p.silent
 	if changed {
 		p.setMember(member)
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -109,7 +109,7 @@
 				r.CallEnded(to)
 			}
 			for _, failed := range r.DetectFailures(c.now) {
-				c.recordChanges(r, Change{Former: failed, Now: failed, Silent: true})
+				c.recordChanges(r, Change{Previous: failed, Now: failed, Silent: true})
 			}
 		}
 	}
@@ -207,7 +207,7 @@
 	for address, changes := range c.changes {
 		endings := 0
 		for _, change := range changes {
-			if change.Over() && change.Former.Incarnation == member(5).Incarnation {
+			if change.Over() && change.Previous.Incarnation == member(5).Incarnation {
 				endings++
 			}
 		}
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -187,7 +187,7 @@
 		g.log.Info().Str("dependency", "entry").Str("entry", change.Now.HostID).Msg("regained")
 	}
 	if change.Over() {
-		gone := change.Former
+		gone := change.Previous
 		gone.Leaving = change.Now.Leaving
 		g.handler.Silent(now, gone)
 	}
@@ -198,7 +198,7 @@
 	var fallen []Member
 	g.locked(func(r *roster.Roster) { fallen = r.DetectFailures(now) })
 	for _, member := range fallen {
-		g.tell(now, roster.Change{Former: member, Now: member, Silent: true})
+		g.tell(now, roster.Change{Previous: member, Now: member, Silent: true})
 	}
 }
 
