--- a/internal/core/roster/change.go
+++ b/internal/core/roster/change.go
@@ -30,13 +30,13 @@
 type Change struct {
 	// Previous is the member before the change; its HostID is empty if it was unknown.
 	Previous Member
-	Now      Member
+	Current  Member
 	Silent   bool
 }
 
 // Over reports whether the former run has ended, no longer responds, or has begun to leave.
 func (c Change) Over() bool {
-	return c.Previous.HostID != "" && (c.Silent || c.Previous.Incarnation != c.Now.Incarnation || c.Now.Leaving && !c.Previous.Leaving)
+	return c.Previous.HostID != "" && (c.Silent || c.Previous.Incarnation != c.Current.Incarnation || c.Current.Leaving && !c.Previous.Leaving)
 }
 
 // RecordContact records a call or an answer that came directly from a member, with the digest of the member's list. Updates in the same message
@@ -48,7 +48,7 @@
 	}
 	p := r.peer(now, member.Address)
 	member.Leaving = member.Leaving || p.member.Leaving && p.member.Incarnation == member.Incarnation
-	change := Change{Previous: p.member, Now: member}
+	change := Change{Previous: p.member, Current: member}
 	changed := p.member != member || p.silent
 	if changed {
 		p.setMember(member)
--- a/internal/core/roster/news.go
+++ b/internal/core/roster/news.go
@@ -147,7 +147,7 @@
 	p.silent = true
 	p.lastChange = changedAt
 	r.invalidate()
-	return Change{Previous: p.member, Now: p.member, Silent: true}, true
+	return Change{Previous: p.member, Current: p.member, Silent: true}, true
 }
 
 // applyAlive marks an entry as alive in the given state.
@@ -156,7 +156,7 @@
 		// The known run was heard after this change, so it is the newer run.
 		return Change{}, false
 	}
-	change := Change{Previous: p.member, Now: member}
+	change := Change{Previous: p.member, Current: member}
 	changed := p.member != member || p.silent
 	p.lastChange = changedAt
 	if changedAt.After(p.lastHeard) {
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -109,7 +109,7 @@
 				r.CallEnded(to)
 			}
 			for _, failed := range r.DetectFailures(c.now) {
-				c.recordChanges(r, Change{Previous: failed, Now: failed, Silent: true})
+				c.recordChanges(r, Change{Previous: failed, Current: failed, Silent: true})
 			}
 		}
 	}
@@ -290,8 +290,8 @@
 	c.run(15 * time.Second)
 	for address, changes := range c.changes {
 		for _, change := range changes {
-			if !c.down[change.Now.Address] {
-				t.Errorf("%s considered %s failed", address, change.Now.HostID)
+			if !c.down[change.Current.Address] {
+				t.Errorf("%s considered %s failed", address, change.Current.HostID)
 			}
 		}
 	}
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -180,15 +180,15 @@
 func (g *Gossip) tell(now time.Time, change roster.Change) {
 	switch {
 	case change.Silent:
-		g.log.Warn().Str("dependency", "entry").Str("entry", change.Now.HostID).Msg("lost")
-	case change.Now.Leaving:
-		g.log.Info().Str("dependency", "entry").Str("entry", change.Now.HostID).Msg("leaving")
+		g.log.Warn().Str("dependency", "entry").Str("entry", change.Current.HostID).Msg("lost")
+	case change.Current.Leaving:
+		g.log.Info().Str("dependency", "entry").Str("entry", change.Current.HostID).Msg("leaving")
 	default:
-		g.log.Info().Str("dependency", "entry").Str("entry", change.Now.HostID).Msg("regained")
+		g.log.Info().Str("dependency", "entry").Str("entry", change.Current.HostID).Msg("regained")
 	}
 	if change.Over() {
 		gone := change.Previous
-		gone.Leaving = change.Now.Leaving
+		gone.Leaving = change.Current.Leaving
 		g.handler.Silent(now, gone)
 	}
 }
@@ -198,7 +198,7 @@
 	var fallen []Member
 	g.locked(func(r *roster.Roster) { fallen = r.DetectFailures(now) })
 	for _, member := range fallen {
-		g.tell(now, roster.Change{Previous: member, Now: member, Silent: true})
+		g.tell(now, roster.Change{Previous: member, Current: member, Silent: true})
 	}
 }
 
