--- a/internal/core/roster/change.go
+++ b/internal/core/roster/change.go
@@ -34,8 +34,8 @@
 	Silent   bool
 }
 
-// Over reports whether the former run has ended, no longer responds, or has begun to leave.
-func (c Change) Over() bool {
+// EndsPrevious reports whether the previous run has ended, no longer responds, or has begun to leave.
+func (c Change) EndsPrevious() bool {
 	return c.Previous.HostID != "" && (c.Silent || c.Previous.Incarnation != c.Current.Incarnation || c.Current.Leaving && !c.Previous.Leaving)
 }
 
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -207,7 +207,7 @@
 	for address, changes := range c.changes {
 		endings := 0
 		for _, change := range changes {
-			if change.Over() && change.Previous.Incarnation == member(5).Incarnation {
+			if change.EndsPrevious() && change.Previous.Incarnation == member(5).Incarnation {
 				endings++
 			}
 		}
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -186,7 +186,7 @@
 	default:
 		g.log.Info().Str("dependency", "entry").Str("entry", change.Current.HostID).Msg("regained")
 	}
-	if change.Over() {
+	if change.EndsPrevious() {
 		gone := change.Previous
 		gone.Leaving = change.Current.Leaving
 		g.handler.Silent(now, gone)
