--- a/internal/core/lease/machine.go
+++ b/internal/core/lease/machine.go
@@ -33,7 +33,7 @@
 	// StepWatch: wait up to Step.Wait for a change of the object, and report the object as for StepRead.
 	StepWatch
 	// StepWrite: write Step.Record if the object's version is Step.IfVersion, and call Wrote,
-	// NotWritten or Doubtful.
+	// NotWritten or WriteUncertain.
 	StepWrite
 	// StepWait: call Next again after Step.Wait.
 	StepWait
@@ -208,8 +208,8 @@
 	m.retry = true
 }
 
-// Doubtful reports that the result of the last write is unknown: it may have taken effect, or may yet.
-func (m *Machine) Doubtful() {
+// WriteUncertain reports that the result of the last write is unknown: it may have taken effect, or may yet.
+func (m *Machine) WriteUncertain() {
 	m.uncertain = true
 	m.retry = true
 }
--- a/internal/core/lease/machine_test.go
+++ b/internal/core/lease/machine_test.go
@@ -136,7 +136,7 @@
 	if sent.step.Kind != StepWrite {
 		return
 	}
-	h.machine.Doubtful()
+	h.machine.WriteUncertain()
 	if !sent.arrived {
 		s.late = append(s.late, sent.step)
 	}
--- a/internal/edge/duty/run.go
+++ b/internal/edge/duty/run.go
@@ -118,7 +118,7 @@
 	case errors.Is(err, platform.ErrUnavailable):
 		k.machine.NotWritten(false)
 	default:
-		k.machine.Doubtful()
+		k.machine.WriteUncertain()
 	}
 	return err
 }
