--- a/internal/core/usage/closing.go
+++ b/internal/core/usage/closing.go
@@ -44,8 +44,8 @@
 	return counts
 }
 
-// Which returns the counts of the cells for which keep returns true, in no particular order.
-func (l *Ledger) Which(keep func(Cell) bool) []Count {
+// Filter returns the counts of the cells for which keep returns true, in no particular order.
+func (l *Ledger) Filter(keep func(Cell) bool) []Count {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var counts []Count
--- a/internal/core/usage/closing_test.go
+++ b/internal/core/usage/closing_test.go
@@ -39,7 +39,7 @@
 		t.Error(diff)
 	}
 	want := []Count{{Cell: Cell{Agent: 1, Organisation: "south", Window: 15}, Amount: Amount{Requests: 7}}}
-	if diff := cmp.Diff(want, ledger.Which(func(cell Cell) bool { return cell.Agent == 1 && cell.Window >= 11 })); diff != "" {
+	if diff := cmp.Diff(want, ledger.Filter(func(cell Cell) bool { return cell.Agent == 1 && cell.Window >= 11 })); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -113,7 +113,7 @@
 	defer n.mu.Unlock()
 	all := to.HostID == n.holder.HostID
 	there := n.told[to.Incarnation]
-	counts := n.gateway.ledger.Which(func(cell usage.Cell) bool {
+	counts := n.gateway.ledger.Filter(func(cell usage.Cell) bool {
 		mine := cell.Agent == n.incarnation || !living[cell.Agent]
 		return cell.Window >= from && (all || mine) && cell.Agent != to.Incarnation
 	})
