--- a/internal/core/usage/closing.go
+++ b/internal/core/usage/closing.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// Window returns the number of requests of each organisation in the window that starts at the Unix second.
-func (l *Ledger) Window(start int64) map[string]uint64 {
+// RequestsInWindow returns the number of requests of each organisation in the window that starts at the Unix second.
+func (l *Ledger) RequestsInWindow(start int64) map[string]uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	counts := map[string]uint64{}
--- a/internal/core/usage/closing_test.go
+++ b/internal/core/usage/closing_test.go
@@ -35,7 +35,7 @@
 	ledger.Merge(Count{Cell: Cell{Agent: 2, Organisation: "north", Window: 10}, Amount: Amount{Requests: 3}})
 	ledger.Merge(Count{Cell: Cell{Agent: 2, Organisation: "north", Window: 10}, Amount: Amount{Requests: 1}})
 	ledger.Add(Cell{Agent: 1, Organisation: "south", Window: 15}, Amount{Requests: 7})
-	if diff := cmp.Diff(map[string]uint64{"north": 5}, ledger.Window(10)); diff != "" {
+	if diff := cmp.Diff(map[string]uint64{"north": 5}, ledger.RequestsInWindow(10)); diff != "" {
 		t.Error(diff)
 	}
 	want := []Count{{Cell: Cell{Agent: 1, Organisation: "south", Window: 15}, Amount: Amount{Requests: 7}}}
--- a/internal/edge/leader/report.go
+++ b/internal/edge/leader/report.go
@@ -88,7 +88,7 @@
 // freeze settles the figures of a window for good: those of the object that was created first.
 func (r *reporter) freeze(ctx context.Context, window int64) (map[string]uint64, error) {
 	name := strconv.FormatInt(window, 10)
-	counts := r.deps.Ledger.Window(window * usage.WindowSeconds(r.deps.Window))
+	counts := r.deps.Ledger.RequestsInWindow(window * usage.WindowSeconds(r.deps.Window))
 	value, err := json.Marshal(counts)
 	if err != nil {
 		return nil, errors.Wrapf(err, "window %d", window)
--- a/internal/program/process/news_test.go
+++ b/internal/program/process/news_test.go
@@ -53,7 +53,7 @@
 		holder.gateway.ledger.Merge(count)
 	}
 	start := usage.WindowStart(now, 5*time.Second)
-	if diff := cmp.Diff(map[string]uint64{"north": 2}, holder.gateway.ledger.Window(start)); diff != "" {
+	if diff := cmp.Diff(map[string]uint64{"north": 2}, holder.gateway.ledger.RequestsInWindow(start)); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -72,7 +72,7 @@
 		}
 	}
 	start := usage.WindowStart(now, 5*time.Second)
-	if diff := cmp.Diff(map[string]uint64{"north": 1}, runs[3].gateway.ledger.Window(start)); diff != "" {
+	if diff := cmp.Diff(map[string]uint64{"north": 1}, runs[3].gateway.ledger.RequestsInWindow(start)); diff != "" {
 		t.Error(diff)
 	}
 }
