--- a/internal/core/usage/ledger_test.go
+++ b/internal/core/usage/ledger_test.go
@@ -71,7 +71,7 @@
 func TestUnreportedAndTotal(t *testing.T) {
 	used := map[int64]usage.Amount{0: amount(9), 1: amount(5), 2: amount(4), 3: amount(1), 4: amount(2)}
 	accounted := map[int64]usage.Amount{1: amount(3), 2: amount(4)}
-	got := usage.Due(used, accounted, 0, 3)
+	got := usage.Unreported(used, accounted, 0, 3)
 	want := []usage.Share{{Window: 1, Amount: amount(2)}, {Window: 3, Amount: amount(1)}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
--- a/internal/core/usage/share.go
+++ b/internal/core/usage/share.go
@@ -43,10 +43,10 @@
 	return window, ok
 }
 
-// Due returns the usage of an organisation that earlier reports have not accounted for, by window, for the
+// Unreported returns the usage of an organisation that earlier reports have not accounted for, by window, for the
 // windows after oldest up to and including through. Since counts only grow, usage that arrives after its
 // window was closed is reported once, with the next window.
-func Due(used, accounted map[int64]Amount, oldest, through int64) []Share {
+func Unreported(used, accounted map[int64]Amount, oldest, through int64) []Share {
 	var due []Share
 	for window, amount := range used {
 		unreported := amount.Minus(accounted[window])
--- a/internal/edge/billing/clean.go
+++ b/internal/edge/billing/clean.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	for organisation, used := range sums {
-		expired := usage.Due(used, accounted[organisation], minWindow, oldest)
+		expired := usage.Unreported(used, accounted[organisation], minWindow, oldest)
 		amount, _ := usage.Total(expired, minWindow)
 		if amount.IsZero() {
 			continue
--- a/internal/edge/billing/window.go
+++ b/internal/edge/billing/window.go
@@ -159,7 +159,7 @@
 	}
 	due := make(map[string][]usage.Share)
 	for organisation, used := range sums {
-		shares := usage.Due(used, accounted[organisation], c.oldest(window), window)
+		shares := usage.Unreported(used, accounted[organisation], c.oldest(window), window)
 		if len(shares) > 0 {
 			due[organisation] = shares
 		}
