--- a/internal/core/usage/share.go
+++ b/internal/core/usage/share.go
@@ -16,8 +16,8 @@
 // Sums holds amounts by organisation and start of the window in Unix seconds.
 type Sums map[string]map[int64]Amount
 
-// Plus adds the share to the organisation's sum for its window.
-func (s Sums) Plus(organisation string, share Share) {
+// Add adds the share to the organisation's sum for its window.
+func (s Sums) Add(organisation string, share Share) {
 	windows, ok := s[organisation]
 	if !ok {
 		windows = make(map[int64]Amount)
--- a/internal/edge/billing/window.go
+++ b/internal/edge/billing/window.go
@@ -96,7 +96,7 @@
 		objects[i].Value = nil
 	}
 	for organisation, amount := range tally.Sums() {
-		sums.Plus(organisation, usage.Share{Window: window, Amount: amount})
+		sums.Add(organisation, usage.Share{Window: window, Amount: amount})
 	}
 	return nil
 }
@@ -184,7 +184,7 @@
 			return nil, err
 		}
 		for _, share := range frozen.Shares {
-			sums.Plus(organisation, share)
+			sums.Add(organisation, share)
 		}
 	}
 	return sums, nil
