--- a/internal/core/execution/record.go
+++ b/internal/core/execution/record.go
@@ -120,9 +120,9 @@
 	return Unseen
 }
 
-// Begin records a new request as queued. It refuses a request in any other state than Unseen: its frame
+// Enqueue records a new request as queued. It refuses a request in any other state than Unseen: its frame
 // arrived twice, or only after the sender had asked for its state.
-func (r *Record) Begin(now time.Time, id request.ID) error {
+func (r *Record) Enqueue(now time.Time, id request.ID) error {
 	switch state := r.State(id); state {
 	case Unseen:
 		r.set(now, id, Queued)
--- a/internal/core/execution/record_test.go
+++ b/internal/core/execution/record_test.go
@@ -22,7 +22,7 @@
 	if diff := cmp.Diff(request.Settled{Verdict: verdict.NotRun}, r.Settle(start, id)); diff != "" {
 		t.Error(diff)
 	}
-	err := r.Begin(start, id)
+	err := r.Enqueue(start, id)
 	refusal, ok := verdict.As(err)
 	if !ok || refusal.Verdict != verdict.NotRun || refusal.Reason != verdict.ReasonFenced {
 		t.Errorf("late frame: got %v, want a refusal as fenced", err)
@@ -31,7 +31,7 @@
 
 func TestSettle(t *testing.T) {
 	id := request.ID{Incarnation: 1, Counter: 1}
-	begin := func(r *Record) { _ = r.Begin(start, id) }
+	begin := func(r *Record) { _ = r.Enqueue(start, id) }
 	run := func(r *Record) { begin(r); _ = r.Start(start, id) }
 	finish := func(v verdict.Verdict) func(r *Record) {
 		return func(r *Record) { run(r); _ = r.Finish(start, id, v) }
@@ -101,7 +101,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"frame": func(t *rapid.T) {
 				id, _ := draw(t)
-				if err := r.Begin(now, id); err != nil {
+				if err := r.Enqueue(now, id); err != nil {
 					checkRefusal(t, id, err)
 					return
 				}
@@ -255,7 +255,7 @@
 	now := start
 	for i := 0; b.Loop(); i++ {
 		id := request.ID{Incarnation: 1, Counter: uint64(i + 1)}
-		_ = r.Begin(now, id)
+		_ = r.Enqueue(now, id)
 		_ = r.Start(now, id)
 		_ = r.Finish(now, id, verdict.Ran)
 	}
--- a/internal/edge/agent/control.go
+++ b/internal/edge/agent/control.go
@@ -56,7 +56,7 @@
 			"the backend server is leaving")
 		return
 	}
-	if err := c.record.Begin(now, j.q.ID); err != nil {
+	if err := c.record.Enqueue(now, j.q.ID); err != nil {
 		j.started <- err
 		return
 	}
