--- a/internal/core/lease/machine.go
+++ b/internal/core/lease/machine.go
@@ -143,9 +143,9 @@
 
 // nextHolder renews the lease when that is due.
 func (m *Machine) nextHolder(now Instant) Step {
-	due := m.timing.Renew - now.Elapsed(m.renewed)
-	if m.grant != nil && !m.retry && due > 0 {
-		return Step{Kind: StepWait, Wait: due}
+	wait := m.timing.Renew - now.Elapsed(m.renewed)
+	if m.grant != nil && !m.retry && wait > 0 {
+		return Step{Kind: StepWait, Wait: wait}
 	}
 	return m.prepareWrite(now, false)
 }
--- a/internal/core/roster/change.go
+++ b/internal/core/roster/change.go
@@ -39,9 +39,9 @@
 	return c.Previous.HostID != "" && (c.Silent || c.Previous.Incarnation != c.Current.Incarnation || c.Current.Leaving && !c.Previous.Leaving)
 }
 
-// RecordContact records a call or an answer that came directly from a member, with the digest of the member's list. Updates in the same message
-// must be applied first. It returns false if nothing changed. A change is not announced here: the member announces itself, so that each
-// change spreads as one update and not as one from each neighbour.
+// RecordContact records a call or an answer that came directly from a member, with the digest of the member's list. Updates in the same
+// message must be applied first. It returns false if nothing changed. A change is not announced here: the member announces itself, so that
+// each change spreads as one update and not as one from each neighbour.
 func (r *Roster) RecordContact(now time.Time, member Member, digest uint64) (Change, bool) {
 	if member.Address == r.self.Address || !member.Address.IsValid() {
 		return Change{}, false
--- a/internal/core/roster/news.go
+++ b/internal/core/roster/update.go
@@ -27,8 +27,8 @@
 	return list
 }
 
-// MergeList merges the full list of another entry, and returns what changed. For each member the newer change wins. Changes are not passed on
-// as updates: entries that lack them find out by their digests.
+// MergeList merges the full list of another entry, and returns what changed. For each member the newer change wins. Changes are not passed
+// on as updates: entries that lack them find out by their digests.
 func (r *Roster) MergeList(now time.Time, list []Update) []Change {
 	var changes []Change
 	for _, update := range list {
@@ -44,11 +44,11 @@
 	return now.Add(-time.Duration(update.Age) * time.Millisecond)
 }
 
-// FullListFor returns the full list if the entry at the address needs it, otherwise nil. Right after a change the lists of most entries differ
-// for a moment; only an entry that was never sent the list, or that updates didn't bring in line within fullListPause, gets it.
+// FullListFor returns the full list if the entry at the address needs it, otherwise nil. Right after a change the lists of most entries
+// differ for a moment; only an entry that was never sent the list, or that updates didn't bring in line within fullListPause, gets it.
 //
 // A digest counts only if it was reported within suspectTimeout. Most entries are called once in a minute or two, and the digest that such
-// an entry last reported is out of date: it would be sent the full list although it has learned the changes meanwhile.
+// an entry last reported is out of date: without this limit it would be sent the full list although it has learned the changes meanwhile.
 func (r *Roster) FullListFor(now time.Time, address netip.AddrPort) []Update {
 	p, ok := r.peers[address]
 	if !ok || p.reportedDigest == 0 || p.reportedDigest == r.Digest() || now.Sub(p.reportedAt) > suspectTimeout {
