--- a/internal/core/batch/doc.go
+++ b/internal/core/batch/doc.go
@@ -1,17 +1,20 @@
-// Package batch decides about batch jobs: which item runs next, what becomes of an attempt, and when results are
-// written to the store.
+// Package batch decides how a gateway runs batch jobs: which item runs next, what happens after each attempt, and
+// when results are written to the store. A gateway is a process that accepts requests and forwards them to backend
+// servers.
 //
-// Load pattern: a trainer hands in some hundred items at once and waits for nine of ten groups of them. Lengths are
-// heavy-tailed, with an estimate that is right at the median; servers crash in the middle of a stream, are slow, or
-// change their weights; the store that keeps results counts each write and has outages.
+// A trainer submits some hundred items at once and waits for nine tenths of their groups. Output lengths are
+// heavy-tailed, and the trainer's estimate is right only at the median. Servers crash in the middle of a stream, are
+// slow, or change their weights. The store that keeps results counts each write and has outages.
 //
-// Without it: an item with ten times the usual length that starts last sets the time of its whole step; a crash
-// repeats work that was received; a write for each item makes some hundred writes for a step, and one at the end
-// loses a whole step with its process.
+// The package guards against three problems. An item with ten times the usual length that starts last would determine
+// the duration of its whole step. A crash would repeat work whose output was already received. One write per item
+// would make some hundred writes per step, while a single write at the end would lose the whole step with its
+// process.
 //
-// An item with a reward call goes through two stages: its text is generated, then scored. Only a scored text is a result.
+// An item with a reward call has two stages: its text is generated, then scored. Only a scored text is a result.
 //
-// Results are kept as a log of pages in the store, each created under the next number. Of two processes that run the
-// same job by mistake one loses each create, takes over the page it finds and drops what that page lists, so that a
-// position never changes hands and no lease is needed. Nothing is shown to a trainer before its page is written.
+// Results are kept in the store as a log of numbered pages, each created under the next number. If two processes run
+// the same job by mistake, only one of them succeeds in creating each page; the other applies the page that it finds
+// and drops its own results for the items in that page. A published position therefore never changes, and no lease is
+// needed. Results are shown to a trainer only after their page is written.
 package batch
--- a/internal/core/batch/home.go
+++ b/internal/core/batch/home.go
@@ -9,108 +9,114 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// leastShare is the part of the largest entry's processor time that an entry must have to run jobs while others have more; entries with a
-// fifth of others' stand beside them.
-const leastShare = 0.5
+// minCoreShare is the minimum share of the largest gateway's cores that a gateway needs to run jobs. Deployments mix
+// gateways with others that have a fifth of their cores.
+const minCoreShare = 0.5
 
-// homeSlots is how many places of engines one home runs items on, so that its work stays well below a third of a core on a busy day.
-const homeSlots = 128
+// slotsPerRunner is the number of engine slots whose items one gateway handles. It keeps that work well below a third
+// of a core on a busy day.
+const slotsPerRunner = 128
 
-// Demand is what is trained.
+// Demand describes the training load that is spread over the gateways. An engine is a backend server that runs a
+// model.
 type Demand struct {
-	// Models are all that are trained, in any order.
+	// Models are all models being trained, in any order.
 	Models []string
-	// Slots is how many requests the engines of all models run at once.
+	// Slots is the number of requests that the engines of all models run at once.
 	Slots int
 }
 
-// homes is how many homes each model has.
-func (d Demand) homes() int {
-	each := d.Slots / max(1, len(d.Models))
-	return max(1, (each+homeSlots-1)/homeSlots)
+// runnersPerModel returns the number of gateways that run the jobs of each model.
+func (d Demand) runnersPerModel() int {
+	slots := d.Slots / max(1, len(d.Models))
+	return max(1, (slots+slotsPerRunner-1)/slotsPerRunner)
 }
 
-// Runner is an entry that may run jobs.
+// Runner is a gateway that may run jobs.
 type Runner struct {
 	HostID string
-	// Cores is the processor time that the entry has; 0 if it is not known.
+	// Cores is the gateway's processor time in cores; 0 if unknown.
 	Cores float64
 }
 
-// Home returns the entry that is to run a job of a model; false if there is none. It is a matter of cost only: any entry may run any job.
+// Home returns the host ID of the gateway that should run a job of a model, or false if there are no runners. The
+// choice only affects cost: any gateway may run any job.
 //
-// Load pattern: trainers hand in a step each few seconds, each at another entry, and a model's engines run nothing else.
+// Trainers submit a step every few seconds, each through a different gateway, and a model's engines run nothing else.
+// Without a preferred gateway every step would open new connections to all engines of its model, which makes several
+// times as many connections.
 //
-// Without it: every step opens connections to all engines of its model anew, since the entry that ran the step before is another one; that is
-// several times as many connections.
-//
-// Models with one home are dealt out one after the other, each to the first in its own order by hash among the entries that have fewest
-// so far, so that two don't share an entry while another has none; few move when an entry comes or goes. A model whose engines need more
-// has several, and each job one of them by its id; with so many they spread by themselves.
+// Models that need one runner are assigned in sorted order, each by weighted rendezvous hashing among the gateways
+// with the fewest models so far. No two models share a gateway while another eligible one has none, and few models
+// move when a gateway joins or leaves. A model whose engines need several runners hashes each job by its ID to one of
+// them; with that many runners the jobs spread evenly on their own.
 func Home(job, model string, demand Demand, runners []Runner) (string, bool) {
-	able := ableRunners(runners)
-	if len(able) == 0 {
+	eligible := eligibleRunners(runners)
+	if len(eligible) == 0 {
 		return "", false
 	}
-	if homes := demand.homes(); homes > 1 {
-		bucket := xxhash.Sum64String(job) % uint64(homes) //nolint:gosec // above one
-		return first(model+"/"+strconv.FormatUint(bucket, 10), able, nil), true
+	if count := demand.runnersPerModel(); count > 1 {
+		bucket := xxhash.Sum64String(job) % uint64(count) //nolint:gosec // count is greater than 1
+		return selectRunner(model+"/"+strconv.FormatUint(bucket, 10), eligible, nil), true
 	}
-	all := slices.Clone(demand.Models)
-	if !slices.Contains(all, model) {
-		all = append(all, model)
+	models := slices.Clone(demand.Models)
+	if !slices.Contains(models, model) {
+		models = append(models, model)
 	}
-	slices.Sort(all)
-	dealt := map[string]int{}
-	for _, next := range all {
-		home := first(next, able, dealt)
+	slices.Sort(models)
+	assigned := map[string]int{}
+	for _, next := range models {
+		chosen := selectRunner(next, eligible, assigned)
 		if next == model {
-			return home, true
+			return chosen, true
 		}
-		dealt[home]++
+		assigned[chosen]++
 	}
 	return "", false
 }
 
-// StoreReader returns the entry that loads a job from the store on behalf of all entries when none is known to have it in memory. It
-// returns false if there are no runners.
+// StoreReader returns the gateway that loads a job from the store on behalf of all gateways when none is known to
+// have it in memory. It returns false if there are no runners.
 //
-// Guards against every entry loading the same jobs and pages from the store after a full restart.
+// It prevents every gateway from loading the same jobs and pages from the store after a full restart.
 func StoreReader(job string, runners []Runner) (string, bool) {
-	able := ableRunners(runners)
-	if len(able) == 0 {
+	eligible := eligibleRunners(runners)
+	if len(eligible) == 0 {
 		return "", false
 	}
-	return first(job, able, nil), true
+	return selectRunner(job, eligible, nil), true
 }
 
-// first returns the entry that comes first in the order of the name among those that were dealt fewest models.
-func first(name string, able []Runner, dealt map[string]int) string {
-	return slices.MinFunc(able, func(a, b Runner) int {
+// selectRunner returns the host ID with the lowest rendezvous rank for the key among the runners that were assigned
+// the fewest models.
+func selectRunner(key string, eligible []Runner, assigned map[string]int) string {
+	return slices.MinFunc(eligible, func(a, b Runner) int {
 		return cmp.Or(
-			cmp.Compare(dealt[a.HostID], dealt[b.HostID]),
-			cmp.Compare(orderOf(name, a), orderOf(name, b)),
+			cmp.Compare(assigned[a.HostID], assigned[b.HostID]),
+			cmp.Compare(rendezvousRank(key, a), rendezvousRank(key, b)),
 			cmp.Compare(a.HostID, b.HostID),
 		)
 	}).HostID
 }
 
-func ableRunners(runners []Runner) []Runner {
-	most := 0.0
+// eligibleRunners returns the runners that have at least minCoreShare of the largest runner's cores.
+func eligibleRunners(runners []Runner) []Runner {
+	maxCores := 0.0
 	for _, r := range runners {
-		most = max(most, r.Cores)
+		maxCores = max(maxCores, r.Cores)
 	}
-	var able []Runner
+	var eligible []Runner
 	for _, r := range runners {
-		if r.Cores >= leastShare*most {
-			able = append(able, r)
+		if r.Cores >= minCoreShare*maxCores {
+			eligible = append(eligible, r)
 		}
 	}
-	return able
+	return eligible
 }
 
-// orderOf places an entry in the order of a name; less comes first. Entries with more processor time come first more often.
-func orderOf(name string, r Runner) float64 {
-	uniform := (float64(xxhash.Sum64String(name+"\x00"+r.HostID)>>11) + 1) / (1 << 53)
+// rendezvousRank returns the weighted rendezvous hash of a key and a runner; the lowest rank is chosen. Runners with
+// more cores are chosen more often, in proportion.
+func rendezvousRank(key string, r Runner) float64 {
+	uniform := (float64(xxhash.Sum64String(key+"\x00"+r.HostID)>>11) + 1) / (1 << 53)
 	return -math.Log(uniform) / max(r.Cores, math.SmallestNonzeroFloat32)
 }
--- a/internal/core/batch/output.go
+++ b/internal/core/batch/output.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Output is what was received of an item's stream so far, over all its attempts.
+// Output accumulates the stream of an item over all its attempts.
 type Output struct {
-	// Last is the number of the last whole event; 0 before the first.
+	// Last is the number of the last complete event; 0 before the first.
 	Last     int
 	Versions []int
 	text     strings.Builder
@@ -15,15 +15,15 @@
 
 // Event is one event of a stream.
 type Event struct {
-	// Number is the event's place in the stream, from 1.
+	// Number is the position of the event in the stream, starting at 1.
 	Number int
 	Data   string
 	// Version is the weight version from this event on; 0 if the event names none.
 	Version int
 }
 
-// Append takes in the next event, made under the version. It returns false, and takes nothing in, if the event isn't
-// the next one: a missing or repeated event would else stand in the text for good.
+// Append adds the next event, which the given weight version produced. It returns false and changes nothing if the
+// event is out of order, because a missing or repeated event would corrupt the text permanently.
 func (o *Output) Append(event Event, version int) bool {
 	if event.Number != o.Last+1 {
 		return false
@@ -39,34 +39,35 @@
 	return true
 }
 
-// Partial is what is known of an item that has no result, as it is kept in a page and told to another entry.
+// Partial is the state of an item without a result, as stored in a page or sent to another gateway.
 type Partial struct {
 	Item     string `json:"item" msgpack:"i"`
 	Last     int    `json:"last" msgpack:"l"`
 	Versions []int  `json:"versions" msgpack:"v"`
 	Text     string `json:"text" msgpack:"t"`
-	// Whole is set once the text is complete and waits to be scored.
-	Whole bool `json:"whole,omitempty" msgpack:"w"`
-	// Failures and RewardFailures are how often servers failed the item and its reward call.
+	// TextComplete is set once the text is complete and waits to be scored.
+	TextComplete bool `json:"whole,omitempty" msgpack:"w"`
+	// Failures and RewardFailures count how often servers failed the item and its reward call.
 	Failures       int `json:"failures,omitempty" msgpack:"f"`
 	RewardFailures int `json:"rewardFailures,omitempty" msgpack:"r"`
 }
 
-// outputOf returns the output of a partial, to go on from.
-func outputOf(p Partial) *Output {
+// outputFromPartial returns an output that continues a partial.
+func outputFromPartial(p Partial) *Output {
 	o := &Output{Last: p.Last, Versions: slices.Clone(p.Versions)}
 	o.text.WriteString(p.Text)
 	return o
 }
 
-// Text returns the data of all events.
+// Text returns the data of all events, separated by line feeds.
 func (o *Output) Text() string { return o.text.String() }
 
-// Size is the length of the text in bytes.
+// Size returns the length of the text in bytes.
 func (o *Output) Size() int { return o.text.Len() }
 
-// Fits says whether the output may be used where minVersion is the oldest version, and single allows only one.
-func (o *Output) Fits(minVersion int, single bool) bool {
+// VersionsAllowed reports whether all weight versions of the output are at least minVersion and, if single is set, whether there
+// is no more than one of them.
+func (o *Output) VersionsAllowed(minVersion int, single bool) bool {
 	if single && len(o.Versions) > 1 {
 		return false
 	}
--- a/internal/core/batch/partial.go
+++ b/internal/core/batch/partial.go
@@ -2,95 +2,99 @@
 
 import "slices"
 
-// Figures of the copies of unfinished output.
+// Limits on checkpoints of unfinished output.
 const (
-	// copyEvents is how many events must have come since the last copy of an item's output for another one, or half of what that copy
-	// held if that is more: all copies of an item together are then at most three times its text.
-	copyEvents = 15
-	copyPart   = 2
+	// A new checkpoint of an item needs minCheckpointEvents more events than its last one, or
+	// 1/checkpointGrowthDivisor (half) of the events in that one if that is more. All checkpoints of an item together
+	// are then at most three times its text.
+	minCheckpointEvents     = 15
+	checkpointGrowthDivisor = 2
 )
 
-// Partials returns what was received of all items that have no result yet.
+// Partials returns the state of all items without a result that have output or failures.
 func (p *Progress) Partials() []Partial {
-	return p.partials(func(state *itemState) bool { return state.output.Last > 0 || state.failed() > 0 })
+	return p.partials(func(state *itemState) bool { return state.output.Last > 0 || state.totalFailures() > 0 })
 }
 
-// grown says that enough is known of the item beyond its last copy for another one.
-func (s *itemState) grown() bool {
-	more := !s.textWhole() && s.output.Last >= s.copied+max(copyEvents, s.copied/copyPart)
-	return more || s.failed() > s.copiedFailures
+// needsCheckpoint reports whether the item has enough new output, or a new failure, since its last checkpoint.
+func (s *itemState) needsCheckpoint() bool {
+	grown := !s.textComplete() && s.output.Last >= s.checkpointEvent+max(minCheckpointEvents, s.checkpointEvent/checkpointGrowthDivisor)
+	return grown || s.totalFailures() > s.checkpointFailures
 }
 
-// copyDue says that some item is worth another copy.
-func (p *Progress) copyDue() bool {
+// checkpointDue reports whether any item needs a checkpoint.
+func (p *Progress) checkpointDue() bool {
 	for _, state := range p.items {
-		if state.unfinished() && state.grown() {
+		if state.unfinished() && state.needsCheckpoint() {
 			return true
 		}
 	}
 	return false
 }
 
-// copies returns what is known of the items that are worth another copy, as far as their text stays below maxBytes, and takes it for copied.
+// takeCheckpoints returns checkpoints of the items that need one, up to maxBytes of text, and marks them as taken.
 //
-// Guard: all entries lose power while the long items of a step are in their fourth second. Begun anew they end after the step's deadline, and
-// its trainer, who waits for them, is late with all that follows.
-func (p *Progress) copies(maxBytes int) []Partial {
-	var copies []Partial
+// Without checkpoints, a power loss of all gateways while the long items of a step are in their fourth second
+// restarts these items from the beginning. They then end after the step's deadline, and the trainer that waits for
+// them is late with every later step.
+func (p *Progress) takeCheckpoints(maxBytes int) []Partial {
+	var checkpoints []Partial
 	size := 0
-	for _, each := range p.partials((*itemState).grown) {
-		if size += len(each.Text) + resultOverhead; size > maxBytes {
+	for _, partial := range p.partials((*itemState).needsCheckpoint) {
+		if size += len(partial.Text) + resultOverhead; size > maxBytes {
 			break
 		}
-		state := p.items[each.Item]
-		state.copied, state.copiedFailures = each.Last, state.failed()
-		copies = append(copies, each)
+		state := p.items[partial.Item]
+		state.checkpointEvent, state.checkpointFailures = partial.Last, state.totalFailures()
+		checkpoints = append(checkpoints, partial)
 	}
-	return copies
+	return checkpoints
 }
 
-func (p *Progress) partials(wanted func(*itemState) bool) []Partial {
+// partials returns the state of the unfinished items that the filter selects.
+func (p *Progress) partials(selected func(*itemState) bool) []Partial {
 	var partials []Partial
 	for i := range p.job.Items {
 		state := p.items[p.job.Items[i].ID]
-		if state.unfinished() && wanted(state) {
+		if state.unfinished() && selected(state) {
 			partials = append(partials, state.partial())
 		}
 	}
 	return partials
 }
 
-// Resume takes in what another entry had received of items that wait here, as far as the job may use it and it is more than is known.
+// Resume applies the partials of another gateway to items that wait to run. Output is used only if the job allows its
+// weight versions and it is longer than what is known; failure counts always are.
 func (p *Progress) Resume(partials []Partial) {
-	for _, each := range partials {
-		state, known := p.items[each.Item]
+	for _, partial := range partials {
+		state, known := p.items[partial.Item]
 		if !known || state.phase != phaseWaiting {
 			continue
 		}
-		state.failures = max(state.failures, each.Failures)
-		state.rewardFailures = max(state.rewardFailures, each.RewardFailures)
-		if each.Last <= state.output.Last {
+		state.failures = max(state.failures, partial.Failures)
+		state.rewardFailures = max(state.rewardFailures, partial.RewardFailures)
+		if partial.Last <= state.output.Last {
 			continue
 		}
-		output := outputOf(each)
-		if !output.Fits(p.job.MinVersion, p.job.SingleVersion) || slices.Contains(output.Versions, 0) {
+		output := outputFromPartial(partial)
+		if !output.VersionsAllowed(p.job.MinVersion, p.job.SingleVersion) || slices.Contains(output.Versions, 0) {
 			continue
 		}
 		state.output = output
-		if each.Whole && state.item.Reward != nil {
+		if partial.TextComplete && state.item.Reward != nil {
 			p.queueReward(state)
 		}
 	}
 }
 
-// partial returns what is known of an item that has no result.
+// partial returns the state of an item without a result.
 func (s *itemState) partial() Partial {
 	return Partial{
 		Item:           s.item.ID,
 		Last:           s.output.Last,
 		Versions:       slices.Clone(s.output.Versions),
 		Text:           s.output.Text(),
-		Whole:          s.textWhole(),
+		TextComplete:   s.textComplete(),
 		Failures:       s.failures,
 		RewardFailures: s.rewardFailures,
 	}
--- a/internal/core/batch/partial_test.go
+++ b/internal/core/batch/partial_test.go
@@ -5,101 +5,104 @@
 	"time"
 )
 
-// received starts an item and takes in so many events of it.
-func received(p *Progress, item string, events, version int) {
+// receiveEvents starts an item and appends events until its output has that many.
+func receiveEvents(p *Progress, item string, events, version int) {
 	output := p.Start(item)
 	for output.Last < events {
 		output.Append(Event{Number: output.Last + 1, Data: "x"}, version)
 	}
 }
 
-func partialJob(minVersion int, single bool) *Progress {
+// newPartialProgress returns the progress of a job with three items in one group.
+func newPartialProgress(minVersion int, single bool) *Progress {
 	job := &Job{ID: "j", Submission: Submission{MinVersion: minVersion, Items: []Item{{ID: "a", Group: "g"}, {ID: "b", Group: "g"}, {ID: "c", Group: "g"}}}}
 	job.SingleVersion = single
 	return NewProgress(job, 1)
 }
 
-// An entry hands a job over, or dies and another has copies. The items go on after the last event that was received, with the same text,
-// and what the job may not use, or what is known better here, is left aside.
-func TestItemsGoOnFromPartials(t *testing.T) {
-	from := partialJob(2, false)
-	received(from, "a", 30, 2)
-	received(from, "b", 20, 1)
-	received(from, "c", 10, 3)
-	from.Completed(time.Unix(1, 0), "c")
-	partials := from.Partials()
+// A gateway hands a job over, or crashes while another has its checkpoints. Guards against items that do not resume
+// after the last event received with the same text, and against using output that the job may not use or that is
+// worse than what is known.
+func TestResumeFromPartials(t *testing.T) {
+	source := newPartialProgress(2, false)
+	receiveEvents(source, "a", 30, 2)
+	receiveEvents(source, "b", 20, 1)
+	receiveEvents(source, "c", 10, 3)
+	source.Completed(time.Unix(1, 0), "c")
+	partials := source.Partials()
 	if len(partials) != 2 {
 		t.Fatalf("%+v", partials)
 	}
-	to := partialJob(2, false)
-	to.Resume(append(partials, Partial{Item: "unknown", Last: 3, Versions: []int{2}}))
-	a := to.Start("a")
-	if a.Last != 30 || a.Text() != from.items["a"].output.Text() {
-		t.Errorf("item a goes on after event %d", a.Last)
+	target := newPartialProgress(2, false)
+	target.Resume(append(partials, Partial{Item: "unknown", Last: 3, Versions: []int{2}}))
+	a := target.Start("a")
+	if a.Last != 30 || a.Text() != source.items["a"].output.Text() {
+		t.Errorf("item a resumes after event %d", a.Last)
 	}
 	if !a.Append(Event{Number: 31, Data: "y"}, 2) || len(a.Versions) != 1 {
 		t.Errorf("%+v", a)
 	}
-	if b := to.Start("b"); b.Last != 0 {
-		t.Errorf("item b goes on from weights that are too old, after event %d", b.Last)
+	if b := target.Start("b"); b.Last != 0 {
+		t.Errorf("item b resumes from output of weights that are too old, after event %d", b.Last)
 	}
-	to.Resume([]Partial{{Item: "a", Last: 60, Versions: []int{2}, Text: "z"}})
-	if to.items["a"].output.Last != 31 {
-		t.Error("an item that runs was changed")
+	target.Resume([]Partial{{Item: "a", Last: 60, Versions: []int{2}, Text: "z"}})
+	if target.items["a"].output.Last != 31 {
+		t.Error("the output of a running item was changed")
 	}
-	single := partialJob(2, true)
+	single := newPartialProgress(2, true)
 	single.Resume([]Partial{{Item: "a", Last: 5, Versions: []int{2, 3}, Text: "x"}})
 	if single.Start("a").Last != 0 {
-		t.Error("two versions in one sample")
+		t.Error("resumed from two versions in a job that allows one")
 	}
 }
 
-// Guards against copies that cost more than the work which they save: they must be few, and their text together at most some three times the
-// item's.
-func TestCopiesAreFew(t *testing.T) {
-	p := partialJob(1, false)
-	copied, copies := 0, 0
-	for events := 1; events <= 140; events++ {
-		received(p, "a", events, 1)
-		for _, each := range p.copies(maxPageBytes) {
-			copies++
-			copied += each.Last
+// Guards against checkpoints that cost more than the work they save: they must be few, and their total text at most
+// about three times that of the item.
+func TestCheckpointsAreBounded(t *testing.T) {
+	p := newPartialProgress(1, false)
+	events, checkpoints := 0, 0
+	for last := 1; last <= 140; last++ {
+		receiveEvents(p, "a", last, 1)
+		for _, partial := range p.takeCheckpoints(maxPageBytes) {
+			checkpoints++
+			events += partial.Last
 		}
 	}
-	if copies > 8 || copied > 3*140 {
-		t.Errorf("%d copies of %d events together", copies, copied)
+	if checkpoints > 8 || events > 3*140 {
+		t.Errorf("%d checkpoints with %d events in total", checkpoints, events)
 	}
-	if again := p.copies(maxPageBytes); len(again) != 0 {
-		t.Errorf("copied again: %+v", again)
+	if again := p.takeCheckpoints(maxPageBytes); len(again) != 0 {
+		t.Errorf("repeated checkpoints: %+v", again)
 	}
 }
 
-// Guards against a page beyond the store's limit: copies that find no room go with the next page.
-func TestCopiesStayBelowTheBound(t *testing.T) {
-	p := partialJob(1, false)
+// Guards against a page above the store's limit: checkpoints that do not fit go into the next page.
+func TestCheckpointsRespectMaxBytes(t *testing.T) {
+	p := newPartialProgress(1, false)
 	for _, item := range []string{"a", "b", "c"} {
-		received(p, item, 40, 1)
+		receiveEvents(p, item, 40, 1)
 	}
-	first := p.copies(2 * (80 + resultOverhead))
-	if second := p.copies(maxPageBytes); len(first) != 2 || len(second) != 1 {
-		t.Errorf("%d copies, then %d", len(first), len(second))
+	first := p.takeCheckpoints(2 * (80 + resultOverhead))
+	if second := p.takeCheckpoints(maxPageBytes); len(first) != 2 || len(second) != 1 {
+		t.Errorf("%d checkpoints, then %d", len(first), len(second))
 	}
 }
 
-// Load pattern: all entries lose power in the middle of a step, again and again. Guards against a step that never ends because each start
-// begins its long items anew: what was received is written after a second, at a bounded number of writes.
-func TestAStepOutlivesThePowerOfAllEntries(t *testing.T) {
+// All gateways lose power in the middle of a step, again and again. Guards against a step that never ends because
+// each restart begins its long items anew: received output must be written after about a second, with a bounded
+// number of writes.
+func TestStepCompletesDespiteRepeatedPowerLoss(t *testing.T) {
 	const (
-		events = 140
-		pace   = 40 * time.Millisecond
-		life   = 3 * time.Second
+		events   = 140
+		interval = 40 * time.Millisecond
+		uptime   = 3 * time.Second
 	)
 	job := newTestJob(1, 1)
 	var log []Page
 	now := start
-	lives := 0
-	for ; lives < 10; lives++ {
-		p := NewProgress(job, uint64(lives))
+	runs := 0
+	for ; runs < 10; runs++ {
+		p := NewProgress(job, uint64(runs))
 		for _, page := range log {
 			p.Absorb(page)
 		}
@@ -110,7 +113,7 @@
 		for item, ok := p.Next(); ok; item, ok = p.Next() {
 			running[item.ID] = p.Start(item.ID)
 		}
-		for end := now.Add(life); now.Before(end); now = now.Add(pace) {
+		for end := now.Add(uptime); now.Before(end); now = now.Add(interval) {
 			for id, output := range running {
 				output.Append(Event{Number: output.Last + 1, Data: "x"}, 1)
 				if output.Last == events {
@@ -124,11 +127,11 @@
 			}
 		}
 	}
-	// Of each life at most a second and the time to the next copy are lost.
-	if most := 4; lives > most {
-		t.Errorf("the step took %d lives of %v; its items take %v", lives, life, events*pace)
+	// Each run loses at most a second and the time until the next checkpoint.
+	if maxRuns := 4; runs > maxRuns {
+		t.Errorf("the step took %d runs of %v; each of its items takes %v", runs, uptime, events*interval)
 	}
-	if most := 4 * lives; len(log) > most {
-		t.Errorf("%d pages in %d lives", len(log), lives)
+	if maxPages := 4 * runs; len(log) > maxPages {
+		t.Errorf("%d pages in %d runs", len(log), runs)
 	}
 }
--- a/internal/core/batch/progress.go
+++ b/internal/core/batch/progress.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// Figures of the commit policy.
+// Limits on how often pages are written, and on their size.
 const (
-	// groupPause is the least time between two writes for groups that became whole: a step of four seconds then takes
-	// some five writes, and a group is listed at most this much later than it could be.
-	groupPause = 800 * time.Millisecond
-	// partPause bounds how long a finished item of a group that isn't whole stays unwritten; that much work is repeated
-	// after a crash.
-	partPause = 2500 * time.Millisecond
-	// copyPause is the least time between two writes for copies of unfinished items alone.
-	copyPause = 900 * time.Millisecond
-	// maxPageBytes keeps a page's text well below the store's limit of one megabyte a value.
+	// groupWriteInterval is the minimum time between two writes for complete groups: a step of four seconds then
+	// takes about five writes, and a group is published at most this much later than possible.
+	groupWriteInterval = 800 * time.Millisecond
+	// incompleteGroupDelay limits how long a finished item of an incomplete group stays unwritten; a crash repeats
+	// that much work.
+	incompleteGroupDelay = 2500 * time.Millisecond
+	// checkpointInterval is the minimum time between a page and a following one with only checkpoints.
+	checkpointInterval = 900 * time.Millisecond
+	// maxPageBytes keeps the text of a page well below the store's limit of one megabyte per value.
 	maxPageBytes = 512 << 10
 )
 
-// phase is where an item stands in this process.
+// phase is the state of an item in this process.
 type phase uint8
 
 const (
 	phaseWaiting phase = iota
 	phaseRunning
-	// phaseUnscored items have their whole text and wait for their reward call; phaseScoring items are being scored.
-	phaseUnscored
+	// phaseAwaitingScore items have their complete text and wait for their reward call; phaseScoring items have a
+	// reward call in progress.
+	phaseAwaitingScore
 	phaseScoring
-	// phaseDone items have a result that no page holds yet.
+	// phaseDone items have a result that is not in a page yet.
 	phaseDone
-	// phaseListed items stand in a page.
-	phaseListed
+	// phasePublished items have a result in a page.
+	phasePublished
 )
 
-// itemState is what is known of an item.
+// itemState is the progress of one item.
 type itemState struct {
 	item  *Item
 	group *groupState
@@ -43,53 +44,58 @@
 	// failures counts failed runs, rewardFailures failed reward calls.
 	failures       int
 	rewardFailures int
-	// rewardDue is when the reward call first came first in its queue; zero before.
-	rewardDue time.Time
-	output    *Output
-	result    Result
-	// copied is the last event of the output that another entry has a copy of.
-	copied int
-	// copiedFailures is how many failures that copy names.
-	copiedFailures int
+	// rewardWaitingSince is when the reward call first reached the head of its queue; zero before.
+	rewardWaitingSince time.Time
+	output             *Output
+	result             Result
+	// checkpointEvent is the number of the last event in the item's latest checkpoint.
+	checkpointEvent int
+	// checkpointFailures is the number of failures recorded in that checkpoint.
+	checkpointFailures int
 }
 
-func (s *itemState) failed() int { return s.failures + s.rewardFailures }
+func (s *itemState) totalFailures() int { return s.failures + s.rewardFailures }
 
 func (s *itemState) unfinished() bool { return s.phase < phaseDone }
 
-func (s *itemState) textWhole() bool { return s.phase == phaseUnscored || s.phase == phaseScoring }
+func (s *itemState) textComplete() bool {
+	return s.phase == phaseAwaitingScore || s.phase == phaseScoring
+}
 
-// groupState counts what is left of a group.
+// groupState counts the results of a group.
 type groupState struct {
 	size int
-	// done items have a result, written or not; listed ones stand in a page.
-	done, listed int
+	// done counts items with a result, written or not; publishedItems counts those in a page.
+	done, publishedItems int
 }
 
-func (g *groupState) whole() bool { return g.done == g.size }
+func (g *groupState) complete() bool { return g.done == g.size }
 
-// Progress follows one job in the process that runs it. It is not safe for concurrent use.
+// Progress tracks one job in one process. It is not safe for concurrent use.
 type Progress struct {
 	job    *Job
 	writer uint64
 	items  map[string]*itemState
-	// order holds the items to run, first come first.
-	order []*itemState
-	// unscored holds the items whose reward call is to be sent, first come first.
-	unscored []*itemState
-	groups   map[string]*groupState
-	// positions are the listed results in order; pages is the number of the last page taken in.
-	positions []Result
+	// queue holds the items to run, in order. It may contain items that no longer wait; they are skipped.
+	queue []*itemState
+	// rewardQueue holds the items whose reward call is to be sent, in order. Items that no longer wait are skipped.
+	rewardQueue []*itemState
+	groups      map[string]*groupState
+	// published are the results in pages, by position; pages is the number of the last page applied.
+	published []Result
 	pages     int
-	serial    int
-	wholeNow  int
-	// wroteAt is when a page was last prepared; doneSince when the oldest unwritten result came.
-	wroteAt   time.Time
-	doneSince time.Time
-	ended     bool
+	// lastSerial is the serial of the last page built; unwrittenGroups counts complete groups with unwritten results.
+	lastSerial      int
+	unwrittenGroups int
+	// lastPageAt is when a page was last built; unwrittenSince is when the oldest unwritten result arrived, zero if
+	// there is none.
+	lastPageAt     time.Time
+	unwrittenSince time.Time
+	ended          bool
 }
 
-// NewProgress returns the progress of a job of which no page is known yet. Writer names this progress; no other one of the job may have it.
+// NewProgress returns the progress of a job before any page is applied. The writer identifies this instance in its
+// pages and must be unique for the job.
 func NewProgress(job *Job, writer uint64) *Progress {
 	p := &Progress{
 		job:    job,
@@ -99,7 +105,7 @@
 	}
 	for i := range job.Items {
 		item := &job.Items[i]
-		if _, twice := p.items[item.ID]; twice {
+		if _, duplicate := p.items[item.ID]; duplicate {
 			continue
 		}
 		group, ok := p.groups[item.Group]
@@ -110,14 +116,14 @@
 		group.size++
 		state := &itemState{item: item, group: group, output: &Output{}}
 		p.items[item.ID] = state
-		p.order = append(p.order, state)
+		p.queue = append(p.queue, state)
 	}
-	slices.SortStableFunc(p.order, longestFirst)
+	slices.SortStableFunc(p.queue, longestFirst)
 	return p
 }
 
-// longestFirst orders items by their expected length: one that takes ten times the usual time and starts last would set
-// the time of its whole step.
+// longestFirst orders items by decreasing expected length: an item that takes ten times the usual time and starts
+// last would determine the duration of its whole step.
 func longestFirst(a, b *itemState) int {
 	return cmp.Compare(b.item.ExpectedTokens, a.item.ExpectedTokens)
 }
@@ -125,104 +131,104 @@
 // Job returns the job.
 func (p *Progress) Job() *Job { return p.job }
 
-// Pages returns the number of the last page known.
+// Pages returns the number of the last page applied.
 func (p *Progress) Pages() int { return p.pages }
 
 // Total returns the number of items.
 func (p *Progress) Total() int { return len(p.items) }
 
-// Listed returns how many results are listed.
-func (p *Progress) Listed() int { return len(p.positions) }
+// Listed returns the number of published results.
+func (p *Progress) Listed() int { return len(p.published) }
 
-// Results returns the listed results from a position on, as far as their text stays below maxBytes, at least one if
-// there is one. The slice must not be changed.
+// Results returns the published results from a position on, up to maxBytes of text but at least one if there is any.
+// The caller must not modify the slice.
 func (p *Progress) Results(from, maxBytes int) []Result {
-	if from < 0 || from >= len(p.positions) {
+	if from < 0 || from >= len(p.published) {
 		return nil
 	}
 	size, end := 0, from
-	for end < len(p.positions) {
-		size += len(p.positions[end].Text) + resultOverhead
+	for end < len(p.published) {
+		size += len(p.published[end].Text) + resultOverhead
 		if size > maxBytes && end > from {
 			break
 		}
 		end++
 	}
-	return p.positions[from:end]
+	return p.published[from:end]
 }
 
-// resultOverhead is what a result takes in an answer beside its text: ids, state, versions and quotation.
+// resultOverhead is the size in bytes of a result in an answer beside its text: IDs, state, versions and quoting.
 const resultOverhead = 200
 
-// Complete says that every item is listed.
-func (p *Progress) Complete() bool { return len(p.positions) == len(p.items) }
+// Complete reports whether all items are published.
+func (p *Progress) Complete() bool { return len(p.published) == len(p.items) }
 
-// Ended says that the trainer ended the job.
+// Ended reports whether the trainer ended the job.
 func (p *Progress) Ended() bool { return p.ended }
 
-// End stops the job: no item starts any more and nothing more is written.
+// End stops the job: no more items start and no more pages are written.
 func (p *Progress) End() { p.ended = true }
 
-// Absorb takes in the next page of the log, whoever wrote it.
+// Absorb applies the next page of the log, whichever process wrote it.
 func (p *Progress) Absorb(page Page) {
 	p.pages++
 	for _, result := range page.Results {
 		state, known := p.items[result.ID]
-		if !known || state.phase == phaseListed {
+		if !known || state.phase == phasePublished {
 			continue
 		}
 		if state.phase != phaseDone {
 			state.group.done++
 		}
-		state.group.listed++
-		state.phase = phaseListed
+		state.group.publishedItems++
+		state.phase = phasePublished
 		state.output = nil
 		state.result = Result{}
-		p.positions = append(p.positions, result)
+		p.published = append(p.published, result)
 	}
 	p.Resume(page.Partials)
 }
 
-// Next returns the item to run next without starting it; false if none waits.
+// Next returns the item to run next without starting it, or false if none waits.
 func (p *Progress) Next() (*Item, bool) {
 	if p.ended {
 		return nil, false
 	}
-	for len(p.order) > 0 {
-		if p.order[0].phase == phaseWaiting {
-			return p.order[0].item, true
+	for len(p.queue) > 0 {
+		if p.queue[0].phase == phaseWaiting {
+			return p.queue[0].item, true
 		}
-		p.order = p.order[1:]
+		p.queue = p.queue[1:]
 	}
 	return nil, false
 }
 
-// Start marks an item as running and returns what was received of it so far.
+// Start marks an item as running and returns the output received for it so far.
 func (p *Progress) Start(id string) *Output {
 	state := p.items[id]
 	state.phase = phaseRunning
 	return state.output
 }
 
-// Again puts an item back whose run was cut or refused; what was received stays.
+// Again queues an item again whose run was interrupted or refused; its output so far is kept.
 func (p *Progress) Again(id string) {
 	state := p.items[id]
 	if state.phase != phaseRunning {
 		return
 	}
 	state.phase = phaseWaiting
-	// It goes first: the work that was done for it is lost if its step ends before it does.
-	p.order = slices.Insert(p.order, 0, state)
+	// It goes first: the work already done for it is lost if its step ends before the item does.
+	p.queue = slices.Insert(p.queue, 0, state)
 }
 
-// Restart drops what was received of an item, which no later attempt may go on from.
+// Restart discards the output of an item, so that no later attempt resumes from it.
 func (p *Progress) Restart(id string) {
 	if state := p.items[id]; state.output != nil {
 		state.output = &Output{}
 	}
 }
 
-// Failed takes in a failure of the item's own; the item is lost once it failed as often as its route allows.
+// Failed records a failed run of an item. The item is lost once it has failed as often as its route allows.
 func (p *Progress) Failed(now time.Time, id string) {
 	state := p.items[id]
 	if state.phase != phaseRunning {
@@ -236,7 +242,8 @@
 	p.Again(id)
 }
 
-// Completed takes in that the item's whole output was received. It is a result unless it has to be scored.
+// Completed records that the complete output of an item was received. It becomes the result unless it has to be
+// scored first.
 func (p *Progress) Completed(now time.Time, id string) {
 	state := p.items[id]
 	switch {
@@ -244,41 +251,41 @@
 	case state.item.Reward != nil:
 		p.queueReward(state)
 	default:
-		p.completed(now, state, "")
+		p.recordCompleted(now, state, "")
 	}
 }
 
-func (p *Progress) completed(now time.Time, state *itemState, score string) {
-	p.done(now, state, Result{
+func (p *Progress) recordCompleted(now time.Time, state *itemState, score string) {
+	p.recordResult(now, state, Result{
 		ID: state.item.ID, State: StateCompleted, Text: state.output.Text(), Versions: state.output.Versions, Score: score,
 	})
 }
 
-// Lost gives an item up.
+// Lost marks an item as lost if it has no result yet.
 func (p *Progress) Lost(now time.Time, id string) {
 	state := p.items[id]
 	if !state.unfinished() {
 		return
 	}
-	p.done(now, state, Result{ID: id, State: StateLost, Versions: []int{}})
+	p.recordResult(now, state, Result{ID: id, State: StateLost, Versions: []int{}})
 }
 
-func (p *Progress) done(now time.Time, state *itemState, result Result) {
+func (p *Progress) recordResult(now time.Time, state *itemState, result Result) {
 	state.phase = phaseDone
 	state.result = result
 	state.output = nil
 	state.group.done++
-	if p.doneSince.IsZero() {
-		p.doneSince = now
+	if p.unwrittenSince.IsZero() {
+		p.unwrittenSince = now
 	}
-	if state.group.whole() {
-		p.wholeNow++
+	if state.group.complete() {
+		p.unwrittenGroups++
 	}
 }
 
-// GiveUp marks all items without a result as lost if their time is over.
+// GiveUp marks all items without a result as lost once the job's time is over.
 func (p *Progress) GiveUp(now time.Time) {
-	if now.Before(p.job.GivenUp()) {
+	if now.Before(p.job.ExpiresAt()) {
 		return
 	}
 	for id := range p.items {
@@ -286,66 +293,69 @@
 	}
 }
 
-// Commit returns the page to write now, and false if it is better to wait. All groups that the trainer waits for, or
-// all items, are written at once; other whole groups after a pause, parts of groups after a longer one, and copies of unfinished items between.
+// Commit returns the page to write now, or false if it is better to wait. A page is due at once when all groups that
+// the trainer waits for are complete or all items have a result, after groupWriteInterval for other complete groups,
+// after incompleteGroupDelay for parts of groups, and after checkpointInterval for checkpoints alone.
 func (p *Progress) Commit(now time.Time) (Page, bool) {
-	if p.ended || !p.due(now) {
+	if p.ended || !p.pageDue(now) {
 		return Page{}, false
 	}
-	return p.page(now)
+	return p.buildPage(now)
 }
 
-// Flush returns a page of all that is unwritten, as when the process leaves.
+// Flush returns a page of unwritten results without waiting, for use when the process shuts down.
 func (p *Progress) Flush(now time.Time) (Page, bool) {
-	if p.ended || p.doneSince.IsZero() {
+	if p.ended || p.unwrittenSince.IsZero() {
 		return Page{}, false
 	}
-	return p.page(now)
+	return p.buildPage(now)
 }
 
-func (p *Progress) due(now time.Time) bool {
+func (p *Progress) pageDue(now time.Time) bool {
 	switch {
-	case p.doneSince.IsZero():
-	case p.finished() || p.wanted():
+	case p.unwrittenSince.IsZero():
+	case p.allDone() || p.wantedGroupsDone():
 		return true
-	case p.wholeNow > 0 && now.Sub(p.wroteAt) >= groupPause:
+	case p.unwrittenGroups > 0 && now.Sub(p.lastPageAt) >= groupWriteInterval:
 		return true
-	case now.Sub(p.doneSince) >= partPause:
+	case now.Sub(p.unwrittenSince) >= incompleteGroupDelay:
 		return true
 	}
-	return now.Sub(p.wroteAt) >= copyPause && p.copyDue()
+	return now.Sub(p.lastPageAt) >= checkpointInterval && p.checkpointDue()
 }
 
-// finished says that every item has a result.
-func (p *Progress) finished() bool {
+// allDone reports whether every item has a result.
+func (p *Progress) allDone() bool {
 	for _, group := range p.groups {
-		if !group.whole() {
+		if !group.complete() {
 			return false
 		}
 	}
 	return true
 }
 
-// wanted says that as many groups are whole as the trainer waits for, some of them unwritten.
-func (p *Progress) wanted() bool {
-	whole := 0
+// wantedGroupsDone reports whether as many groups are complete as the trainer waits for, some of them with unwritten
+// results.
+func (p *Progress) wantedGroupsDone() bool {
+	complete := 0
 	for _, group := range p.groups {
-		if group.whole() {
-			whole++
+		if group.complete() {
+			complete++
 		}
 	}
-	return p.wholeNow > 0 && p.job.WantedGroups > 0 && whole >= p.job.WantedGroups
+	return p.unwrittenGroups > 0 && p.job.WantedGroups > 0 && complete >= p.job.WantedGroups
 }
 
-// page collects the unwritten results, those of whole groups first.
-func (p *Progress) page(now time.Time) (Page, bool) {
+// buildPage collects unwritten results, those of complete groups first, and adds checkpoints, up to maxPageBytes but
+// at least one result if there is any.
+func (p *Progress) buildPage(now time.Time) (Page, bool) {
 	var states []*itemState
 	for i := range p.job.Items {
 		if state := p.items[p.job.Items[i].ID]; state.phase == phaseDone {
 			states = append(states, state)
 		}
 	}
-	slices.SortStableFunc(states, func(a, b *itemState) int { return cmp.Compare(rank(a), rank(b)) })
+	slices.SortStableFunc(states, func(a, b *itemState) int { return cmp.Compare(pageRank(a), pageRank(b)) })
 	var page Page
 	size := 0
 	for _, state := range states {
@@ -355,57 +365,58 @@
 		}
 		page.Results = append(page.Results, state.result)
 	}
-	page.Partials = p.copies(maxPageBytes - size)
+	page.Partials = p.takeCheckpoints(maxPageBytes - size)
 	if len(page.Results)+len(page.Partials) == 0 {
-		p.settle()
+		p.recountUnwritten()
 		return Page{}, false
 	}
-	p.serial++
-	p.wroteAt = now
-	page.Writer, page.Serial = p.writer, p.serial
+	p.lastSerial++
+	p.lastPageAt = now
+	page.Writer, page.Serial = p.writer, p.lastSerial
 	return page, true
 }
 
-func rank(state *itemState) int {
-	if state.group.whole() {
+// pageRank puts results of complete groups before those of incomplete ones.
+func pageRank(state *itemState) int {
+	if state.group.complete() {
 		return 0
 	}
 	return 1
 }
 
-// Wrote takes in that the page returned by Commit is the next one of the log.
+// Wrote records that the page returned by Commit was written as the next page of the log.
 func (p *Progress) Wrote(now time.Time, page Page) {
 	p.Absorb(page)
-	p.settle()
-	if !p.doneSince.IsZero() {
-		p.doneSince = now
+	p.recountUnwritten()
+	if !p.unwrittenSince.IsZero() {
+		p.unwrittenSince = now
 	}
 }
 
-// settle recounts what is unwritten.
-func (p *Progress) settle() {
-	p.doneSince = time.Time{}
-	p.wholeNow = 0
+// recountUnwritten recomputes unwrittenSince and unwrittenGroups.
+func (p *Progress) recountUnwritten() {
+	p.unwrittenSince = time.Time{}
+	p.unwrittenGroups = 0
 	counted := map[*groupState]bool{}
 	for _, state := range p.items {
 		if state.phase != phaseDone {
 			continue
 		}
-		p.doneSince = p.wroteAt
-		if state.group.whole() && !counted[state.group] {
+		p.unwrittenSince = p.lastPageAt
+		if state.group.complete() && !counted[state.group] {
 			counted[state.group] = true
-			p.wholeNow++
+			p.unwrittenGroups++
 		}
 	}
 }
 
-// Lose takes in that another process wrote the page at the number that this one tried.
+// Lose applies a page that another process created under the number that this process tried.
 func (p *Progress) Lose(page Page) {
 	p.Absorb(page)
-	p.settle()
+	p.recountUnwritten()
 }
 
-// Body returns an item's body.
+// Body returns the request body of an item, or false if the job has no such item.
 func (p *Progress) Body(id string) ([]byte, bool) {
 	state, ok := p.items[id]
 	if !ok {
@@ -414,10 +425,10 @@
 	return state.item.Body, true
 }
 
-// Running returns how many items run.
+// Running returns the number of running items.
 func (p *Progress) Running() int { return p.count(phaseRunning) }
 
-// Waiting returns how many items wait to run.
+// Waiting returns the number of items that wait to run.
 func (p *Progress) Waiting() int { return p.count(phaseWaiting) }
 
 func (p *Progress) count(want phase) int {
--- a/internal/core/batch/progress_rapid_test.go
+++ b/internal/core/batch/progress_rapid_test.go
@@ -7,48 +7,49 @@
 	"pgregory.net/rapid"
 )
 
-// pageLog is the store's log of pages: a create succeeds only under the next number.
+// pageLog simulates the store's log of pages: a create succeeds only under the next number.
 type pageLog struct {
 	pages []Page
-	// shown are the results that any process has shown, by position.
+	// shown are the results that any process has returned to a reader, by position.
 	shown []Result
 }
 
-// process runs the job beside another; its knowledge of the log lags.
+// process runs the job beside another one; it may not know the latest pages of the log.
 type process struct {
 	progress *Progress
-	// waiting is a page whose create was sent and whose answer isn't known.
-	waiting *Page
+	// unanswered is a page whose create was sent and whose answer was lost.
+	unanswered *Page
 }
 
-// write tries to create the page under the number that the process believes is next, and takes the outcome in.
+// write tries to create the page under the number that the process believes is next, and applies the outcome.
 func (p *process) write(now time.Time, log *pageLog, page Page, answered bool) {
 	number := p.progress.Pages()
 	if number == len(log.pages) {
 		log.pages = append(log.pages, page)
 		if !answered {
-			p.waiting = &page
+			p.unanswered = &page
 			return
 		}
 		p.progress.Wrote(now, page)
 		return
 	}
-	found := log.pages[number]
-	if found.Same(page) {
+	existing := log.pages[number]
+	if existing.Same(page) {
 		p.progress.Wrote(now, page)
 		return
 	}
-	p.progress.Lose(found)
+	p.progress.Lose(existing)
 }
 
-// catchUp takes in all pages that the process doesn't know, its own among them whose answers were lost.
+// catchUp applies all pages that the process doesn't know, including its own pages whose answers were lost.
 func (p *process) catchUp(log *pageLog) {
 	for p.progress.Pages() < len(log.pages) {
 		p.progress.Lose(log.pages[p.progress.Pages()])
 	}
 }
 
-// show answers a read from a position that was shown, or the next one, and checks it against all that was shown.
+// show reads from a position at or before the end of what was shown, and checks the results against all that were
+// shown.
 func (p *process) show(t *rapid.T, log *pageLog) {
 	from := rapid.IntRange(0, len(log.shown)).Draw(t, "position")
 	results, ok := p.progress.Show(from, 1<<30, false)
@@ -56,24 +57,25 @@
 		p.catchUp(log)
 		results, _ = p.progress.Show(from, 1<<30, true)
 	}
-	// A list may be short: the reader asks on from its end. It may be empty only where nothing was shown.
+	// The results may be fewer than were shown, since a reader continues from their end. They may be empty only where
+	// nothing was shown.
 	if len(results) == 0 && from < len(log.shown) {
-		t.Fatalf("nothing at position %d, and %d results were shown", from, len(log.shown))
+		t.Fatalf("no result at position %d, but %d results were shown", from, len(log.shown))
 	}
 	for i, result := range results {
 		if from+i == len(log.shown) {
 			log.shown = append(log.shown, result)
 		}
-		if known := log.shown[from+i]; known.ID != result.ID || known.State != result.State {
-			t.Fatalf("position %d holds %v, and held %v", from+i, result, known)
+		if shown := log.shown[from+i]; shown.ID != result.ID || shown.State != result.State {
+			t.Fatalf("position %d has result %v, but %v was shown", from+i, result, shown)
 		}
 	}
 }
 
-// Two entries run one job at the same time: one was cut off from the other and both reach the store. Whatever they do in
-// whatever order, with answers of the store lost and processes started anew, each item is listed once, both list the same at each position,
-// and neither denies to a reader what either has shown.
-func TestTwoProcessesListEachItemOnce(t *testing.T) {
+// Two gateways that can't reach each other run one job, and both reach the store. In any order of their operations,
+// with lost answers of the store and restarted processes, each item must be published once, both must publish the
+// same result at each position, and neither may deny to a reader what either has shown.
+func TestConcurrentProcessesPublishEachItemOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := newTestJob(rapid.IntRange(1, 5).Draw(t, "groups"), 2)
 		log := &pageLog{}
@@ -81,13 +83,14 @@
 		now := start
 		for range rapid.IntRange(0, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
-			step(t, now, log, processes[rapid.IntRange(0, 1).Draw(t, "process")])
+			runStep(t, now, log, processes[rapid.IntRange(0, 1).Draw(t, "process")])
 		}
 		checkLog(t, log, processes)
 	})
 }
 
-func step(t *rapid.T, now time.Time, log *pageLog, p *process) {
+// runStep performs one random operation of a process.
+func runStep(t *rapid.T, now time.Time, log *pageLog, p *process) {
 	progress := p.progress
 	switch rapid.SampledFrom([]string{"run", "cut", "fail", "write", "read", "show", "start"}).Draw(t, "step") {
 	case "run":
@@ -107,9 +110,9 @@
 		}
 	case "write":
 		page, ok := progress.Commit(now)
-		if p.waiting != nil {
-			page, ok = *p.waiting, true
-			p.waiting = nil
+		if p.unanswered != nil {
+			page, ok = *p.unanswered, true
+			p.unanswered = nil
 		}
 		if ok {
 			p.write(now, log, page, rapid.Bool().Draw(t, "answered"))
@@ -121,28 +124,29 @@
 	case "show":
 		p.show(t, log)
 	case "start":
-		p.waiting = nil
+		p.unanswered = nil
 		p.progress = NewProgress(progress.Job(), progress.writer+2)
 	}
 }
 
+// checkLog checks that the log has each item once and that the results of each process are the first ones of the log.
 func checkLog(t *rapid.T, log *pageLog, processes []*process) {
 	reader := NewProgress(processes[0].progress.Job(), 3)
 	for _, page := range log.pages {
 		reader.Absorb(page)
 	}
 	seen := map[string]bool{}
-	all := reader.Results(0, 1<<30)
-	for _, result := range all {
+	logged := reader.Results(0, 1<<30)
+	for _, result := range logged {
 		if seen[result.ID] {
-			t.Fatalf("item %s is listed twice", result.ID)
+			t.Fatalf("item %s is published twice", result.ID)
 		}
 		seen[result.ID] = true
 	}
 	for number, p := range processes {
 		for position, result := range p.progress.Results(0, 1<<30) {
-			if position >= len(all) || all[position].ID != result.ID || all[position].State != result.State {
-				t.Fatalf("process %d lists %v at position %d; the log says %v", number, result, position, all)
+			if position >= len(logged) || logged[position].ID != result.ID || logged[position].State != result.State {
+				t.Fatalf("process %d has result %v at position %d, but the log has %v", number, result, position, logged)
 			}
 		}
 	}
--- a/internal/core/batch/reward.go
+++ b/internal/core/batch/reward.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// queueReward makes an item whose text is whole wait for its reward call.
+// queueReward queues an item whose text is complete for its reward call.
 func (p *Progress) queueReward(state *itemState) {
-	state.phase = phaseUnscored
-	p.unscored = append(p.unscored, state)
+	state.phase = phaseAwaitingScore
+	p.rewardQueue = append(p.rewardQueue, state)
 }
 
-// NextReward returns the item whose reward call is to be sent next, without starting it, and how long it has waited for a server; false if
-// none waits.
+// NextReward returns the item whose reward call is to be sent next, without starting it, and how long that call has
+// waited for a server. It returns false if none waits.
 func (p *Progress) NextReward(now time.Time) (*Item, time.Duration, bool) {
 	if p.ended {
 		return nil, 0, false
 	}
-	for len(p.unscored) > 0 {
-		next := p.unscored[0]
-		if next.phase != phaseUnscored {
-			p.unscored = p.unscored[1:]
+	for len(p.rewardQueue) > 0 {
+		next := p.rewardQueue[0]
+		if next.phase != phaseAwaitingScore {
+			p.rewardQueue = p.rewardQueue[1:]
 			continue
 		}
-		if next.rewardDue.IsZero() {
-			next.rewardDue = now
+		if next.rewardWaitingSince.IsZero() {
+			next.rewardWaitingSince = now
 		}
-		return next.item, now.Sub(next.rewardDue), true
+		return next.item, now.Sub(next.rewardWaitingSince), true
 	}
 	return nil, 0, false
 }
 
-// StartReward marks an item as being scored, and returns how often its reward call failed so far.
+// StartReward marks an item as being scored and returns how often its reward call has failed so far.
 func (p *Progress) StartReward(id string) int {
 	state := p.items[id]
 	state.phase = phaseScoring
-	state.rewardDue = time.Time{}
+	state.rewardWaitingSince = time.Time{}
 	return state.rewardFailures
 }
 
-// Scored takes in the score of an item's text.
+// Scored records the score of an item's text.
 func (p *Progress) Scored(now time.Time, id, score string) {
 	if state := p.items[id]; state.phase == phaseScoring {
-		p.completed(now, state, score)
+		p.recordCompleted(now, state, score)
 	}
 }
 
-// Unscored takes in that a reward call ended without a score after so many failures. The item is lost at once when it failed as often as its
-// route allows, so that its group doesn't wait; else the call goes out again before those of other items.
+// Unscored records that a reward call ended without a score, and how often servers failed it. The item is lost at
+// once when its failures reach what its route allows, so that its group doesn't wait; otherwise the call is queued
+// again before those of other items.
 func (p *Progress) Unscored(now time.Time, id string, failures, maxAttempts int) {
 	state := p.items[id]
 	if state.phase != phaseScoring {
@@ -58,9 +59,9 @@
 		p.Lost(now, id)
 		return
 	}
-	state.phase = phaseUnscored
-	p.unscored = slices.Insert(p.unscored, 0, state)
+	state.phase = phaseAwaitingScore
+	p.rewardQueue = slices.Insert(p.rewardQueue, 0, state)
 }
 
-// Scoring returns how many items have their whole text and no score.
-func (p *Progress) Scoring() int { return p.count(phaseUnscored) + p.count(phaseScoring) }
+// Scoring returns the number of items with a complete text and no score.
+func (p *Progress) Scoring() int { return p.count(phaseAwaitingScore) + p.count(phaseScoring) }
--- a/internal/core/batch/reward_test.go
+++ b/internal/core/batch/reward_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// newScoredJob returns a job of groups with two items each that have to be scored.
+// newScoredJob returns a job with that many groups of two items each, all with a reward call.
 func newScoredJob(groups, wanted int) *Job {
 	job := newTestJob(groups, wanted)
 	for i := range job.Items {
@@ -16,7 +16,7 @@
 	return job
 }
 
-// startReward starts the next reward call and returns its item; empty if none waits.
+// startReward starts the next reward call and returns the ID of its item, or an empty string if none waits.
 func startReward(p *Progress) string {
 	item, _, ok := p.NextReward(start)
 	if !ok {
@@ -26,16 +26,16 @@
 	return item.ID
 }
 
-// Guards against a result that is listed without its score.
-func TestATextIsNoResultUntilItIsScored(t *testing.T) {
+// Guards against publishing a result without its score.
+func TestTextIsNoResultUntilScored(t *testing.T) {
 	p := NewProgress(newScoredJob(1, 1), 1)
-	finish(t, p, start, "0a")
-	finish(t, p, start, "0b")
+	finishItem(t, p, start, "0a")
+	finishItem(t, p, start, "0b")
 	if got := startReward(p) + startReward(p) + startReward(p); got != "0a0b" {
-		t.Errorf("reward calls of %q", got)
+		t.Errorf("reward calls for items %q", got)
 	}
 	if _, ok := p.Flush(start.Add(time.Minute)); ok {
-		t.Error("a text without score would be written")
+		t.Error("a text without a score is written")
 	}
 	p.Scored(start, "0a", "sa")
 	p.Scored(start, "0b", "sb")
@@ -49,25 +49,26 @@
 	}
 }
 
-// Guards against a group that waits for an item whose reward call fails each time, and against giving one up that fails less often.
-func TestAnItemIsLostOnceItsRewardCallFailedAsOftenAsAllowed(t *testing.T) {
+// Guards against a group that waits for an item whose reward call always fails, and against losing an item whose
+// reward call fails less often than the limit.
+func TestItemIsLostAfterMaxRewardAttempts(t *testing.T) {
 	const maxAttempts = 4
 	for _, test := range []struct {
 		name     string
 		failures []int
 		lost     bool
 	}{
-		{name: "no answer, however often", failures: []int{0, 0, 0, 0, 0, 0}},
-		{name: "fewer", failures: []int{1, 2}},
-		{name: "in one call", failures: []int{4}, lost: true},
-		{name: "over several calls", failures: []int{1, 0, 2, 1}, lost: true},
+		{name: "calls without answer", failures: []int{0, 0, 0, 0, 0, 0}},
+		{name: "fewer failures than allowed", failures: []int{1, 2}},
+		{name: "all failures in one call", failures: []int{4}, lost: true},
+		{name: "failures over several calls", failures: []int{1, 0, 2, 1}, lost: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := NewProgress(newScoredJob(1, 1), 1)
-			finish(t, p, start, "0a")
+			finishItem(t, p, start, "0a")
 			for i, failures := range test.failures {
 				if got := startReward(p); got != "0a" {
-					t.Fatalf("call %d is of %q", i, got)
+					t.Fatalf("reward call %d is for item %q", i, got)
 				}
 				p.Unscored(start, "0a", failures, maxAttempts)
 			}
@@ -78,39 +79,39 @@
 	}
 }
 
-// Guards against reward calls that reach a server after the end of their job, and against results that come after it.
-func TestNothingIsScoredAfterTheEnd(t *testing.T) {
+// Guards against reward calls that are sent after the end of their job, and against results that arrive after it.
+func TestNoRewardCallsAfterEnd(t *testing.T) {
 	p := NewProgress(newScoredJob(1, 1), 1)
-	finish(t, p, start, "0a")
-	finish(t, p, start, "0b")
+	finishItem(t, p, start, "0a")
+	finishItem(t, p, start, "0b")
 	startReward(p)
 	p.End()
 	if got := startReward(p); got != "" {
-		t.Errorf("the reward call of %s would be sent", got)
+		t.Errorf("the reward call of item %s is sent after the end", got)
 	}
 	p.Scored(start, "0a", "s")
 	if _, ok := p.Commit(start); ok {
-		t.Error("a page would be written")
+		t.Error("a page is written after the end")
 	}
 }
 
-// Guards against a score that comes after its item was given up or listed by another process.
-func TestALateScoreChangesNothing(t *testing.T) {
+// Guards against a score that arrives after its item was lost or published by another process.
+func TestLateScoreIsIgnored(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		ends func(p *Progress)
+		end  func(p *Progress)
 		want State
 	}{
-		{name: "given up", ends: func(p *Progress) { p.GiveUp(start.Add(time.Hour)) }, want: StateLost},
-		{name: "listed", ends: func(p *Progress) {
+		{name: "lost", end: func(p *Progress) { p.GiveUp(start.Add(time.Hour)) }, want: StateLost},
+		{name: "published", end: func(p *Progress) {
 			p.Absorb(Page{Writer: 9, Results: []Result{{ID: "0a", State: StateCompleted, Text: "other", Score: "other's"}}})
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			p := NewProgress(newScoredJob(1, 1), 1)
-			finish(t, p, start, "0a")
+			finishItem(t, p, start, "0a")
 			startReward(p)
-			test.ends(p)
+			test.end(p)
 			before := p.items["0a"].result
 			p.Scored(start, "0a", "late")
 			if diff := cmp.Diff(before, p.items["0a"].result); diff != "" || before.State != test.want {
@@ -120,62 +121,64 @@
 	}
 }
 
-// Guards against a whole text that is generated again by the entry that takes its job over, and against a score of another text: none goes
-// with the text.
-func TestAWholeTextIsScoredByTheNextEntry(t *testing.T) {
-	from := NewProgress(newScoredJob(1, 1), 1)
-	finish(t, from, start, "0a")
-	startReward(from)
-	from.Unscored(start, "0a", 3, 4)
-	startReward(from)
-	to := NewProgress(newScoredJob(1, 1), 2)
-	to.Resume(from.Partials())
-	if item, ok := to.Next(); !ok || item.ID != "0b" {
+// Guards against a gateway that takes a job over and generates complete texts again, and against attaching a score to
+// another text: partials carry no score.
+func TestCompleteTextIsScoredAfterTakeover(t *testing.T) {
+	source := NewProgress(newScoredJob(1, 1), 1)
+	finishItem(t, source, start, "0a")
+	startReward(source)
+	source.Unscored(start, "0a", 3, 4)
+	startReward(source)
+	target := NewProgress(newScoredJob(1, 1), 2)
+	target.Resume(source.Partials())
+	if item, ok := target.Next(); !ok || item.ID != "0b" {
 		t.Errorf("next item %v", item)
 	}
-	if got := startReward(to); got != "0a" {
-		t.Fatalf("reward call of %q", got)
+	if got := startReward(target); got != "0a" {
+		t.Fatalf("reward call for item %q", got)
 	}
-	if got := to.items["0a"].rewardFailures; got != 3 {
-		t.Errorf("%d failures are known", got)
+	if got := target.items["0a"].rewardFailures; got != 3 {
+		t.Errorf("%d failures after the takeover, want 3", got)
 	}
-	to.Scored(start, "0a", "s")
-	if got := to.items["0a"].result; got.Text != "x0a" || got.Score != "s" {
+	target.Scored(start, "0a", "s")
+	if got := target.items["0a"].result; got.Text != "x0a" || got.Score != "s" {
 		t.Errorf("%+v", got)
 	}
 }
 
-// Guards against failures that are forgotten with the entry that saw them: the item would fail at servers without end.
-func TestFailuresAreCopied(t *testing.T) {
+// Guards against failure counts that are lost with the gateway that saw them: the item would fail at servers without
+// end.
+func TestCheckpointsIncludeFailures(t *testing.T) {
 	p := NewProgress(newScoredJob(1, 1), 1)
-	finish(t, p, start, "0a")
+	finishItem(t, p, start, "0a")
 	startReward(p)
 	p.Unscored(start, "0a", 1, 4)
 	p.Start("0b")
 	p.Failed(start, "0b")
-	copies := p.copies(maxPageBytes)
-	if len(copies) != 2 || copies[0].RewardFailures != 1 || copies[1].Failures != 1 {
-		t.Errorf("%+v", copies)
+	checkpoints := p.takeCheckpoints(maxPageBytes)
+	if len(checkpoints) != 2 || checkpoints[0].RewardFailures != 1 || checkpoints[1].Failures != 1 {
+		t.Errorf("%+v", checkpoints)
 	}
-	if again := p.copies(maxPageBytes); len(again) != 0 {
-		t.Errorf("copied again: %+v", again)
+	if again := p.takeCheckpoints(maxPageBytes); len(again) != 0 {
+		t.Errorf("repeated checkpoints: %+v", again)
 	}
-	to := NewProgress(newScoredJob(1, 1), 2)
-	to.Resume(copies)
-	to.Start("0b")
-	to.Failed(start, "0b")
-	if got := to.items["0b"].result.State; got != StateLost {
-		t.Errorf("0b is %q after two failures", got)
+	target := NewProgress(newScoredJob(1, 1), 2)
+	target.Resume(checkpoints)
+	target.Start("0b")
+	target.Failed(start, "0b")
+	if got := target.items["0b"].result.State; got != StateLost {
+		t.Errorf("item 0b is %q after two failures", got)
 	}
 }
 
-// Guards against reward calls that wait for ever behind callers: they tell how long they have waited.
-func TestTheNextRewardCallTellsItsWait(t *testing.T) {
+// Guards against reward calls that wait behind callers' requests forever: NextReward must report how long they have
+// waited.
+func TestNextRewardReportsWaitingTime(t *testing.T) {
 	p := NewProgress(newScoredJob(1, 1), 1)
-	finish(t, p, start, "0a")
+	finishItem(t, p, start, "0a")
 	for _, after := range []time.Duration{0, time.Second, 3 * time.Second} {
 		if _, waited, ok := p.NextReward(start.Add(after)); !ok || waited != after {
-			t.Errorf("waited %v of %v", waited, after)
+			t.Errorf("got waiting time %v, want %v", waited, after)
 		}
 	}
 }
