--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -12,109 +12,120 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/placement"
 )
 
-// Figures of the choice.
+// Parameters of the server choice.
 const (
-	// reportTime is how long the load in an answer counts; requests take some hundred milliseconds.
-	reportTime = 500 * time.Millisecond
-	// otherZone is what a server in another availability zone counts as fuller, so that equal servers are chosen near:
-	// bytes between zones are paid for, and a twentieth of a server's places is worth less than the way there.
-	otherZone = 0.05
-	// refusedTime is how long a server that refused for want of a place is asked last, or, by work that can wait, not at all. It
-	// doubles with each refusal in a row up to refusedMost: an engine refuses all while it loads weights, for about a second, and
-	// items that ask it again at once would be most of what reaches the engines.
-	refusedTime = 80 * time.Millisecond
-	refusedMost = 320 * time.Millisecond
-	// lostTime is how long a server is asked last after a connection to it failed; one that crashed disappears from
-	// the list after seconds.
-	lostTime = time.Second
-	// moveFactor is how much slower than at the median server a stream must be to go on elsewhere: above what a full engine is slower than an
-	// empty one, and below what an engine in trouble is.
-	moveFactor = 1.9
-	// leastPaces is how many other servers must be known to call one slow.
-	leastPaces = 2
-	// subsetSize is how many servers that may run a request an entry looks at first, in an order of its own by hash, and leastFit how many
-	// of them must have a place to look no further. It bounds the connections of an entry and of a server, and the work of a choice, which
-	// among thousands of servers would take longer than the request.
-	subsetSize = 32
-	leastFit   = 4
-	// paceShare is the part of a new span of a stream in the pace of its server: the last few spans count.
-	paceShare = 0.2
+	// loadReportTTL is how long the load in an answer is used; requests take some hundred milliseconds.
+	loadReportTTL = 500 * time.Millisecond
+	// crossZonePenalty is added to the utilization of a server in another availability zone, so that the nearer of
+	// equal servers is chosen: traffic between zones is paid for, and a twentieth of a server's slots is worth less
+	// than the longer way.
+	crossZonePenalty = 0.05
+	// minRefusalBackoff is how long a server that refused for lack of a free slot is chosen last, or not at all for
+	// work that can wait. It doubles with each consecutive refusal up to maxRefusalBackoff. An engine refuses
+	// everything while it loads weights, for about a second, and items that are retried at once would be most of the
+	// requests that reach the engines.
+	minRefusalBackoff = 80 * time.Millisecond
+	maxRefusalBackoff = 320 * time.Millisecond
+	// unreachableBackoff is how long a server is chosen last after a connection to it failed. A crashed server
+	// disappears from the list of servers after some seconds.
+	unreachableBackoff = time.Second
+	// slowIntervalFactor is how many times the median event interval of other servers a stream must reach to be
+	// moved. It lies above the slowdown of a full engine against an empty one, and below that of an engine in
+	// trouble.
+	slowIntervalFactor = 1.9
+	// minPeerIntervals is how many other servers must have a known event interval before one is called slow.
+	minPeerIntervals = 2
+	// subsetSize is how many servers that can run a request a gateway considers first, in an order of its own by
+	// hash, and minAvailable is how many of them must be available to consider no more. This bounds the connections
+	// of a gateway and of a server, and the cost of a choice, which among thousands of servers would take longer than
+	// the request.
+	subsetSize   = 32
+	minAvailable = 4
+	// intervalWeight is the weight of a new measurement in the moving average of a server's event interval: the last
+	// few measurements count.
+	intervalWeight = 0.2
 )
 
-// Need is what a request needs of its server.
+// Need describes what a request requires of its server.
 type Need struct {
 	Pool string
 	// Model and MinVersion are set for engines: the server must hold that version of the model or a newer one.
 	Model      string
 	MinVersion int
-	// Within is set for work that can wait: it isn't sent to servers that have as many requests of all known callers as slots, or that
-	// just refused.
+	// Within is set for work that can wait. It isn't sent to servers whose slots are all taken by the known requests
+	// of all gateways, or that refused recently.
 	Within bool
-	// Spare is how many places of a server work that can wait leaves free for others.
+	// Spare is the number of slots of each server that work that can wait has to leave free for other requests.
 	Spare int
-	// Avoid are servers that this request isn't sent to again.
+	// Avoid holds the IDs of servers that must not get this request again.
 	Avoid map[string]bool
 }
 
-// serverState is what an entry knows of a server beside its registration.
+// serverState is what a gateway knows of a server beside its registration.
 type serverState struct {
 	server Server
-	// running counts the requests of this entry, others those that other entries said they run there.
-	running, others int
-	reported        int
-	reportedAt      time.Time
-	// lastUntil is when the server is asked as others are again, and refusals how often it refused in a row.
-	lastUntil time.Time
-	refusals  int
-	// versions are the weight versions that the server's answers showed, which are newer than its list entry.
+	// running counts the requests of this gateway, peerRunning those that other gateways reported.
+	running, peerRunning int
+	// reportedLoad is the number of requests in the server's last report.
+	reportedLoad int
+	reportedAt   time.Time
+	// backoffUntil is when the server's backoff ends; until then it is chosen last. Refusals counts its consecutive
+	// refusals.
+	backoffUntil time.Time
+	refusals     int
+	// versions are the weight versions that the server's answers showed, which are newer than its registration.
 	versions map[string]int
-	// pace is the usual time between two pieces of a stream.
-	pace time.Duration
-	// order is the server's place in the order of this entry.
-	order uint64
+	// eventInterval is the moving average of the time between two events of a stream; 0 if unknown.
+	eventInterval time.Duration
+	// rank is the hash by which this gateway orders servers.
+	rank uint64
 }
 
-func (s *serverState) version(model string) int {
+// weightVersion returns the newest weight version of the model that the server is known to hold.
+func (s *serverState) weightVersion(model string) int {
 	return max(s.server.Models[model], s.versions[model])
 }
 
-// Book holds the servers of all pools with what this entry runs at each. It is safe for concurrent use.
+// Book tracks the servers of all pools and the requests at each, and chooses servers for requests. It is safe for
+// concurrent use.
 type Book struct {
 	host    string
 	zone    string
 	mu      sync.Mutex
 	tracker *placement.Tracker
 	servers map[string]*serverState
-	// pools holds the servers of each pool in this entry's order.
-	pools   map[string][]*serverState
+	// pools holds the servers of each pool, ordered by rank.
+	pools map[string][]*serverState
+	// changed is closed and replaced by notifyChanged.
 	changed chan struct{}
 }
 
-// NewBook returns an empty book of the entry at the host in the availability zone.
+// NewBook returns a Book without servers, for the gateway at the host in the availability zone.
 func NewBook(host, zone string) *Book {
 	return &Book{
 		host: host,
 		zone: zone,
-		// All servers are weighed, since nothing has to be asked for it.
+		// The tracker considers all servers, since none has to be probed.
 		tracker: placement.NewTracker(placement.WithChoices(1<<20), placement.WithCacheSaving(0)),
 		servers: map[string]*serverState{},
 		changed: make(chan struct{}),
 	}
 }
 
-// Changed is closed when a server came, went or has a place again.
+// Changed returns a channel that is closed when the list of servers is replaced or a slot may have become free.
 func (b *Book) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
-func (b *Book) wake() {
+// notifyChanged wakes those who wait on Changed. The caller holds the lock.
+func (b *Book) notifyChanged() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// Sync takes over the list of servers. What is known of a server is kept while it is the same run.
+// Sync replaces the list of servers. What is known of a server is kept as long as it is the same run.
 func (b *Book) Sync(servers []Server) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -122,7 +133,7 @@
 	for _, server := range servers {
 		state, known := b.servers[server.ID]
 		if !known || state.server.Key() != server.Key() {
-			state = &serverState{versions: map[string]int{}, order: xxhash.Sum64String(b.host + "\x00" + server.ID)}
+			state = &serverState{versions: map[string]int{}, rank: xxhash.Sum64String(b.host + "\x00" + server.ID)}
 		}
 		state.server = server
 		next[server.ID] = state
@@ -134,13 +145,13 @@
 	}
 	for _, pool := range b.pools {
 		slices.SortFunc(pool, func(x, y *serverState) int {
-			return cmp.Or(cmp.Compare(x.order, y.order), cmp.Compare(x.server.ID, y.server.ID))
+			return cmp.Or(cmp.Compare(x.rank, y.rank), cmp.Compare(x.server.ID, y.server.ID))
 		})
 	}
-	b.wake()
+	b.notifyChanged()
 }
 
-// Servers returns all servers, sorted by id.
+// Servers returns all servers, sorted by ID.
 func (b *Book) Servers() []Server {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -151,7 +162,7 @@
 	return servers
 }
 
-// Others takes in how many requests other entries run at each of the servers named; nothing changes at servers that aren't.
+// Others records how many requests other gateways run at each of the given servers; other servers keep their counts.
 func (b *Book) Others(running map[string]int) {
 	if len(running) == 0 {
 		return
@@ -160,29 +171,29 @@
 	defer b.mu.Unlock()
 	for id, count := range running {
 		if state, ok := b.servers[id]; ok {
-			state.others = count
+			state.peerRunning = count
 		}
 	}
-	b.wake()
+	b.notifyChanged()
 }
 
-// Running returns how many requests this entry runs at each server that has any.
+// Running returns the number of this gateway's requests at each server that has any.
 func (b *Book) Running() map[string]int {
-	return b.count(func(s *serverState) int { return s.running })
+	return b.nonZeroCounts(func(s *serverState) int { return s.running })
 }
 
-// RunningAnywhere returns how many requests all entries are known to run at each server that has any.
+// RunningAnywhere returns the known number of requests of all gateways at each server that has any.
 func (b *Book) RunningAnywhere() map[string]int {
-	return b.count(func(s *serverState) int { return s.running + s.others })
+	return b.nonZeroCounts(func(s *serverState) int { return s.running + s.peerRunning })
 }
 
-// count returns the servers with their counts, but for those that have none.
-func (b *Book) count(of func(*serverState) int) map[string]int {
+// nonZeroCounts returns the count of each server, without those that are 0.
+func (b *Book) nonZeroCounts(counter func(*serverState) int) map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	counts := map[string]int{}
 	for id, state := range b.servers {
-		if count := of(state); count > 0 {
+		if count := counter(state); count > 0 {
 			counts[id] = count
 		}
 	}
@@ -195,43 +206,43 @@
 	defer b.mu.Unlock()
 	if state, ok := b.servers[id]; ok {
 		state.running = max(0, state.running-1)
-		b.wake()
+		b.notifyChanged()
 	}
 }
 
-// Reported takes in the number of requests that the server said it has.
+// Reported records the number of requests that the server reported.
 func (b *Book) Reported(now time.Time, id string, requests int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if state, ok := b.servers[id]; ok {
-		state.reported = requests
+		state.reportedLoad = requests
 		state.reportedAt = now
 	}
 }
 
-// Served takes in the time that a unit of work took at the server: a whole call, or one event of a stream.
+// Served records the time that a unit of work took at the server: a whole call, or one event of a stream.
 func (b *Book) Served(now time.Time, id string, took time.Duration) {
 	b.tracker.ObserveRequest(now, id, took, false)
 }
 
-// Failed takes in that the server failed a request.
+// Failed records that the server failed a request.
 func (b *Book) Failed(now time.Time, id string) {
 	b.tracker.ObserveRequest(now, id, 0, true)
 }
 
-// Refused takes in that the server had no place.
+// Refused records that the server had no free slot. It is ignored while the server is backed off already.
 func (b *Book) Refused(now time.Time, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	state, ok := b.servers[id]
-	if !ok || now.Before(state.lastUntil) {
+	if !ok || now.Before(state.backoffUntil) {
 		return
 	}
-	state.lastUntil = now.Add(min(refusedTime<<state.refusals, refusedMost))
+	state.backoffUntil = now.Add(min(minRefusalBackoff<<state.refusals, maxRefusalBackoff))
 	state.refusals = min(state.refusals+1, 4)
 }
 
-// Accepted takes in that the server took a request on.
+// Accepted records that the server accepted a request, which ends a series of refusals.
 func (b *Book) Accepted(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -240,16 +251,16 @@
 	}
 }
 
-// Unreachable takes in that no connection to the server could be made or that it broke.
+// Unreachable records that a connection to the server could not be made or broke.
 func (b *Book) Unreachable(now time.Time, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if state, ok := b.servers[id]; ok {
-		state.lastUntil = now.Add(lostTime)
+		state.backoffUntil = now.Add(unreachableBackoff)
 	}
 }
 
-// Shows takes in the weight version that an answer of the server showed.
+// Shows records the weight version that an answer of the server showed.
 func (b *Book) Shows(id, model string, version int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -258,16 +269,16 @@
 	}
 }
 
-// Pace takes in the time between pieces of a stream of the server, the mean of a span.
-func (b *Book) Pace(id string, gap time.Duration) {
+// Pace records the mean time between events of a stream at the server, measured over several events.
+func (b *Book) Pace(id string, interval time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	state, ok := b.servers[id]
 	switch {
 	case !ok:
-	case state.pace == 0:
-		state.pace = gap
+	case state.eventInterval == 0:
+		state.eventInterval = interval
 	default:
-		state.pace += time.Duration(paceShare * float64(gap-state.pace))
+		state.eventInterval += time.Duration(intervalWeight * float64(interval-state.eventInterval))
 	}
 }
--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -17,15 +17,15 @@
 	}
 }
 
-func newTestBook() *Book {
-	book := NewBook("self", "near")
-	book.Sync(servers())
-	return book
+func newTestBalancer() *Book {
+	balancer := NewBook("self", "near")
+	balancer.Sync(servers())
+	return balancer
 }
 
-// acquire returns the id of the chosen server, or nothing.
-func acquire(book *Book, need Need) string {
-	server, ok := book.Acquire(now, need)
+// acquire returns the ID of the chosen server, or an empty string if there is none.
+func acquire(balancer *Book, need Need) string {
+	server, ok := balancer.Acquire(now, need)
 	if !ok {
 		return ""
 	}
@@ -40,129 +40,131 @@
 		need  Need
 		want  string
 	}{
-		{name: "near among equals", need: desk, want: "b"},
-		{name: "an emptier one elsewhere", setup: func(b *Book) { acquire(b, desk) }, need: desk, want: "a"},
-		{name: "not again", need: Need{Pool: "desk", Avoid: map[string]bool{"b": true}}, want: "a"},
-		{name: "no server of the pool", need: Need{Pool: "none"}},
-		{name: "one that just refused goes last", setup: func(b *Book) { b.Refused(now, "b") }, need: desk, want: "a"},
-		{name: "one that can't be reached goes last", setup: func(b *Book) { b.Unreachable(now, "b") }, need: desk, want: "a"},
-		{name: "a load that the server reports", setup: func(b *Book) { b.Reported(now, "b", 2) }, need: desk, want: "a"},
-		{name: "an old report", setup: func(b *Book) { b.Reported(now.Add(-time.Minute), "b", 2) }, need: desk, want: "b"},
-		{name: "what others run there", setup: func(b *Book) { b.Others(map[string]int{"b": 2}) }, need: desk, want: "a"},
-		{name: "weights new enough", need: Need{Pool: "engines", Model: "m", MinVersion: 4}, want: "e2"},
-		{name: "weights that an answer showed", setup: func(b *Book) { b.Shows("e1", "m", 4) }, need: Need{Pool: "engines", Model: "m", MinVersion: 4}, want: "e1"},
-		{name: "weights that nobody has", need: Need{Pool: "engines", Model: "m", MinVersion: 5}},
-		{name: "work that can wait stays off full servers", setup: func(b *Book) { b.Others(map[string]int{"e1": 2, "e2": 2}) }, need: Need{Pool: "engines", Model: "m", Within: true}},
-		{name: "and off servers that refused", setup: func(b *Book) { b.Refused(now, "e1") }, need: Need{Pool: "engines", Model: "m", Within: true}, want: "e2"},
+		{name: "server in the same zone among equals", need: desk, want: "b"},
+		{name: "less loaded server in another zone", setup: func(b *Book) { acquire(b, desk) }, need: desk, want: "a"},
+		{name: "excluded server", need: Need{Pool: "desk", Avoid: map[string]bool{"b": true}}, want: "a"},
+		{name: "pool without servers", need: Need{Pool: "none"}},
+		{name: "server that just refused is last", setup: func(b *Book) { b.Refused(now, "b") }, need: desk, want: "a"},
+		{name: "unreachable server is last", setup: func(b *Book) { b.Unreachable(now, "b") }, need: desk, want: "a"},
+		{name: "reported load", setup: func(b *Book) { b.Reported(now, "b", 2) }, need: desk, want: "a"},
+		{name: "outdated load report", setup: func(b *Book) { b.Reported(now.Add(-time.Minute), "b", 2) }, need: desk, want: "b"},
+		{name: "requests of other gateways", setup: func(b *Book) { b.Others(map[string]int{"b": 2}) }, need: desk, want: "a"},
+		{name: "new enough weights", need: Need{Pool: "engines", Model: "m", MinVersion: 4}, want: "e2"},
+		{name: "weights shown by an answer", setup: func(b *Book) { b.Shows("e1", "m", 4) }, need: Need{Pool: "engines", Model: "m", MinVersion: 4}, want: "e1"},
+		{name: "weights that no server has", need: Need{Pool: "engines", Model: "m", MinVersion: 5}},
+		{name: "work that can wait avoids full servers", setup: func(b *Book) { b.Others(map[string]int{"e1": 2, "e2": 2}) }, need: Need{Pool: "engines", Model: "m", Within: true}},
+		{name: "work that can wait avoids servers that refused", setup: func(b *Book) { b.Refused(now, "e1") }, need: Need{Pool: "engines", Model: "m", Within: true}, want: "e2"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			book := newTestBook()
+			balancer := newTestBalancer()
 			if test.setup != nil {
-				test.setup(book)
+				test.setup(balancer)
 			}
-			if got := acquire(book, test.need); got != test.want {
+			if got := acquire(balancer, test.need); got != test.want {
 				t.Errorf("got %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-func TestDrainingServersGetNothing(t *testing.T) {
-	book := newTestBook()
+func TestDrainingServersGetNoRequests(t *testing.T) {
+	balancer := newTestBalancer()
 	list := servers()
 	for i := range list {
 		list[i].Draining = list[i].ID != "c"
 	}
-	book.Sync(list)
-	if got := acquire(book, Need{Pool: "desk"}); got != "c" {
+	balancer.Sync(list)
+	if got := acquire(balancer, Need{Pool: "desk"}); got != "c" {
 		t.Errorf("got %q", got)
 	}
 }
 
-// A server that starts again under its id has lost what it knew; versions seen in answers of its former run don't hold any more.
-func TestARestartedServerIsAnotherOne(t *testing.T) {
-	book := newTestBook()
-	book.Shows("e1", "m", 9)
+// A server that restarts under its old ID has lost its state. Guards against trusting weight versions that its former
+// run showed.
+func TestRestartedServerLosesVersions(t *testing.T) {
+	balancer := newTestBalancer()
+	balancer.Shows("e1", "m", 9)
 	list := servers()
 	list[3].Started = now.Add(time.Second)
-	book.Sync(list)
-	if got := acquire(book, Need{Pool: "engines", Model: "m", MinVersion: 9}); got != "" {
+	balancer.Sync(list)
+	if got := acquire(balancer, Need{Pool: "engines", Model: "m", MinVersion: 9}); got != "" {
 		t.Errorf("got %q", got)
 	}
 }
 
-// An engine refuses everything while it loads weights. Items that came back at once made up more than half of all requests; the
-// pause grows with each refusal in a row, and an answer ends it.
-func TestRefusalsInARowPutAServerOffLonger(t *testing.T) {
-	book := newTestBook()
+// An engine refuses everything while it loads weights. Guards against items that are retried at once, which made up
+// more than half of all requests: the backoff must grow with each consecutive refusal, and an accepted request must
+// reset it.
+func TestRefusalBackoffGrows(t *testing.T) {
+	balancer := newTestBalancer()
 	need := Need{Pool: "engines", Model: "m", MinVersion: 4, Within: true}
 	at := now
-	for _, pause := range []time.Duration{refusedTime, 2 * refusedTime, 4 * refusedTime, refusedMost} {
-		book.Refused(at, "e2")
-		if _, ok := book.Acquire(at.Add(pause-time.Millisecond), need); ok {
-			t.Errorf("asked again before %v", pause)
+	for _, backoff := range []time.Duration{minRefusalBackoff, 2 * minRefusalBackoff, 4 * minRefusalBackoff, maxRefusalBackoff} {
+		balancer.Refused(at, "e2")
+		if _, ok := balancer.Acquire(at.Add(backoff-time.Millisecond), need); ok {
+			t.Errorf("chosen again before %v", backoff)
 		}
-		at = at.Add(pause)
-		if _, ok := book.Acquire(at, need); !ok {
-			t.Errorf("not asked again after %v", pause)
+		at = at.Add(backoff)
+		if _, ok := balancer.Acquire(at, need); !ok {
+			t.Errorf("not chosen again after %v", backoff)
 		}
-		book.Release("e2")
+		balancer.Release("e2")
 	}
-	book.Accepted("e2")
-	book.Refused(at, "e2")
-	if _, ok := book.Acquire(at.Add(refusedTime), need); !ok {
-		t.Error("an answer did not end the row")
+	balancer.Accepted("e2")
+	balancer.Refused(at, "e2")
+	if _, ok := balancer.Acquire(at.Add(minRefusalBackoff), need); !ok {
+		t.Error("an accepted request did not reset the backoff")
 	}
 }
 
-func TestReleaseFreesAPlace(t *testing.T) {
-	book := newTestBook()
+func TestReleaseFreesASlot(t *testing.T) {
+	balancer := newTestBalancer()
 	need := Need{Pool: "engines", Model: "m", MinVersion: 4, Within: true}
-	acquire(book, need)
-	acquire(book, need)
-	if got := acquire(book, need); got != "" {
+	acquire(balancer, need)
+	acquire(balancer, need)
+	if got := acquire(balancer, need); got != "" {
 		t.Errorf("a third request got %q", got)
 	}
-	changed := book.Changed()
-	book.Release("e2")
+	changed := balancer.Changed()
+	balancer.Release("e2")
 	select {
 	case <-changed:
 	default:
-		t.Error("nobody was told")
+		t.Error("the channel was not closed")
 	}
-	if got := acquire(book, need); got != "e2" {
+	if got := acquire(balancer, need); got != "e2" {
 		t.Errorf("got %q", got)
 	}
 }
 
-// Two of nine engines turn four times slower while they run the longest items of a step. Without leaving them the step would take
-// as long as the items do there.
-func TestMoves(t *testing.T) {
-	book := NewBook("self", "near")
+// Two of nine engines become four times slower while they run the longest items of a step. Guards against streams
+// that stay there: the step would take as long as its items do on the slow engines.
+func TestShouldMove(t *testing.T) {
+	balancer := NewBook("self", "near")
 	var list []Server
 	for _, id := range []string{"a", "b", "c", "d"} {
 		list = append(list, Server{ID: id, Pool: "p", Slots: 12, Models: map[string]int{"m": 1}})
 	}
-	book.Sync(list)
-	if book.Moves("a", time.Second) {
-		t.Error("slow compared with nothing")
+	balancer.Sync(list)
+	if balancer.Moves("a", time.Second) {
+		t.Error("called slow without other servers to compare with")
 	}
 	for _, id := range []string{"b", "c", "d"} {
 		for range 50 {
-			book.Pace(id, 40*time.Millisecond)
+			balancer.Pace(id, 40*time.Millisecond)
 		}
 	}
 	for _, test := range []struct {
-		name string
-		pace time.Duration
-		want bool
+		name     string
+		interval time.Duration
+		want     bool
 	}{
-		{name: "usual", pace: 40 * time.Millisecond},
-		{name: "full", pace: 60 * time.Millisecond},
-		{name: "slow", pace: 110 * time.Millisecond, want: true},
+		{name: "usual", interval: 40 * time.Millisecond},
+		{name: "full", interval: 60 * time.Millisecond},
+		{name: "slow", interval: 110 * time.Millisecond, want: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := book.Moves("a", test.pace); got != test.want {
+			if got := balancer.Moves("a", test.interval); got != test.want {
 				t.Errorf("got %v", got)
 			}
 		})
--- a/internal/core/backend/choose.go
+++ b/internal/core/backend/choose.go
@@ -8,7 +8,8 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/placement"
 )
 
-// Acquire chooses a server for a request and counts the request there until Release; false if none may take it.
+// Acquire chooses a server for a request and counts the request there until Release. It returns false if no server
+// may take it.
 func (b *Book) Acquire(now time.Time, need Need) (Server, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -16,34 +17,35 @@
 	if len(candidates) == 0 {
 		return Server{}, false
 	}
-	best := slices.MinFunc(candidates, func(a, other *serverState) int {
+	best := slices.MinFunc(candidates, func(x, y *serverState) int {
 		return cmp.Or(
-			cmp.Compare(b.late(now, a), b.late(now, other)),
-			cmp.Compare(b.fullness(now, a), b.fullness(now, other)),
-			cmp.Compare(a.server.ID, other.server.ID),
+			cmp.Compare(b.backoffRank(now, x), b.backoffRank(now, y)),
+			cmp.Compare(b.utilization(now, x), b.utilization(now, y)),
+			cmp.Compare(x.server.ID, y.server.ID),
 		)
 	})
 	best.running++
 	return best.server, true
 }
 
-// candidates returns the servers that may run the request, without those that the tracker spares.
+// candidates returns the servers that may run the request, without those that the tracker excludes as slow or
+// failing.
 func (b *Book) candidates(now time.Time, need Need) []*serverState {
-	var fit []placement.Server
-	seen := 0
+	var available []placement.Server
+	considered := 0
 	for _, state := range b.pools[need.Pool] {
-		if !mayRun(state, need) {
+		if !canRun(state, need) {
 			continue
 		}
-		if hasPlace(now, state, need) {
-			fit = append(fit, placement.Server{HostID: state.server.ID, Pool: need.Pool})
+		if isAvailable(now, state, need) {
+			available = append(available, placement.Server{HostID: state.server.ID, Pool: need.Pool})
 		}
-		if seen++; seen%subsetSize == 0 && len(fit) >= leastFit {
+		if considered++; considered%subsetSize == 0 && len(available) >= minAvailable {
 			break
 		}
 	}
-	slices.SortFunc(fit, func(x, y placement.Server) int { return cmp.Compare(x.HostID, y.HostID) })
-	chosen := b.tracker.Candidates(now, fit, 0, nil)
+	slices.SortFunc(available, func(x, y placement.Server) int { return cmp.Compare(x.HostID, y.HostID) })
+	chosen := b.tracker.Candidates(now, available, 0, nil)
 	states := make([]*serverState, 0, len(chosen))
 	for _, server := range chosen {
 		states = append(states, b.servers[server.HostID])
@@ -51,67 +53,68 @@
 	return states
 }
 
-// mayRun says whether the server can run the request at all.
-func mayRun(state *serverState, need Need) bool {
+// canRun reports whether the server can run the request at all.
+func canRun(state *serverState, need Need) bool {
 	if state.server.Draining || need.Avoid[state.server.ID] {
 		return false
 	}
-	return need.Model == "" || state.version(need.Model) >= need.MinVersion
+	return need.Model == "" || state.weightVersion(need.Model) >= need.MinVersion
 }
 
-// hasPlace says whether the request may be sent to the server now.
-func hasPlace(now time.Time, state *serverState, need Need) bool {
+// isAvailable reports whether the request may be sent to the server now. Only work that can wait is held back.
+func isAvailable(now time.Time, state *serverState, need Need) bool {
 	if !need.Within {
 		return true
 	}
-	return !now.Before(state.lastUntil) && state.running+state.others < max(1, state.server.Slots-need.Spare)
+	return !now.Before(state.backoffUntil) && state.running+state.peerRunning < max(1, state.server.Slots-need.Spare)
 }
 
-// late puts servers behind that just refused or could not be reached.
-func (b *Book) late(now time.Time, state *serverState) int {
-	if now.Before(state.lastUntil) {
+// backoffRank orders servers that refused recently or could not be reached after the others.
+func (b *Book) backoffRank(now time.Time, state *serverState) int {
+	if now.Before(state.backoffUntil) {
 		return 1
 	}
 	return 0
 }
 
-// fullness is the part of the server's places that is taken, by what this entry knows.
-func (b *Book) fullness(now time.Time, state *serverState) float64 {
-	known := state.running + state.others
-	if now.Sub(state.reportedAt) < reportTime {
-		known = max(known, state.reported)
+// utilization returns the share of the server's slots that is known to be in use, plus crossZonePenalty if the server
+// is in another availability zone.
+func (b *Book) utilization(now time.Time, state *serverState) float64 {
+	requests := state.running + state.peerRunning
+	if now.Sub(state.reportedAt) < loadReportTTL {
+		requests = max(requests, state.reportedLoad)
 	}
-	full := float64(known) / float64(max(1, state.server.Slots))
+	share := float64(requests) / float64(max(1, state.server.Slots))
 	if state.server.AvailabilityZone != b.zone {
-		full += otherZone
+		share += crossZonePenalty
 	}
-	return full
+	return share
 }
 
-// Moves says whether a request whose pieces come at the pace should go on at another server: servers like its own are much
-// faster. Pace is the mean time between pieces at the server so far.
+// Moves reports whether a stream at the server should be moved to another one because other servers of the pool are
+// much faster. The interval is the mean time between its events so far.
 //
-// Guard: an engine that turned slow keeps what it runs, and the longest of its items would take four times as long as
-// elsewhere and set the time of their step. To go on elsewhere costs the reading of the prompt, some milliseconds.
-func (b *Book) Moves(id string, pace time.Duration) bool {
+// An engine that becomes slow keeps what it runs. The longest of its items would take four times as long as elsewhere
+// and determine the duration of their step. A move only costs processing the prompt again, some milliseconds.
+func (b *Book) Moves(id string, interval time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	own, ok := b.servers[id]
+	current, ok := b.servers[id]
 	if !ok {
 		return false
 	}
-	var paces []time.Duration
-	for _, state := range b.pools[own.server.Pool] {
-		if state != own && state.pace > 0 {
-			paces = append(paces, state.pace)
+	var intervals []time.Duration
+	for _, state := range b.pools[current.server.Pool] {
+		if state != current && state.eventInterval > 0 {
+			intervals = append(intervals, state.eventInterval)
 		}
-		if len(paces) == subsetSize {
+		if len(intervals) == subsetSize {
 			break
 		}
 	}
-	if len(paces) < leastPaces {
+	if len(intervals) < minPeerIntervals {
 		return false
 	}
-	slices.Sort(paces)
-	return pace > time.Duration(moveFactor*float64(paces[len(paces)/2]))
+	slices.Sort(intervals)
+	return interval > time.Duration(slowIntervalFactor*float64(intervals[len(intervals)/2]))
 }
--- a/internal/core/backend/doc.go
+++ b/internal/core/backend/doc.go
@@ -1,13 +1,15 @@
-// Package backend decides at an entry which backend server of a directly called pool runs a request.
+// Package backend chooses the backend server that runs a request, for pools whose servers a gateway calls directly
+// and not through agents. A gateway is a process that accepts requests and forwards them to backend servers.
 //
-// Load pattern: a few entries stand before a dozen servers and see a few requests a second each; engines run a dozen
-// requests at once and slow each other down; one server in ten is slow or gone without saying so; a server's list
-// entry tells which weight versions it holds, with a lag.
+// A few gateways share a dozen servers and see a few requests a second each. Engines, the servers that run models,
+// run a dozen requests at once and slow each other down. One server in ten is slow, or gone without notice. A
+// server's registration tells which weight versions it holds, with a lag.
 //
-// Without it: requests herd onto the server that reported least, a slow engine keeps the longest items of a step, an
-// engine with old weights is asked for samples that may not be used, and a server whose place is taken refuses.
+// The choice guards against four faults: requests that herd onto the server with the lowest reported load, a slow
+// engine that keeps the longest items of a step, an engine with old weights that is asked for samples which may not
+// be used, and refusals by servers without a free slot.
 //
-// Which servers are slow or failing is judged by the tracker of core/placement, as for servers behind agents; this
-// package adds what an entry knows without asking: what it runs there itself, the load in the last answer, the state
-// of the server's list entry and the versions that it holds.
+// The tracker of core/placement decides which servers are slow or failing, as for servers behind agents. This package
+// adds what a gateway knows without asking: the requests it runs there itself, the load in the last answer, the
+// registered state of the server and the weight versions that it holds.
 package backend
--- a/internal/core/backend/server.go
+++ b/internal/core/backend/server.go
@@ -7,7 +7,7 @@
 
 // Server is a backend server as it registered itself.
 type Server struct {
-	// ID names one incarnation, unless the server starts again under its old id; see Started.
+	// ID identifies one run of the server, unless it restarts under its old ID; see Started.
 	ID               string
 	Pool             string
 	Address          netip.AddrPort
@@ -22,10 +22,11 @@
 	Models map[string]int
 }
 
-// Key names one run of a server: a server that starts again under its id is another one, without its memory.
+// Key returns the identity of this run of the server: one that restarts under its old ID is a different one, without
+// its former state.
 func (s Server) Key() Key { return Key{ID: s.ID, Started: s.Started.UnixMilli()} }
 
-// Key names one run of a server.
+// Key identifies one run of a server.
 type Key struct {
 	ID string
 	// Started is the Unix time of the start in milliseconds.
--- a/internal/core/backend/spare_test.go
+++ b/internal/core/backend/spare_test.go
@@ -2,20 +2,20 @@
 
 import "testing"
 
-// Guards against callers who find all places of a pool taken by work that can wait.
-func TestWorkThatCanWaitSparesPlaces(t *testing.T) {
-	book := newTestBook()
+// Guards against callers who find all slots of a pool taken by work that can wait.
+func TestReservedSlots(t *testing.T) {
+	balancer := newTestBalancer()
 	rewards := Need{Pool: "desk", Within: true, Spare: 1}
 	for range 3 {
-		if got := acquire(book, rewards); got == "" {
-			t.Fatal("refused while places are free")
+		if got := acquire(balancer, rewards); got == "" {
+			t.Fatal("refused while slots are free")
 		}
 	}
-	if got := acquire(book, rewards); got != "" {
-		t.Errorf("took a spared place of %s", got)
+	if got := acquire(balancer, rewards); got != "" {
+		t.Errorf("took a reserved slot of %s", got)
 	}
 	for range 3 {
-		if got := acquire(book, Need{Pool: "desk"}); got == "" {
+		if got := acquire(balancer, Need{Pool: "desk"}); got == "" {
 			t.Error("a caller was refused")
 		}
 	}
--- a/internal/core/backend/subset_test.go
+++ b/internal/core/backend/subset_test.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// largePool returns a book of an entry before so many engines of twelve places.
-func largePool(host string, engines int) *Book {
-	book := NewBook(host, "near")
+// newLargePool returns the state of a gateway with one pool of that many engines, each with twelve slots.
+func newLargePool(host string, engines int) *Book {
+	balancer := NewBook(host, "near")
 	var list []Server
 	for i := range engines {
 		list = append(list, Server{ID: fmt.Sprintf("engine-%04d", i), Pool: "p", AvailabilityZone: "near", Slots: 12, Started: now, Models: map[string]int{"m": i % 2}})
 	}
-	book.Sync(list)
-	return book
+	balancer.Sync(list)
+	return balancer
 }
 
-// Three hundred entries stand before 2,700 engines. An entry that used them all held 2,400 connections and looked at each engine for
-// every request; it must stay with a few as long as these have places, take further ones when they are full, and not the same as others do.
-func TestAnEntryStaysWithAFewOfManyServers(t *testing.T) {
+// Three hundred gateways share 2,700 engines. A gateway that used all of them held 2,400 connections and examined
+// each engine for every request. Guards against that: a gateway must stay with a few engines while these have free
+// slots, use more when they are full, and not use the same ones as other gateways.
+func TestGatewayUsesASubsetOfServers(t *testing.T) {
 	need := Need{Pool: "p", Model: "m", MinVersion: 1, Within: true}
 	used := func(host string, requests int) map[string]bool {
-		book := largePool(host, 2700)
+		balancer := newLargePool(host, 2700)
 		servers := map[string]bool{}
 		for range requests {
-			server, ok := book.Acquire(now, need)
+			server, ok := balancer.Acquire(now, need)
 			if !ok {
-				t.Fatalf("refused with %d requests", len(servers))
+				t.Fatalf("refused with %d servers in use", len(servers))
 			}
 			if server.Models["m"] < need.MinVersion {
 				t.Fatalf("%s has old weights", server.ID)
@@ -41,43 +42,44 @@
 		t.Errorf("%d servers used", len(few))
 	}
 	if many := used("entry-1", subsetSize*12*3); len(many) <= subsetSize {
-		t.Errorf("only %d servers used for thrice their places", len(many))
+		t.Errorf("only %d servers used for three times the slots of a subset", len(many))
 	}
-	common := 0
+	shared := 0
 	for id := range used("entry-2", subsetSize*8) {
 		if few[id] {
-			common++
+			shared++
 		}
 	}
-	if common > subsetSize/4 {
-		t.Errorf("two entries share %d of their servers", common)
+	if shared > subsetSize/4 {
+		t.Errorf("two gateways share %d of their servers", shared)
 	}
 }
 
-// A full engine among many must not be asked while others have places, wherever these stand in the entry's order.
-func TestTheLastPlaceOfAPoolIsFound(t *testing.T) {
-	book := largePool("entry-1", 200)
+// Guards against refusing a request, or choosing a full engine, while another one has a free slot, wherever it is in
+// the gateway's order.
+func TestLastFreeSlotIsFound(t *testing.T) {
+	balancer := newLargePool("entry-1", 200)
 	need := Need{Pool: "p", Model: "m", Within: true}
 	for range 200 * 12 {
-		if _, ok := book.Acquire(now, need); !ok {
-			t.Fatal("refused though a place is free")
+		if _, ok := balancer.Acquire(now, need); !ok {
+			t.Fatal("refused although a slot is free")
 		}
 	}
-	if server, ok := book.Acquire(now, need); ok {
-		t.Errorf("%s took more than it has places", server.ID)
+	if server, ok := balancer.Acquire(now, need); ok {
+		t.Errorf("%s was chosen although all slots are taken", server.ID)
 	}
 }
 
 func BenchmarkAcquire(b *testing.B) {
 	for _, engines := range []int{9, 45, 2700} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			book := largePool("entry-1", engines)
+			balancer := newLargePool("entry-1", engines)
 			need := Need{Pool: "p", Model: "m", Within: true}
 			at := now
 			for b.Loop() {
 				at = at.Add(time.Millisecond)
-				if server, ok := book.Acquire(at, need); ok {
-					book.Release(server.ID)
+				if server, ok := balancer.Acquire(at, need); ok {
+					balancer.Release(server.ID)
 				}
 			}
 		})
