--- a/internal/core/batch/home.go
+++ b/internal/core/batch/home.go
@@ -39,7 +39,7 @@
 	Cores float64
 }
 
-// Home returns the host ID of the gateway that should run a job of a model, or false if there are no runners. The
+// PreferredRunner returns the host ID of the gateway that should run a job of a model, or false if there are no runners. The
 // choice only affects cost: any gateway may run any job.
 //
 // Trainers submit a step every few seconds, each through a different gateway, and a model's engines run nothing else.
@@ -50,7 +50,7 @@
 // with the fewest models so far. No two models share a gateway while another eligible one has none, and few models
 // move when a gateway joins or leaves. A model whose engines need several runners hashes each job by its ID to one of
 // them; with that many runners the jobs spread evenly on their own.
-func Home(job, model string, demand Demand, runners []Runner) (string, bool) {
+func PreferredRunner(job, model string, demand Demand, runners []Runner) (string, bool) {
 	eligible := eligibleRunners(runners)
 	if len(eligible) == 0 {
 		return "", false
--- a/internal/core/batch/home_test.go
+++ b/internal/core/batch/home_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	chosen := map[string]string{}
 	for _, model := range models {
-		runner, ok := Home("job", model, Demand{Models: models}, runners)
+		runner, ok := PreferredRunner("job", model, Demand{Models: models}, runners)
 		if !ok {
 			t.Fatalf("no runner for model %s among %d", model, len(runners))
 		}
@@ -94,10 +94,10 @@
 }
 
 func TestPreferredRunnerEdgeCases(t *testing.T) {
-	if runner, ok := Home("job", "m", Demand{Models: []string{"m"}}, nil); ok {
+	if runner, ok := PreferredRunner("job", "m", Demand{Models: []string{"m"}}, nil); ok {
 		t.Errorf("got %q", runner)
 	}
-	if runner, _ := Home("job", "unknown", Demand{}, []Runner{{HostID: "a"}}); runner != "a" {
+	if runner, _ := PreferredRunner("job", "unknown", Demand{}, []Runner{{HostID: "a"}}); runner != "a" {
 		t.Errorf("a model that is not trained yet has runner %q", runner)
 	}
 }
@@ -119,7 +119,7 @@
 			runners := testRunners(test.runners)
 			jobs := map[string]int{}
 			for i := range 400 {
-				runner, _ := Home(fmt.Sprintf("job-%d", i), "a", Demand{Models: []string{"a", "b"}, Slots: test.slots}, runners)
+				runner, _ := PreferredRunner(fmt.Sprintf("job-%d", i), "a", Demand{Models: []string{"a", "b"}, Slots: test.slots}, runners)
 				jobs[runner]++
 			}
 			busiest := 0
--- a/internal/edge/batchjob/home.go
+++ b/internal/edge/batchjob/home.go
@@ -18,7 +18,7 @@
 // home returns the entry that should run a job, see batch.Home: this one unless it is leaving, or another living one.
 func (m *Manager) home(spec *batch.Job) gossip.Member {
 	return m.chooseEntry(func(runners []batch.Runner) (string, bool) {
-		return batch.Home(spec.ID, spec.Model, m.demand(), runners)
+		return batch.PreferredRunner(spec.ID, spec.Model, m.demand(), runners)
 	})
 }
 
