--- a/internal/core/batch/job.go
+++ b/internal/core/batch/job.go
@@ -119,5 +119,5 @@
 	Partials []Partial `json:"partials,omitempty"`
 }
 
-// Same reports whether two pages are the same write.
-func (p Page) Same(other Page) bool { return p.Writer == other.Writer && p.Serial == other.Serial }
+// SameWrite reports whether two pages are the same write.
+func (p Page) SameWrite(other Page) bool { return p.Writer == other.Writer && p.Serial == other.Serial }
--- a/internal/core/batch/progress_rapid_test.go
+++ b/internal/core/batch/progress_rapid_test.go
@@ -34,7 +34,7 @@
 		return
 	}
 	existing := log.pages[number]
-	if existing.Same(page) {
+	if existing.SameWrite(page) {
 		p.progress.Wrote(now, page)
 		return
 	}
--- a/internal/core/batch/progress_test.go
+++ b/internal/core/batch/progress_test.go
@@ -110,7 +110,7 @@
 	if page, ok := p.Commit(start.Add(time.Minute)); !ok || len(page.Results) != 1 || page.Results[0].ID != "0b" {
 		t.Errorf("next page: %v", page)
 	}
-	if page.Same(Page{Writer: 2, Serial: 1}) {
+	if page.SameWrite(Page{Writer: 2, Serial: 1}) {
 		t.Error("the page of another process is taken for its own")
 	}
 	if got := p.Results(0, 1000)[0].Text; got != "other" {
--- a/internal/edge/batchjob/run.go
+++ b/internal/edge/batchjob/run.go
@@ -196,7 +196,7 @@
 		m.log.Error().Err(err).Str("request", j.spec.ID).Int("page", number).Msg("page can't be read")
 		return false
 	}
-	if existing.Same(page) {
+	if existing.SameWrite(page) {
 		j.applyOwnPage(number, page)
 		return true
 	}
