--- a/internal/core/batch/output.go
+++ b/internal/core/batch/output.go
@@ -7,8 +7,8 @@
 
 // Output accumulates the stream of an item over all its attempts.
 type Output struct {
-	// Last is the number of the last complete event; 0 before the first.
-	Last     int
+	// LastEvent is the number of the last complete event; 0 before the first.
+	LastEvent     int
 	Versions []int
 	text     strings.Builder
 }
@@ -25,14 +25,14 @@
 // Append adds the next event, which the given weight version produced. It returns false and changes nothing if the
 // event is out of order, because a missing or repeated event would corrupt the text permanently.
 func (o *Output) Append(event Event, version int) bool {
-	if event.Number != o.Last+1 {
+	if event.Number != o.LastEvent+1 {
 		return false
 	}
-	if o.Last > 0 {
+	if o.LastEvent > 0 {
 		o.text.WriteByte('\n')
 	}
 	o.text.WriteString(event.Data)
-	o.Last = event.Number
+	o.LastEvent = event.Number
 	if !slices.Contains(o.Versions, version) {
 		o.Versions = append(o.Versions, version)
 	}
@@ -54,7 +54,7 @@
 
 // outputFromPartial returns an output that continues a partial.
 func outputFromPartial(p Partial) *Output {
-	o := &Output{Last: p.Last, Versions: slices.Clone(p.Versions)}
+	o := &Output{LastEvent: p.Last, Versions: slices.Clone(p.Versions)}
 	o.text.WriteString(p.Text)
 	return o
 }
--- a/internal/core/batch/partial.go
+++ b/internal/core/batch/partial.go
@@ -13,12 +13,12 @@
 
 // Partials returns the state of all items without a result that have output or failures.
 func (p *Progress) Partials() []Partial {
-	return p.partials(func(state *itemState) bool { return state.output.Last > 0 || state.totalFailures() > 0 })
+	return p.partials(func(state *itemState) bool { return state.output.LastEvent > 0 || state.totalFailures() > 0 })
 }
 
 // needsCheckpoint reports whether the item has enough new output, or a new failure, since its last checkpoint.
 func (s *itemState) needsCheckpoint() bool {
-	grown := !s.textComplete() && s.output.Last >= s.checkpointEvent+max(minCheckpointEvents, s.checkpointEvent/checkpointGrowthDivisor)
+	grown := !s.textComplete() && s.output.LastEvent >= s.checkpointEvent+max(minCheckpointEvents, s.checkpointEvent/checkpointGrowthDivisor)
 	return grown || s.totalFailures() > s.checkpointFailures
 }
 
@@ -73,7 +73,7 @@
 		}
 		state.failures = max(state.failures, partial.Failures)
 		state.rewardFailures = max(state.rewardFailures, partial.RewardFailures)
-		if partial.Last <= state.output.Last {
+		if partial.Last <= state.output.LastEvent {
 			continue
 		}
 		output := outputFromPartial(partial)
@@ -91,7 +91,7 @@
 func (s *itemState) partial() Partial {
 	return Partial{
 		Item:           s.item.ID,
-		Last:           s.output.Last,
+		Last:           s.output.LastEvent,
 		Versions:       slices.Clone(s.output.Versions),
 		Text:           s.output.Text(),
 		TextComplete:   s.textComplete(),
--- a/internal/core/batch/partial_test.go
+++ b/internal/core/batch/partial_test.go
@@ -8,8 +8,8 @@
 // receiveEvents starts an item and appends events until its output has that many.
 func receiveEvents(p *Progress, item string, events, version int) {
 	output := p.Start(item)
-	for output.Last < events {
-		output.Append(Event{Number: output.Last + 1, Data: "x"}, version)
+	for output.LastEvent < events {
+		output.Append(Event{Number: output.LastEvent + 1, Data: "x"}, version)
 	}
 }
 
@@ -36,22 +36,22 @@
 	target := newPartialProgress(2, false)
 	target.Resume(append(partials, Partial{Item: "unknown", Last: 3, Versions: []int{2}}))
 	a := target.Start("a")
-	if a.Last != 30 || a.Text() != source.items["a"].output.Text() {
-		t.Errorf("item a resumes after event %d", a.Last)
+	if a.LastEvent != 30 || a.Text() != source.items["a"].output.Text() {
+		t.Errorf("item a resumes after event %d", a.LastEvent)
 	}
 	if !a.Append(Event{Number: 31, Data: "y"}, 2) || len(a.Versions) != 1 {
 		t.Errorf("%+v", a)
 	}
-	if b := target.Start("b"); b.Last != 0 {
-		t.Errorf("item b resumes from output of weights that are too old, after event %d", b.Last)
+	if b := target.Start("b"); b.LastEvent != 0 {
+		t.Errorf("item b resumes from output of weights that are too old, after event %d", b.LastEvent)
 	}
 	target.Resume([]Partial{{Item: "a", Last: 60, Versions: []int{2}, Text: "z"}})
-	if target.items["a"].output.Last != 31 {
+	if target.items["a"].output.LastEvent != 31 {
 		t.Error("the output of a running item was changed")
 	}
 	single := newPartialProgress(2, true)
 	single.Resume([]Partial{{Item: "a", Last: 5, Versions: []int{2, 3}, Text: "x"}})
-	if single.Start("a").Last != 0 {
+	if single.Start("a").LastEvent != 0 {
 		t.Error("resumed from two versions in a job that allows one")
 	}
 }
@@ -115,8 +115,8 @@
 		}
 		for end := now.Add(uptime); now.Before(end); now = now.Add(interval) {
 			for id, output := range running {
-				output.Append(Event{Number: output.Last + 1, Data: "x"}, 1)
-				if output.Last == events {
+				output.Append(Event{Number: output.LastEvent + 1, Data: "x"}, 1)
+				if output.LastEvent == events {
 					p.Completed(now, id)
 					delete(running, id)
 				}
--- a/internal/core/batch/progress_test.go
+++ b/internal/core/batch/progress_test.go
@@ -25,7 +25,7 @@
 func finishItem(t *testing.T, p *Progress, now time.Time, id string) {
 	t.Helper()
 	output := p.Start(id)
-	if !output.Append(Event{Number: output.Last + 1, Data: "x" + id}, 1) {
+	if !output.Append(Event{Number: output.LastEvent + 1, Data: "x" + id}, 1) {
 		t.Fatalf("item %s: event not appended", id)
 	}
 	p.Completed(now, id)
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -79,16 +79,16 @@
 func (m *Manager) runItem(ctx context.Context, j *job, item *batch.Item, output *batch.Output, server backend.Server) {
 	r := &itemRun{manager: m, job: j, item: item, output: output, server: server}
 	started := time.Now()
-	from := output.Last
+	from := output.LastEvent
 	result := r.execute(ctx)
 	m.book.Release(server.ID)
 	m.metrics.observeRun(result, time.Since(started))
 	if result == outcomeCompleted {
 		m.log.Debug().Str("request", j.spec.ID).Str("item", item.ID).Str("server", server.ID).Int("fromEvent", from).
-			Int("lastEvent", output.Last).Int("expectedTokens", item.ExpectedTokens).Dur("took", time.Since(started)).Msg("item completed")
+			Int("lastEvent", output.LastEvent).Int("expectedTokens", item.ExpectedTokens).Dur("took", time.Since(started)).Msg("item completed")
 	} else if ctx.Err() == nil {
 		m.log.Info().Str("request", j.spec.ID).Str("item", item.ID).Str("server", server.ID).Stringer("outcome", result).
-			Int("fromEvent", from).Int("lastEvent", output.Last).Int("version", r.version).Dur("took", time.Since(started)).AnErr("cause", r.cause).
+			Int("fromEvent", from).Int("lastEvent", output.LastEvent).Int("version", r.version).Dur("took", time.Since(started)).AnErr("cause", r.cause).
 			Msg("item run not completed")
 	}
 	if result == outcomeRefused || result == outcomeFailed {
@@ -128,7 +128,7 @@
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	hop := platform.Hop{Server: r.server, Organisation: r.job.spec.Organisation}
-	platform.FromItem(req, r.job.spec, r.item, r.output.Last, hop)
+	platform.FromItem(req, r.job.spec, r.item, r.output.LastEvent, hop)
 	stream, err := r.manager.servers.Open(ctx, req)
 	if err != nil {
 		return r.handleStreamError(ctx, err)
@@ -228,7 +228,7 @@
 	monitor := paceMonitor{book: r.manager.book, server: r.server.ID}
 	for {
 		event, err := events.Next()
-		if errors.Is(err, io.EOF) && r.output.Last > 0 {
+		if errors.Is(err, io.EOF) && r.output.LastEvent > 0 {
 			return outcomeCompleted
 		}
 		if err != nil {
