--- a/internal/core/batch/output.go
+++ b/internal/core/batch/output.go
@@ -42,7 +42,7 @@
 // Partial is the state of an item without a result, as stored in a page or sent to another gateway.
 type Partial struct {
 	Item     string `json:"item" msgpack:"i"`
-	Last     int    `json:"last" msgpack:"l"`
+	LastEvent     int    `json:"last" msgpack:"l"`
 	Versions []int  `json:"versions" msgpack:"v"`
 	Text     string `json:"text" msgpack:"t"`
 	// TextComplete is set once the text is complete and waits to be scored.
@@ -54,7 +54,7 @@
 
 // outputFromPartial returns an output that continues a partial.
 func outputFromPartial(p Partial) *Output {
-	o := &Output{LastEvent: p.Last, Versions: slices.Clone(p.Versions)}
+	o := &Output{LastEvent: p.LastEvent, Versions: slices.Clone(p.Versions)}
 	o.text.WriteString(p.Text)
 	return o
 }
--- a/internal/core/batch/partial.go
+++ b/internal/core/batch/partial.go
@@ -45,7 +45,7 @@
 			break
 		}
 		state := p.items[partial.Item]
-		state.checkpointEvent, state.checkpointFailures = partial.Last, state.totalFailures()
+		state.checkpointEvent, state.checkpointFailures = partial.LastEvent, state.totalFailures()
 		checkpoints = append(checkpoints, partial)
 	}
 	return checkpoints
@@ -73,7 +73,7 @@
 		}
 		state.failures = max(state.failures, partial.Failures)
 		state.rewardFailures = max(state.rewardFailures, partial.RewardFailures)
-		if partial.Last <= state.output.LastEvent {
+		if partial.LastEvent <= state.output.LastEvent {
 			continue
 		}
 		output := outputFromPartial(partial)
@@ -91,7 +91,7 @@
 func (s *itemState) partial() Partial {
 	return Partial{
 		Item:           s.item.ID,
-		Last:           s.output.LastEvent,
+		LastEvent:           s.output.LastEvent,
 		Versions:       slices.Clone(s.output.Versions),
 		Text:           s.output.Text(),
 		TextComplete:   s.textComplete(),
--- a/internal/core/batch/partial_test.go
+++ b/internal/core/batch/partial_test.go
@@ -34,7 +34,7 @@
 		t.Fatalf("%+v", partials)
 	}
 	target := newPartialProgress(2, false)
-	target.Resume(append(partials, Partial{Item: "unknown", Last: 3, Versions: []int{2}}))
+	target.Resume(append(partials, Partial{Item: "unknown", LastEvent: 3, Versions: []int{2}}))
 	a := target.Start("a")
 	if a.LastEvent != 30 || a.Text() != source.items["a"].output.Text() {
 		t.Errorf("item a resumes after event %d", a.LastEvent)
@@ -45,12 +45,12 @@
 	if b := target.Start("b"); b.LastEvent != 0 {
 		t.Errorf("item b resumes from output of weights that are too old, after event %d", b.LastEvent)
 	}
-	target.Resume([]Partial{{Item: "a", Last: 60, Versions: []int{2}, Text: "z"}})
+	target.Resume([]Partial{{Item: "a", LastEvent: 60, Versions: []int{2}, Text: "z"}})
 	if target.items["a"].output.LastEvent != 31 {
 		t.Error("the output of a running item was changed")
 	}
 	single := newPartialProgress(2, true)
-	single.Resume([]Partial{{Item: "a", Last: 5, Versions: []int{2, 3}, Text: "x"}})
+	single.Resume([]Partial{{Item: "a", LastEvent: 5, Versions: []int{2, 3}, Text: "x"}})
 	if single.Start("a").LastEvent != 0 {
 		t.Error("resumed from two versions in a job that allows one")
 	}
@@ -65,7 +65,7 @@
 		receiveEvents(p, "a", last, 1)
 		for _, partial := range p.takeCheckpoints(maxPageBytes) {
 			checkpoints++
-			events += partial.Last
+			events += partial.LastEvent
 		}
 	}
 	if checkpoints > 8 || events > 3*140 {
--- a/internal/edge/batchjob/home_test.go
+++ b/internal/edge/batchjob/home_test.go
@@ -78,13 +78,13 @@
 	store := newMemoryStore()
 	store.put(t, KindJobs, "j", spec)
 	store.put(t, KindPages, pageName("j", 1), batch.Page{Writer: 1, Serial: 1, Partials: []batch.Partial{
-		{Item: "a", Last: 20, Versions: []int{1}, Text: "older"}, {Item: "c", Last: 9, Versions: []int{0}, Text: "of unknown weights"},
+		{Item: "a", LastEvent: 20, Versions: []int{1}, Text: "older"}, {Item: "c", LastEvent: 9, Versions: []int{0}, Text: "of unknown weights"},
 	}})
-	store.put(t, KindPages, pageName("j", 2), batch.Page{Writer: 1, Serial: 2, Partials: []batch.Partial{{Item: "a", Last: 30, Versions: []int{1}, Text: "x"}}})
+	store.put(t, KindPages, pageName("j", 2), batch.Page{Writer: 1, Serial: 2, Partials: []batch.Partial{{Item: "a", LastEvent: 30, Versions: []int{1}, Text: "x"}}})
 	m := newTestManager(ctx, store.client(), fakeMembers{self: "self"})
 	defer m.Wait()
 	defer cancel()
-	partials := []batch.Partial{{Item: "b", Last: 7, Versions: []int{1}, Text: "y"}}
+	partials := []batch.Partial{{Item: "b", LastEvent: 7, Versions: []int{1}, Text: "y"}}
 	if err := m.handleRun(ctx, RunRequest{Job: "j", Organisation: "north", From: "dead", Partials: partials}); err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 	defer j.mu.Unlock()
 	last := map[string]int{}
 	for _, each := range j.progress.Partials() {
-		last[each.Item] = each.Last
+		last[each.Item] = each.LastEvent
 	}
 	if diff := cmp.Diff(map[string]int{"a": 30, "b": 7}, last); diff != "" {
 		t.Errorf("items continue after other events: %s", diff)
