--- a/internal/core/batch/progress.go
+++ b/internal/core/batch/progress.go
@@ -137,8 +137,8 @@
 // Total returns the number of items.
 func (p *Progress) Total() int { return len(p.items) }
 
-// Listed returns the number of published results.
-func (p *Progress) Listed() int { return len(p.published) }
+// Published returns the number of published results.
+func (p *Progress) Published() int { return len(p.published) }
 
 // Results returns the published results from a position on, up to maxBytes of text but at least one if there is any.
 // The caller must not modify the slice.
--- a/internal/edge/batchjob/job.go
+++ b/internal/edge/batchjob/job.go
@@ -124,7 +124,7 @@
 func (j *job) canAnswer(from int) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.running || j.progress.Complete() || from < j.progress.Listed()
+	return j.running || j.progress.Complete() || from < j.progress.Published()
 }
 
 // recordNoNewPage records that a store query that began at the given time found no page after those known.
@@ -153,7 +153,7 @@
 	for {
 		j.mu.Lock()
 		j.lastUse = time.Now()
-		known := j.progress.Listed() > from || j.progress.Ended() || j.progress.Complete()
+		known := j.progress.Published() > from || j.progress.Ended() || j.progress.Complete()
 		changed := j.changed
 		j.mu.Unlock()
 		if known || wait <= 0 {
--- a/internal/edge/batchjob/state.go
+++ b/internal/edge/batchjob/state.go
@@ -45,7 +45,7 @@
 		Runs:    j.running,
 		Ended:   j.progress.Ended(),
 		Total:   j.progress.Total(),
-		Listed:  j.progress.Listed(),
+		Listed:  j.progress.Published(),
 		Running: j.progress.Running(),
 		Waiting: j.progress.Waiting(),
 		Scoring: j.progress.Scoring(),
