--- a/internal/core/batch/partial_test.go
+++ b/internal/core/batch/partial_test.go
@@ -104,7 +104,7 @@
 	for ; runs < 10; runs++ {
 		p := NewProgress(job, uint64(runs))
 		for _, page := range log {
-			p.Absorb(page)
+			p.ApplyPage(page)
 		}
 		if p.Complete() {
 			break
--- a/internal/core/batch/progress.go
+++ b/internal/core/batch/progress.go
@@ -169,8 +169,8 @@
 // End stops the job: no more items start and no more pages are written.
 func (p *Progress) End() { p.ended = true }
 
-// Absorb applies the next page of the log, whichever process wrote it.
-func (p *Progress) Absorb(page Page) {
+// ApplyPage applies the next page of the log, whichever process wrote it.
+func (p *Progress) ApplyPage(page Page) {
 	p.pages++
 	for _, result := range page.Results {
 		state, known := p.items[result.ID]
@@ -386,7 +386,7 @@
 
 // Wrote records that the page returned by Commit was written as the next page of the log.
 func (p *Progress) Wrote(now time.Time, page Page) {
-	p.Absorb(page)
+	p.ApplyPage(page)
 	p.recountUnwritten()
 	if !p.unwrittenSince.IsZero() {
 		p.unwrittenSince = now
@@ -412,7 +412,7 @@
 
 // Lose applies a page that another process created under the number that this process tried.
 func (p *Progress) Lose(page Page) {
-	p.Absorb(page)
+	p.ApplyPage(page)
 	p.recountUnwritten()
 }
 
--- a/internal/core/batch/progress_rapid_test.go
+++ b/internal/core/batch/progress_rapid_test.go
@@ -133,7 +133,7 @@
 func checkLog(t *rapid.T, log *pageLog, processes []*process) {
 	reader := NewProgress(processes[0].progress.Job(), 3)
 	for _, page := range log.pages {
-		reader.Absorb(page)
+		reader.ApplyPage(page)
 	}
 	seen := map[string]bool{}
 	logged := reader.Results(0, 1<<30)
--- a/internal/core/batch/progress_test.go
+++ b/internal/core/batch/progress_test.go
@@ -213,7 +213,7 @@
 func TestResultsRespectMaxBytes(t *testing.T) {
 	p := NewProgress(newTestJob(2, 2), 1)
 	text := string(make([]byte, 1000))
-	p.Absorb(Page{Results: []Result{{ID: "0a", Text: text}, {ID: "0b", Text: text}, {ID: "1a", Text: text}}})
+	p.ApplyPage(Page{Results: []Result{{ID: "0a", Text: text}, {ID: "0b", Text: text}, {ID: "1a", Text: text}}})
 	for _, test := range []struct {
 		name           string
 		from, maxBytes int
--- a/internal/core/batch/reward_test.go
+++ b/internal/core/batch/reward_test.go
@@ -104,7 +104,7 @@
 	}{
 		{name: "lost", end: func(p *Progress) { p.GiveUp(start.Add(time.Hour)) }, want: StateLost},
 		{name: "published", end: func(p *Progress) {
-			p.Absorb(Page{Writer: 9, Results: []Result{{ID: "0a", State: StateCompleted, Text: "other", Score: "other's"}}})
+			p.ApplyPage(Page{Writer: 9, Results: []Result{{ID: "0a", State: StateCompleted, Text: "other", Score: "other's"}}})
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
