--- a/internal/core/batch/progress.go
+++ b/internal/core/batch/progress.go
@@ -410,8 +410,8 @@
 	}
 }
 
-// Lose applies a page that another process created under the number that this process tried.
-func (p *Progress) Lose(page Page) {
+// ApplyConflictingPage applies a page that another process created under the number that this process tried.
+func (p *Progress) ApplyConflictingPage(page Page) {
 	p.ApplyPage(page)
 	p.recountUnwritten()
 }
--- a/internal/core/batch/progress_rapid_test.go
+++ b/internal/core/batch/progress_rapid_test.go
@@ -38,13 +38,13 @@
 		p.progress.Wrote(now, page)
 		return
 	}
-	p.progress.Lose(existing)
+	p.progress.ApplyConflictingPage(existing)
 }
 
 // catchUp applies all pages that the process doesn't know, including its own pages whose answers were lost.
 func (p *process) catchUp(log *pageLog) {
 	for p.progress.Pages() < len(log.pages) {
-		p.progress.Lose(log.pages[p.progress.Pages()])
+		p.progress.ApplyConflictingPage(log.pages[p.progress.Pages()])
 	}
 }
 
@@ -119,7 +119,7 @@
 		}
 	case "read":
 		if progress.Pages() < len(log.pages) {
-			progress.Lose(log.pages[progress.Pages()])
+			progress.ApplyConflictingPage(log.pages[progress.Pages()])
 		}
 	case "show":
 		p.show(t, log)
--- a/internal/core/batch/progress_test.go
+++ b/internal/core/batch/progress_test.go
@@ -106,7 +106,7 @@
 	finishItem(t, p, start, "0a")
 	finishItem(t, p, start, "0b")
 	page, _ := p.Commit(start)
-	p.Lose(Page{Writer: 2, Serial: 1, Results: []Result{{ID: "0a", State: StateCompleted, Text: "other"}}})
+	p.ApplyConflictingPage(Page{Writer: 2, Serial: 1, Results: []Result{{ID: "0a", State: StateCompleted, Text: "other"}}})
 	if page, ok := p.Commit(start.Add(time.Minute)); !ok || len(page.Results) != 1 || page.Results[0].ID != "0b" {
 		t.Errorf("next page: %v", page)
 	}
--- a/internal/edge/batchjob/load.go
+++ b/internal/edge/batchjob/load.go
@@ -117,7 +117,7 @@
 	if j.progress.Pages()+1 != number {
 		return
 	}
-	j.progress.Lose(page)
+	j.progress.ApplyConflictingPage(page)
 	j.notifyReaders()
 }
 
