--- a/internal/core/batch/partial_test.go
+++ b/internal/core/batch/partial_test.go
@@ -122,7 +122,7 @@
 				}
 			}
 			if page, ok := p.Commit(now); ok {
-				p.Wrote(now, page)
+				p.ConfirmPage(now, page)
 				log = append(log, page)
 			}
 		}
--- a/internal/core/batch/progress.go
+++ b/internal/core/batch/progress.go
@@ -384,8 +384,8 @@
 	return 1
 }
 
-// Wrote records that the page returned by Commit was written as the next page of the log.
-func (p *Progress) Wrote(now time.Time, page Page) {
+// ConfirmPage records that the page returned by Commit was written as the next page of the log.
+func (p *Progress) ConfirmPage(now time.Time, page Page) {
 	p.ApplyPage(page)
 	p.recountUnwritten()
 	if !p.unwrittenSince.IsZero() {
--- a/internal/core/batch/progress_rapid_test.go
+++ b/internal/core/batch/progress_rapid_test.go
@@ -30,12 +30,12 @@
 			p.unanswered = &page
 			return
 		}
-		p.progress.Wrote(now, page)
+		p.progress.ConfirmPage(now, page)
 		return
 	}
 	existing := log.pages[number]
 	if existing.SameWrite(page) {
-		p.progress.Wrote(now, page)
+		p.progress.ConfirmPage(now, page)
 		return
 	}
 	p.progress.ApplyConflictingPage(existing)
--- a/internal/core/batch/progress_test.go
+++ b/internal/core/batch/progress_test.go
@@ -88,7 +88,7 @@
 	finishItem(t, p, start, "0a")
 	finishItem(t, p, start, "0b")
 	page, _ := p.Commit(start)
-	p.Wrote(start, page)
+	p.ConfirmPage(start, page)
 	finishItem(t, p, start, "1a")
 	finishItem(t, p, start, "1b")
 	if _, ok := p.Commit(start.Add(groupWriteInterval / 2)); ok {
--- a/internal/edge/batchjob/run.go
+++ b/internal/edge/batchjob/run.go
@@ -211,7 +211,7 @@
 	if j.progress.Pages()+1 != number {
 		return
 	}
-	j.progress.Wrote(time.Now(), page)
+	j.progress.ConfirmPage(time.Now(), page)
 	j.notifyReaders()
 }
 
