--- a/internal/core/batch/partial_test.go
+++ b/internal/core/batch/partial_test.go
@@ -121,7 +121,7 @@
 					delete(running, id)
 				}
 			}
-			if page, ok := p.Commit(now); ok {
+			if page, ok := p.NextPage(now); ok {
 				p.ConfirmPage(now, page)
 				log = append(log, page)
 			}
--- a/internal/core/batch/progress.go
+++ b/internal/core/batch/progress.go
@@ -293,10 +293,10 @@
 	}
 }
 
-// Commit returns the page to write now, or false if it is better to wait. A page is due at once when all groups that
+// NextPage returns the page to write now, or false if it is better to wait. A page is due at once when all groups that
 // the trainer waits for are complete or all items have a result, after groupWriteInterval for other complete groups,
 // after incompleteGroupDelay for parts of groups, and after checkpointInterval for checkpoints alone.
-func (p *Progress) Commit(now time.Time) (Page, bool) {
+func (p *Progress) NextPage(now time.Time) (Page, bool) {
 	if p.ended || !p.pageDue(now) {
 		return Page{}, false
 	}
@@ -384,7 +384,7 @@
 	return 1
 }
 
-// ConfirmPage records that the page returned by Commit was written as the next page of the log.
+// ConfirmPage records that the page returned by NextPage was written as the next page of the log.
 func (p *Progress) ConfirmPage(now time.Time, page Page) {
 	p.ApplyPage(page)
 	p.recountUnwritten()
--- a/internal/core/batch/progress_rapid_test.go
+++ b/internal/core/batch/progress_rapid_test.go
@@ -109,7 +109,7 @@
 			progress.Failed(now, item.ID)
 		}
 	case "write":
-		page, ok := progress.Commit(now)
+		page, ok := progress.NextPage(now)
 		if p.unanswered != nil {
 			page, ok = *p.unanswered, true
 			p.unanswered = nil
--- a/internal/core/batch/progress_test.go
+++ b/internal/core/batch/progress_test.go
@@ -75,7 +75,7 @@
 			for _, id := range test.done {
 				finishItem(t, p, start, id)
 			}
-			page, ok := p.Commit(start.Add(test.after))
+			page, ok := p.NextPage(start.Add(test.after))
 			if diff := cmp.Diff(test.want, itemIDs(page.Results)); diff != "" || ok != (test.want != nil) {
 				t.Errorf("%v %s", ok, diff)
 			}
@@ -87,14 +87,14 @@
 	p := NewProgress(newTestJob(4, 4), 1)
 	finishItem(t, p, start, "0a")
 	finishItem(t, p, start, "0b")
-	page, _ := p.Commit(start)
+	page, _ := p.NextPage(start)
 	p.ConfirmPage(start, page)
 	finishItem(t, p, start, "1a")
 	finishItem(t, p, start, "1b")
-	if _, ok := p.Commit(start.Add(groupWriteInterval / 2)); ok {
+	if _, ok := p.NextPage(start.Add(groupWriteInterval / 2)); ok {
 		t.Error("page returned before the interval ended")
 	}
-	if _, ok := p.Commit(start.Add(groupWriteInterval)); !ok {
+	if _, ok := p.NextPage(start.Add(groupWriteInterval)); !ok {
 		t.Error("no page after the interval")
 	}
 }
@@ -105,9 +105,9 @@
 	p := NewProgress(newTestJob(2, 2), 1)
 	finishItem(t, p, start, "0a")
 	finishItem(t, p, start, "0b")
-	page, _ := p.Commit(start)
+	page, _ := p.NextPage(start)
 	p.ApplyConflictingPage(Page{Writer: 2, Serial: 1, Results: []Result{{ID: "0a", State: StateCompleted, Text: "other"}}})
-	if page, ok := p.Commit(start.Add(time.Minute)); !ok || len(page.Results) != 1 || page.Results[0].ID != "0b" {
+	if page, ok := p.NextPage(start.Add(time.Minute)); !ok || len(page.Results) != 1 || page.Results[0].ID != "0b" {
 		t.Errorf("next page: %v", page)
 	}
 	if page.SameWrite(Page{Writer: 2, Serial: 1}) {
@@ -128,7 +128,7 @@
 		t.Errorf("next item %v, %v", item, ok)
 	}
 	finishItem(t, p, start, "0b")
-	page, _ := p.Commit(start)
+	page, _ := p.NextPage(start)
 	if page.Results[0].State != StateLost || page.Results[1].State != StateCompleted {
 		t.Errorf("%v", page.Results)
 	}
@@ -179,7 +179,7 @@
 		t.Error("items were lost too early")
 	}
 	p.GiveUp(start.Add(40*time.Second + maxClockSkew))
-	page, ok := p.Commit(start.Add(40*time.Second + maxClockSkew))
+	page, ok := p.NextPage(start.Add(40*time.Second + maxClockSkew))
 	if !ok || len(page.Results) != 2 || page.Results[0].State != StateLost {
 		t.Errorf("%v", page)
 	}
--- a/internal/core/batch/reward_test.go
+++ b/internal/core/batch/reward_test.go
@@ -39,7 +39,7 @@
 	}
 	p.Scored(start, "0a", "sa")
 	p.Scored(start, "0b", "sb")
-	page, ok := p.Commit(start)
+	page, ok := p.NextPage(start)
 	want := []Result{
 		{ID: "0a", State: StateCompleted, Text: "x0a", Versions: []int{1}, Score: "sa"},
 		{ID: "0b", State: StateCompleted, Text: "x0b", Versions: []int{1}, Score: "sb"},
@@ -90,7 +90,7 @@
 		t.Errorf("the reward call of item %s is sent after the end", got)
 	}
 	p.Scored(start, "0a", "s")
-	if _, ok := p.Commit(start); ok {
+	if _, ok := p.NextPage(start); ok {
 		t.Error("a page is written after the end")
 	}
 }
--- a/internal/edge/batchjob/run.go
+++ b/internal/edge/batchjob/run.go
@@ -119,7 +119,7 @@
 	if writing {
 		return batch.Page{}, false
 	}
-	return j.progress.Commit(now)
+	return j.progress.NextPage(now)
 }
 
 // startItems starts items as long as servers have free slots.
