--- a/internal/core/batch/progress.go
+++ b/internal/core/batch/progress.go
@@ -210,8 +210,8 @@
 	return state.output
 }
 
-// Again queues an item again whose run was interrupted or refused; its output so far is kept.
-func (p *Progress) Again(id string) {
+// Requeue queues an item again whose run was interrupted or refused; its output so far is kept.
+func (p *Progress) Requeue(id string) {
 	state := p.items[id]
 	if state.phase != phaseRunning {
 		return
@@ -239,7 +239,7 @@
 		p.Lost(now, id)
 		return
 	}
-	p.Again(id)
+	p.Requeue(id)
 }
 
 // Completed records that the complete output of an item was received. It becomes the result unless it has to be
--- a/internal/core/batch/progress_rapid_test.go
+++ b/internal/core/batch/progress_rapid_test.go
@@ -101,7 +101,7 @@
 	case "cut":
 		if item, ok := progress.Next(); ok {
 			progress.Start(item.ID)
-			progress.Again(item.ID)
+			progress.Requeue(item.ID)
 		}
 	case "fail":
 		if item, ok := progress.Next(); ok {
--- a/internal/edge/batchjob/contradiction_test.go
+++ b/internal/edge/batchjob/contradiction_test.go
@@ -144,7 +144,7 @@
 			break
 		}
 		progress.Start(item.ID)
-		defer progress.Again(item.ID)
+		defer progress.Requeue(item.ID)
 	}
 	if item, waits := progress.Next(); waits {
 		progress.Start(item.ID).Append(batch.Event{Number: 1, Data: "text of " + item.ID}, 1)
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -113,9 +113,9 @@
 		progress.Lost(now, r.item.ID)
 	case outcomeUnfit:
 		progress.Restart(r.item.ID)
-		progress.Again(r.item.ID)
+		progress.Requeue(r.item.ID)
 	default:
-		progress.Again(r.item.ID)
+		progress.Requeue(r.item.ID)
 	}
 }
 
