--- a/internal/core/batch/progress.go
+++ b/internal/core/batch/progress.go
@@ -221,8 +221,8 @@
 	p.queue = slices.Insert(p.queue, 0, state)
 }
 
-// Restart discards the output of an item, so that no later attempt resumes from it.
-func (p *Progress) Restart(id string) {
+// DiscardOutput discards the output of an item, so that no later attempt resumes from it.
+func (p *Progress) DiscardOutput(id string) {
 	if state := p.items[id]; state.output != nil {
 		state.output = &Output{}
 	}
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -112,7 +112,7 @@
 	case outcomeImpossible:
 		progress.Lost(now, r.item.ID)
 	case outcomeUnfit:
-		progress.Restart(r.item.ID)
+		progress.DiscardOutput(r.item.ID)
 		progress.Requeue(r.item.ID)
 	default:
 		progress.Requeue(r.item.ID)
