--- a/internal/core/batch/progress.go
+++ b/internal/core/batch/progress.go
@@ -228,8 +228,8 @@
 	}
 }
 
-// Failed records a failed run of an item. The item is lost once it has failed as often as its route allows.
-func (p *Progress) Failed(now time.Time, id string) {
+// RecordFailure records a failed run of an item. The item is lost once it has failed as often as its route allows.
+func (p *Progress) RecordFailure(now time.Time, id string) {
 	state := p.items[id]
 	if state.phase != phaseRunning {
 		return
--- a/internal/core/batch/reward_test.go
+++ b/internal/core/batch/reward_test.go
@@ -154,7 +154,7 @@
 	startReward(p)
 	p.Unscored(start, "0a", 1, 4)
 	p.Start("0b")
-	p.Failed(start, "0b")
+	p.RecordFailure(start, "0b")
 	checkpoints := p.takeCheckpoints(maxPageBytes)
 	if len(checkpoints) != 2 || checkpoints[0].RewardFailures != 1 || checkpoints[1].Failures != 1 {
 		t.Errorf("%+v", checkpoints)
@@ -165,7 +165,7 @@
 	target := NewProgress(newScoredJob(1, 1), 2)
 	target.Resume(checkpoints)
 	target.Start("0b")
-	target.Failed(start, "0b")
+	target.RecordFailure(start, "0b")
 	if got := target.items["0b"].result.State; got != StateLost {
 		t.Errorf("item 0b is %q after two failures", got)
 	}
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -108,7 +108,7 @@
 	case outcomeCompleted:
 		progress.Completed(now, r.item.ID)
 	case outcomeFailed:
-		progress.Failed(now, r.item.ID)
+		progress.RecordFailure(now, r.item.ID)
 	case outcomeImpossible:
 		progress.Lost(now, r.item.ID)
 	case outcomeUnfit:
