--- a/internal/core/batch/partial_test.go
+++ b/internal/core/batch/partial_test.go
@@ -28,7 +28,7 @@
 	receiveEvents(source, "a", 30, 2)
 	receiveEvents(source, "b", 20, 1)
 	receiveEvents(source, "c", 10, 3)
-	source.Completed(time.Unix(1, 0), "c")
+	source.RecordCompletion(time.Unix(1, 0), "c")
 	partials := source.Partials()
 	if len(partials) != 2 {
 		t.Fatalf("%+v", partials)
@@ -117,7 +117,7 @@
 			for id, output := range running {
 				output.Append(Event{Number: output.LastEvent + 1, Data: "x"}, 1)
 				if output.LastEvent == events {
-					p.Completed(now, id)
+					p.RecordCompletion(now, id)
 					delete(running, id)
 				}
 			}
--- a/internal/core/batch/progress.go
+++ b/internal/core/batch/progress.go
@@ -242,9 +242,9 @@
 	p.Requeue(id)
 }
 
-// Completed records that the complete output of an item was received. It becomes the result unless it has to be
+// RecordCompletion records that the complete output of an item was received. It becomes the result unless it has to be
 // scored first.
-func (p *Progress) Completed(now time.Time, id string) {
+func (p *Progress) RecordCompletion(now time.Time, id string) {
 	state := p.items[id]
 	switch {
 	case state.phase != phaseRunning:
--- a/internal/core/batch/progress_rapid_test.go
+++ b/internal/core/batch/progress_rapid_test.go
@@ -96,7 +96,7 @@
 	case "run":
 		if item, ok := progress.Next(); ok {
 			progress.Start(item.ID).Append(Event{Number: 1, Data: item.ID}, 1)
-			progress.Completed(now, item.ID)
+			progress.RecordCompletion(now, item.ID)
 		}
 	case "cut":
 		if item, ok := progress.Next(); ok {
--- a/internal/core/batch/progress_test.go
+++ b/internal/core/batch/progress_test.go
@@ -28,7 +28,7 @@
 	if !output.Append(Event{Number: output.LastEvent + 1, Data: "x" + id}, 1) {
 		t.Fatalf("item %s: event not appended", id)
 	}
-	p.Completed(now, id)
+	p.RecordCompletion(now, id)
 }
 
 func itemIDs(results []Result) []string {
--- a/internal/edge/batchjob/contradiction_test.go
+++ b/internal/edge/batchjob/contradiction_test.go
@@ -148,7 +148,7 @@
 	}
 	if item, waits := progress.Next(); waits {
 		progress.Start(item.ID).Append(batch.Event{Number: 1, Data: "text of " + item.ID}, 1)
-		progress.Completed(now, item.ID)
+		progress.RecordCompletion(now, item.ID)
 	}
 }
 
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -106,7 +106,7 @@
 	progress := r.job.progress
 	switch result {
 	case outcomeCompleted:
-		progress.Completed(now, r.item.ID)
+		progress.RecordCompletion(now, r.item.ID)
 	case outcomeFailed:
 		progress.RecordFailure(now, r.item.ID)
 	case outcomeImpossible:
--- a/internal/edge/batchjob/run_test.go
+++ b/internal/edge/batchjob/run_test.go
@@ -15,7 +15,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.progress.Start(item).Append(batch.Event{Number: 1, Data: "text"}, 1)
-	j.progress.Completed(now, item)
+	j.progress.RecordCompletion(now, item)
 	page, ok := j.progress.Flush(now)
 	if !ok {
 		t.Fatal("nothing to write")
