--- a/internal/core/batch/progress.go
+++ b/internal/core/batch/progress.go
@@ -236,7 +236,7 @@
 	}
 	state.failures++
 	if state.failures >= max(1, p.job.MaxAttempts) {
-		p.Lost(now, id)
+		p.MarkLost(now, id)
 		return
 	}
 	p.Requeue(id)
@@ -261,8 +261,8 @@
 	})
 }
 
-// Lost marks an item as lost if it has no result yet.
-func (p *Progress) Lost(now time.Time, id string) {
+// MarkLost marks an item as lost if it has no result yet.
+func (p *Progress) MarkLost(now time.Time, id string) {
 	state := p.items[id]
 	if !state.unfinished() {
 		return
@@ -289,7 +289,7 @@
 		return
 	}
 	for id := range p.items {
-		p.Lost(now, id)
+		p.MarkLost(now, id)
 	}
 }
 
--- a/internal/core/batch/reward.go
+++ b/internal/core/batch/reward.go
@@ -56,7 +56,7 @@
 	}
 	state.rewardFailures += failures
 	if failures > 0 && state.rewardFailures >= max(1, maxAttempts) {
-		p.Lost(now, id)
+		p.MarkLost(now, id)
 		return
 	}
 	state.phase = phaseAwaitingScore
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -110,7 +110,7 @@
 	case outcomeFailed:
 		progress.RecordFailure(now, r.item.ID)
 	case outcomeImpossible:
-		progress.Lost(now, r.item.ID)
+		progress.MarkLost(now, r.item.ID)
 	case outcomeUnfit:
 		progress.DiscardOutput(r.item.ID)
 		progress.Requeue(r.item.ID)
