--- a/internal/core/batch/progress.go
+++ b/internal/core/batch/progress.go
@@ -283,8 +283,8 @@
 	}
 }
 
-// GiveUp marks all items without a result as lost once the job's time is over.
-func (p *Progress) GiveUp(now time.Time) {
+// Expire marks all items without a result as lost once the job's time is over.
+func (p *Progress) Expire(now time.Time) {
 	if now.Before(p.job.ExpiresAt()) {
 		return
 	}
--- a/internal/core/batch/progress_test.go
+++ b/internal/core/batch/progress_test.go
@@ -174,11 +174,11 @@
 func TestExpire(t *testing.T) {
 	p := NewProgress(newTestJob(1, 1), 1)
 	p.Start("0a")
-	p.GiveUp(start.Add(40*time.Second + maxClockSkew - time.Millisecond))
+	p.Expire(start.Add(40*time.Second + maxClockSkew - time.Millisecond))
 	if p.Waiting() != 1 || p.Running() != 1 {
 		t.Error("items were lost too early")
 	}
-	p.GiveUp(start.Add(40*time.Second + maxClockSkew))
+	p.Expire(start.Add(40*time.Second + maxClockSkew))
 	page, ok := p.NextPage(start.Add(40*time.Second + maxClockSkew))
 	if !ok || len(page.Results) != 2 || page.Results[0].State != StateLost {
 		t.Errorf("%v", page)
@@ -192,7 +192,7 @@
 	job := newTestJob(1, 1)
 	job.Accepted = start.Add(-clockStep)
 	p := NewProgress(job, 1)
-	p.GiveUp(start.Add(job.ItemTimeout - time.Millisecond).Add(clockStep))
+	p.Expire(start.Add(job.ItemTimeout - time.Millisecond).Add(clockStep))
 	if p.Waiting() != 2 {
 		t.Errorf("%d items waiting, want 2", p.Waiting())
 	}
--- a/internal/core/batch/reward_test.go
+++ b/internal/core/batch/reward_test.go
@@ -102,7 +102,7 @@
 		end  func(p *Progress)
 		want State
 	}{
-		{name: "lost", end: func(p *Progress) { p.GiveUp(start.Add(time.Hour)) }, want: StateLost},
+		{name: "lost", end: func(p *Progress) { p.Expire(start.Add(time.Hour)) }, want: StateLost},
 		{name: "published", end: func(p *Progress) {
 			p.ApplyPage(Page{Writer: 9, Results: []Result{{ID: "0a", State: StateCompleted, Text: "other", Score: "other's"}}})
 		}},
--- a/internal/edge/batchjob/run.go
+++ b/internal/edge/batchjob/run.go
@@ -115,7 +115,7 @@
 func (j *job) nextPage(now time.Time, writing bool) (batch.Page, bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.progress.GiveUp(now)
+	j.progress.Expire(now)
 	if writing {
 		return batch.Page{}, false
 	}
