--- a/internal/core/batch/progress_rapid_test.go
+++ b/internal/core/batch/progress_rapid_test.go
@@ -52,10 +52,10 @@
 // shown.
 func (p *process) show(t *rapid.T, log *pageLog) {
 	from := rapid.IntRange(0, len(log.shown)).Draw(t, "position")
-	results, ok := p.progress.Show(from, 1<<30, false)
+	results, ok := p.progress.ReadResults(from, 1<<30, false)
 	if !ok {
 		p.catchUp(log)
-		results, _ = p.progress.Show(from, 1<<30, true)
+		results, _ = p.progress.ReadResults(from, 1<<30, true)
 	}
 	// The results may be fewer than were shown, since a reader continues from their end. They may be empty only where
 	// nothing was shown.
--- a/internal/core/batch/read.go
+++ b/internal/core/batch/read.go
@@ -1,6 +1,6 @@
 package batch
 
-// Show returns the published results from a position on, limited like those of Results. It returns false if none is
+// ReadResults returns the published results from a position on, limited like those of Results. It returns false if none is
 // known there and the store must be asked first. Confirmed says that the store was asked after the read arrived and
 // had no page that isn't applied here.
 //
@@ -8,7 +8,7 @@
 // or was assigned it as well, while this process was paused, partitioned, or wrongly believed that it was the only
 // runner. A reader that was shown position 68 there would be told here that nothing is published at 67. No belief
 // about other processes proves that a page doesn't exist; only the store that holds the pages does.
-func (p *Progress) Show(from, maxBytes int, confirmed bool) ([]Result, bool) {
+func (p *Progress) ReadResults(from, maxBytes int, confirmed bool) ([]Result, bool) {
 	results := p.Results(from, maxBytes)
 	return results, len(results) > 0 || p.Complete() || confirmed
 }
--- a/internal/edge/batchjob/job.go
+++ b/internal/edge/batchjob/job.go
@@ -142,7 +142,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.lastUse = time.Now()
-	results, ok := j.progress.Show(from, maxBytes, !j.noNewPageAt.Before(received))
+	results, ok := j.progress.ReadResults(from, maxBytes, !j.noNewPageAt.Before(received))
 	return j.progress.Total(), results, ok
 }
 
