--- a/internal/core/batch/reward.go
+++ b/internal/core/batch/reward.go
@@ -39,8 +39,8 @@
 	return state.rewardFailures
 }
 
-// Scored records the score of an item's text.
-func (p *Progress) Scored(now time.Time, id, score string) {
+// RecordScore records the score of an item's text.
+func (p *Progress) RecordScore(now time.Time, id, score string) {
 	if state := p.items[id]; state.phase == phaseScoring {
 		p.recordCompleted(now, state, score)
 	}
--- a/internal/core/batch/reward_test.go
+++ b/internal/core/batch/reward_test.go
@@ -37,8 +37,8 @@
 	if _, ok := p.Flush(start.Add(time.Minute)); ok {
 		t.Error("a text without a score is written")
 	}
-	p.Scored(start, "0a", "sa")
-	p.Scored(start, "0b", "sb")
+	p.RecordScore(start, "0a", "sa")
+	p.RecordScore(start, "0b", "sb")
 	page, ok := p.NextPage(start)
 	want := []Result{
 		{ID: "0a", State: StateCompleted, Text: "x0a", Versions: []int{1}, Score: "sa"},
@@ -89,7 +89,7 @@
 	if got := startReward(p); got != "" {
 		t.Errorf("the reward call of item %s is sent after the end", got)
 	}
-	p.Scored(start, "0a", "s")
+	p.RecordScore(start, "0a", "s")
 	if _, ok := p.NextPage(start); ok {
 		t.Error("a page is written after the end")
 	}
@@ -113,7 +113,7 @@
 			startReward(p)
 			test.end(p)
 			before := p.items["0a"].result
-			p.Scored(start, "0a", "late")
+			p.RecordScore(start, "0a", "late")
 			if diff := cmp.Diff(before, p.items["0a"].result); diff != "" || before.State != test.want {
 				t.Errorf("%s %s", before.State, diff)
 			}
@@ -140,7 +140,7 @@
 	if got := target.items["0a"].rewardFailures; got != 3 {
 		t.Errorf("%d failures after the takeover, want 3", got)
 	}
-	target.Scored(start, "0a", "s")
+	target.RecordScore(start, "0a", "s")
 	if got := target.items["0a"].result; got.Text != "x0a" || got.Score != "s" {
 		t.Errorf("%+v", got)
 	}
--- a/internal/edge/batchjob/reward.go
+++ b/internal/edge/batchjob/reward.go
@@ -155,7 +155,7 @@
 // applyScore records the score of an item.
 func (j *job) applyScore(now time.Time, item, score string) {
 	j.mu.Lock()
-	j.progress.Scored(now, item, score)
+	j.progress.RecordScore(now, item, score)
 	j.mu.Unlock()
 	j.wake()
 }
