--- a/internal/core/batch/reward.go
+++ b/internal/core/batch/reward.go
@@ -46,10 +46,10 @@
 	}
 }
 
-// Unscored records that a reward call ended without a score, and how often servers failed it. The item is lost at
+// RecordUnscored records that a reward call ended without a score, and how often servers failed it. The item is lost at
 // once when its failures reach what its route allows, so that its group doesn't wait; otherwise the call is queued
 // again before those of other items.
-func (p *Progress) Unscored(now time.Time, id string, failures, maxAttempts int) {
+func (p *Progress) RecordUnscored(now time.Time, id string, failures, maxAttempts int) {
 	state := p.items[id]
 	if state.phase != phaseScoring {
 		return
--- a/internal/core/batch/reward_test.go
+++ b/internal/core/batch/reward_test.go
@@ -70,7 +70,7 @@
 				if got := startReward(p); got != "0a" {
 					t.Fatalf("reward call %d is for item %q", i, got)
 				}
-				p.Unscored(start, "0a", failures, maxAttempts)
+				p.RecordUnscored(start, "0a", failures, maxAttempts)
 			}
 			if lost := p.items["0a"].result.State == StateLost; lost != test.lost {
 				t.Errorf("lost: %v", lost)
@@ -127,7 +127,7 @@
 	source := NewProgress(newScoredJob(1, 1), 1)
 	finishItem(t, source, start, "0a")
 	startReward(source)
-	source.Unscored(start, "0a", 3, 4)
+	source.RecordUnscored(start, "0a", 3, 4)
 	startReward(source)
 	target := NewProgress(newScoredJob(1, 1), 2)
 	target.Resume(source.Partials())
@@ -152,7 +152,7 @@
 	p := NewProgress(newScoredJob(1, 1), 1)
 	finishItem(t, p, start, "0a")
 	startReward(p)
-	p.Unscored(start, "0a", 1, 4)
+	p.RecordUnscored(start, "0a", 1, 4)
 	p.Start("0b")
 	p.RecordFailure(start, "0b")
 	checkpoints := p.takeCheckpoints(maxPageBytes)
--- a/internal/edge/batchjob/reward.go
+++ b/internal/edge/batchjob/reward.go
@@ -163,7 +163,7 @@
 // applyNoScore records that a reward call brought no score.
 func (j *job) applyNoScore(now time.Time, item string, failures, maxAttempts int) {
 	j.mu.Lock()
-	j.progress.Unscored(now, item, failures, maxAttempts)
+	j.progress.RecordUnscored(now, item, failures, maxAttempts)
 	j.mu.Unlock()
 	j.wake()
 }
