--- a/internal/core/batch/reward.go
+++ b/internal/core/batch/reward.go
@@ -63,5 +63,5 @@
 	p.rewardQueue = slices.Insert(p.rewardQueue, 0, state)
 }
 
-// Scoring returns the number of items with a complete text and no score.
-func (p *Progress) Scoring() int { return p.count(phaseAwaitingScore) + p.count(phaseScoring) }
+// AwaitingScore returns the number of items with a complete text and no score.
+func (p *Progress) AwaitingScore() int { return p.count(phaseAwaitingScore) + p.count(phaseScoring) }
--- a/internal/edge/batchjob/state.go
+++ b/internal/edge/batchjob/state.go
@@ -48,7 +48,7 @@
 		Listed:  j.progress.Published(),
 		Running: j.progress.Running(),
 		Waiting: j.progress.Waiting(),
-		Scoring: j.progress.Scoring(),
+		Scoring: j.progress.AwaitingScore(),
 		Pages:   j.progress.Pages(),
 	}
 }
