--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -86,9 +86,9 @@
 	return max(s.server.Models[model], s.versions[model])
 }
 
-// Book tracks the servers of all pools and the requests at each, and chooses servers for requests. It is safe for
+// Balancer tracks the servers of all pools and the requests at each, and chooses servers for requests. It is safe for
 // concurrent use.
-type Book struct {
+type Balancer struct {
 	host    string
 	zone    string
 	mu      sync.Mutex
@@ -101,8 +101,8 @@
 }
 
 // NewBook returns a Book without servers, for the gateway at the host in the availability zone.
-func NewBook(host, zone string) *Book {
-	return &Book{
+func NewBook(host, zone string) *Balancer {
+	return &Balancer{
 		host: host,
 		zone: zone,
 		// The tracker considers all servers, since none has to be probed.
@@ -113,20 +113,20 @@
 }
 
 // Changed returns a channel that is closed when the list of servers is replaced or a slot may have become free.
-func (b *Book) Changed() <-chan struct{} {
+func (b *Balancer) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
 // notifyChanged wakes those who wait on Changed. The caller holds the lock.
-func (b *Book) notifyChanged() {
+func (b *Balancer) notifyChanged() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
 // Sync replaces the list of servers. What is known of a server is kept as long as it is the same run.
-func (b *Book) Sync(servers []Server) {
+func (b *Balancer) Sync(servers []Server) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	next := make(map[string]*serverState, len(servers))
@@ -152,7 +152,7 @@
 }
 
 // Servers returns all servers, sorted by ID.
-func (b *Book) Servers() []Server {
+func (b *Balancer) Servers() []Server {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	servers := make([]Server, 0, len(b.servers))
@@ -163,7 +163,7 @@
 }
 
 // Others records how many requests other gateways run at each of the given servers; other servers keep their counts.
-func (b *Book) Others(running map[string]int) {
+func (b *Balancer) Others(running map[string]int) {
 	if len(running) == 0 {
 		return
 	}
@@ -178,17 +178,17 @@
 }
 
 // Running returns the number of this gateway's requests at each server that has any.
-func (b *Book) Running() map[string]int {
+func (b *Balancer) Running() map[string]int {
 	return b.nonZeroCounts(func(s *serverState) int { return s.running })
 }
 
 // RunningAnywhere returns the known number of requests of all gateways at each server that has any.
-func (b *Book) RunningAnywhere() map[string]int {
+func (b *Balancer) RunningAnywhere() map[string]int {
 	return b.nonZeroCounts(func(s *serverState) int { return s.running + s.peerRunning })
 }
 
 // nonZeroCounts returns the count of each server, without those that are 0.
-func (b *Book) nonZeroCounts(counter func(*serverState) int) map[string]int {
+func (b *Balancer) nonZeroCounts(counter func(*serverState) int) map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	counts := map[string]int{}
@@ -201,7 +201,7 @@
 }
 
 // Release ends the count of a request that Acquire began.
-func (b *Book) Release(id string) {
+func (b *Balancer) Release(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if state, ok := b.servers[id]; ok {
@@ -211,7 +211,7 @@
 }
 
 // Reported records the number of requests that the server reported.
-func (b *Book) Reported(now time.Time, id string, requests int) {
+func (b *Balancer) Reported(now time.Time, id string, requests int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if state, ok := b.servers[id]; ok {
@@ -221,17 +221,17 @@
 }
 
 // Served records the time that a unit of work took at the server: a whole call, or one event of a stream.
-func (b *Book) Served(now time.Time, id string, took time.Duration) {
+func (b *Balancer) Served(now time.Time, id string, took time.Duration) {
 	b.tracker.ObserveRequest(now, id, took, false)
 }
 
 // Failed records that the server failed a request.
-func (b *Book) Failed(now time.Time, id string) {
+func (b *Balancer) Failed(now time.Time, id string) {
 	b.tracker.ObserveRequest(now, id, 0, true)
 }
 
 // Refused records that the server had no free slot. It is ignored while the server is backed off already.
-func (b *Book) Refused(now time.Time, id string) {
+func (b *Balancer) Refused(now time.Time, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	state, ok := b.servers[id]
@@ -243,7 +243,7 @@
 }
 
 // Accepted records that the server accepted a request, which ends a series of refusals.
-func (b *Book) Accepted(id string) {
+func (b *Balancer) Accepted(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if state, ok := b.servers[id]; ok {
@@ -252,7 +252,7 @@
 }
 
 // Unreachable records that a connection to the server could not be made or broke.
-func (b *Book) Unreachable(now time.Time, id string) {
+func (b *Balancer) Unreachable(now time.Time, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if state, ok := b.servers[id]; ok {
@@ -261,7 +261,7 @@
 }
 
 // Shows records the weight version that an answer of the server showed.
-func (b *Book) Shows(id, model string, version int) {
+func (b *Balancer) Shows(id, model string, version int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if state, ok := b.servers[id]; ok {
@@ -270,7 +270,7 @@
 }
 
 // Pace records the mean time between events of a stream at the server, measured over several events.
-func (b *Book) Pace(id string, interval time.Duration) {
+func (b *Balancer) Pace(id string, interval time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	state, ok := b.servers[id]
--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -17,14 +17,14 @@
 	}
 }
 
-func newTestBalancer() *Book {
+func newTestBalancer() *Balancer {
 	balancer := NewBook("self", "near")
 	balancer.Sync(servers())
 	return balancer
 }
 
 // acquire returns the ID of the chosen server, or an empty string if there is none.
-func acquire(balancer *Book, need Need) string {
+func acquire(balancer *Balancer, need Need) string {
 	server, ok := balancer.Acquire(now, need)
 	if !ok {
 		return ""
@@ -36,24 +36,24 @@
 	desk := Need{Pool: "desk"}
 	for _, test := range []struct {
 		name  string
-		setup func(*Book)
+		setup func(*Balancer)
 		need  Need
 		want  string
 	}{
 		{name: "server in the same zone among equals", need: desk, want: "b"},
-		{name: "less loaded server in another zone", setup: func(b *Book) { acquire(b, desk) }, need: desk, want: "a"},
+		{name: "less loaded server in another zone", setup: func(b *Balancer) { acquire(b, desk) }, need: desk, want: "a"},
 		{name: "excluded server", need: Need{Pool: "desk", Avoid: map[string]bool{"b": true}}, want: "a"},
 		{name: "pool without servers", need: Need{Pool: "none"}},
-		{name: "server that just refused is last", setup: func(b *Book) { b.Refused(now, "b") }, need: desk, want: "a"},
-		{name: "unreachable server is last", setup: func(b *Book) { b.Unreachable(now, "b") }, need: desk, want: "a"},
-		{name: "reported load", setup: func(b *Book) { b.Reported(now, "b", 2) }, need: desk, want: "a"},
-		{name: "outdated load report", setup: func(b *Book) { b.Reported(now.Add(-time.Minute), "b", 2) }, need: desk, want: "b"},
-		{name: "requests of other gateways", setup: func(b *Book) { b.Others(map[string]int{"b": 2}) }, need: desk, want: "a"},
+		{name: "server that just refused is last", setup: func(b *Balancer) { b.Refused(now, "b") }, need: desk, want: "a"},
+		{name: "unreachable server is last", setup: func(b *Balancer) { b.Unreachable(now, "b") }, need: desk, want: "a"},
+		{name: "reported load", setup: func(b *Balancer) { b.Reported(now, "b", 2) }, need: desk, want: "a"},
+		{name: "outdated load report", setup: func(b *Balancer) { b.Reported(now.Add(-time.Minute), "b", 2) }, need: desk, want: "b"},
+		{name: "requests of other gateways", setup: func(b *Balancer) { b.Others(map[string]int{"b": 2}) }, need: desk, want: "a"},
 		{name: "new enough weights", need: Need{Pool: "engines", Model: "m", MinVersion: 4}, want: "e2"},
-		{name: "weights shown by an answer", setup: func(b *Book) { b.Shows("e1", "m", 4) }, need: Need{Pool: "engines", Model: "m", MinVersion: 4}, want: "e1"},
+		{name: "weights shown by an answer", setup: func(b *Balancer) { b.Shows("e1", "m", 4) }, need: Need{Pool: "engines", Model: "m", MinVersion: 4}, want: "e1"},
 		{name: "weights that no server has", need: Need{Pool: "engines", Model: "m", MinVersion: 5}},
-		{name: "work that can wait avoids full servers", setup: func(b *Book) { b.Others(map[string]int{"e1": 2, "e2": 2}) }, need: Need{Pool: "engines", Model: "m", Within: true}},
-		{name: "work that can wait avoids servers that refused", setup: func(b *Book) { b.Refused(now, "e1") }, need: Need{Pool: "engines", Model: "m", Within: true}, want: "e2"},
+		{name: "work that can wait avoids full servers", setup: func(b *Balancer) { b.Others(map[string]int{"e1": 2, "e2": 2}) }, need: Need{Pool: "engines", Model: "m", Within: true}},
+		{name: "work that can wait avoids servers that refused", setup: func(b *Balancer) { b.Refused(now, "e1") }, need: Need{Pool: "engines", Model: "m", Within: true}, want: "e2"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			balancer := newTestBalancer()
--- a/internal/core/backend/choose.go
+++ b/internal/core/backend/choose.go
@@ -10,7 +10,7 @@
 
 // Acquire chooses a server for a request and counts the request there until Release. It returns false if no server
 // may take it.
-func (b *Book) Acquire(now time.Time, need Need) (Server, bool) {
+func (b *Balancer) Acquire(now time.Time, need Need) (Server, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	candidates := b.candidates(now, need)
@@ -30,7 +30,7 @@
 
 // candidates returns the servers that may run the request, without those that the tracker excludes as slow or
 // failing.
-func (b *Book) candidates(now time.Time, need Need) []*serverState {
+func (b *Balancer) candidates(now time.Time, need Need) []*serverState {
 	var available []placement.Server
 	considered := 0
 	for _, state := range b.pools[need.Pool] {
@@ -70,7 +70,7 @@
 }
 
 // backoffRank orders servers that refused recently or could not be reached after the others.
-func (b *Book) backoffRank(now time.Time, state *serverState) int {
+func (b *Balancer) backoffRank(now time.Time, state *serverState) int {
 	if now.Before(state.backoffUntil) {
 		return 1
 	}
@@ -79,7 +79,7 @@
 
 // utilization returns the share of the server's slots that is known to be in use, plus crossZonePenalty if the server
 // is in another availability zone.
-func (b *Book) utilization(now time.Time, state *serverState) float64 {
+func (b *Balancer) utilization(now time.Time, state *serverState) float64 {
 	requests := state.running + state.peerRunning
 	if now.Sub(state.reportedAt) < loadReportTTL {
 		requests = max(requests, state.reportedLoad)
@@ -96,7 +96,7 @@
 //
 // An engine that becomes slow keeps what it runs. The longest of its items would take four times as long as elsewhere
 // and determine the duration of their step. A move only costs processing the prompt again, some milliseconds.
-func (b *Book) Moves(id string, interval time.Duration) bool {
+func (b *Balancer) Moves(id string, interval time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	current, ok := b.servers[id]
--- a/internal/core/backend/subset_test.go
+++ b/internal/core/backend/subset_test.go
@@ -7,7 +7,7 @@
 )
 
 // newLargePool returns the state of a gateway with one pool of that many engines, each with twelve slots.
-func newLargePool(host string, engines int) *Book {
+func newLargePool(host string, engines int) *Balancer {
 	balancer := NewBook(host, "near")
 	var list []Server
 	for i := range engines {
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -261,7 +261,7 @@
 // weights stops a stream for a second; both look like slow servers, and an entry would move hundreds of streams at once. A span evens out
 // the first, and two slow spans in a row are required because of the second.
 type paceMonitor struct {
-	book   *backend.Book
+	book   *backend.Balancer
 	server string
 	events int
 	// spanStart is when the span began, slowSpans how many spans in a row were slow.
--- a/internal/edge/batchjob/manager.go
+++ b/internal/edge/batchjob/manager.go
@@ -77,7 +77,7 @@
 type Manager struct {
 	ctx     context.Context
 	store   Store
-	book    *backend.Book
+	book    *backend.Balancer
 	servers *exchange.Client
 	calls   *call.Sender
 	route   func(host, path string) (routing.Route, bool)
@@ -106,7 +106,7 @@
 // Deps are the dependencies of a manager.
 type Deps struct {
 	Store   Store
-	Book    *backend.Book
+	Book    *backend.Balancer
 	Servers *exchange.Client
 	// Calls sends reward calls, and Route finds the route of one in the active configuration.
 	Calls   *call.Sender
--- a/internal/edge/call/call.go
+++ b/internal/edge/call/call.go
@@ -59,13 +59,13 @@
 
 // Sender sends requests to backend servers. It is safe for concurrent use.
 type Sender struct {
-	book    *backend.Book
+	book    *backend.Balancer
 	servers *exchange.Client
 	log     zerolog.Logger
 }
 
 // NewSender returns a sender over the connections of the client that learns into the book.
-func NewSender(book *backend.Book, servers *exchange.Client, log zerolog.Logger) *Sender {
+func NewSender(book *backend.Balancer, servers *exchange.Client, log zerolog.Logger) *Sender {
 	return &Sender{book: book, servers: servers, log: log}
 }
 
--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -45,7 +45,7 @@
 	// Engines returns a carrier to a backend server.
 	Engines func(backend.Server) store.Carrier
 	View    *view.View
-	Book    *backend.Book
+	Book    *backend.Balancer
 	Ledger  *usage.Ledger
 	// Sweep removes what nobody may ask for any more; SweepPause is how often.
 	Sweep      func(ctx context.Context, now time.Time) error
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -68,7 +68,7 @@
 	view     *view.View
 	follower *view.Follower
 	store    *store.Store
-	book     *backend.Book
+	book     *backend.Balancer
 	calls    *call.Sender
 	ledger   *usage.Ledger
 	jobs     *batchjob.Manager
