--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -100,8 +100,8 @@
 	changed chan struct{}
 }
 
-// NewBook returns a Book without servers, for the gateway at the host in the availability zone.
-func NewBook(host, zone string) *Balancer {
+// NewBalancer returns a Book without servers, for the gateway at the host in the availability zone.
+func NewBalancer(host, zone string) *Balancer {
 	return &Balancer{
 		host: host,
 		zone: zone,
--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -18,7 +18,7 @@
 }
 
 func newTestBalancer() *Balancer {
-	balancer := NewBook("self", "near")
+	balancer := NewBalancer("self", "near")
 	balancer.Sync(servers())
 	return balancer
 }
@@ -140,7 +140,7 @@
 // Two of nine engines become four times slower while they run the longest items of a step. Guards against streams
 // that stay there: the step would take as long as its items do on the slow engines.
 func TestShouldMove(t *testing.T) {
-	balancer := NewBook("self", "near")
+	balancer := NewBalancer("self", "near")
 	var list []Server
 	for _, id := range []string{"a", "b", "c", "d"} {
 		list = append(list, Server{ID: id, Pool: "p", Slots: 12, Models: map[string]int{"m": 1}})
--- a/internal/core/backend/subset_test.go
+++ b/internal/core/backend/subset_test.go
@@ -8,7 +8,7 @@
 
 // newLargePool returns the state of a gateway with one pool of that many engines, each with twelve slots.
 func newLargePool(host string, engines int) *Balancer {
-	balancer := NewBook(host, "near")
+	balancer := NewBalancer(host, "near")
 	var list []Server
 	for i := range engines {
 		list = append(list, Server{ID: fmt.Sprintf("engine-%04d", i), Pool: "p", AvailabilityZone: "near", Slots: 12, Started: now, Models: map[string]int{"m": i % 2}})
--- a/internal/edge/batchjob/connected_test.go
+++ b/internal/edge/batchjob/connected_test.go
@@ -53,7 +53,7 @@
 		}
 		managers = append(managers, NewManager(ctx, Deps{
 			Store:   countingStore{storeClient: store.client(), mu: &mu, reads: reads},
-			Book:    backend.NewBook(testHostID(i), "north-a"),
+			Book:    backend.NewBalancer(testHostID(i), "north-a"),
 			Peers:   peer.NewClient(ctx, []byte(testSecret)),
 			Members: fakeMembers{self: testHostID(i), others: others},
 			Outage:  func(time.Time) bool { return false },
--- a/internal/edge/batchjob/fakes_test.go
+++ b/internal/edge/batchjob/fakes_test.go
@@ -172,7 +172,7 @@
 func newTestManager(ctx context.Context, store Store, members Members) *Manager {
 	return NewManager(ctx, Deps{
 		Store:   store,
-		Book:    backend.NewBook("self", "north-a"),
+		Book:    backend.NewBalancer("self", "north-a"),
 		Peers:   peer.NewClient(ctx, []byte(testSecret)),
 		Members: members,
 		Outage:  func(time.Time) bool { return false },
--- a/internal/edge/batchjob/item_test.go
+++ b/internal/edge/batchjob/item_test.go
@@ -9,7 +9,7 @@
 
 // newPacedBook returns a book of four servers, three of them with a usual pace of 30 ms an event.
 func newPacedBook() *backend.Balancer {
-	book := backend.NewBook("self", "near")
+	book := backend.NewBalancer("self", "near")
 	var servers []backend.Server
 	for _, id := range []string{"a", "b", "c", "d"} {
 		servers = append(servers, backend.Server{ID: id, Pool: "p", Slots: 6})
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -126,7 +126,7 @@
 	metrics.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	options = append(options, peer.WithHeartbeat(peerHeartbeat, peerTimeout))
 	g.client = peer.NewClient(ctx, []byte(g.set.PeerSecret), options...)
-	g.book = backend.NewBook(g.set.HostID, g.set.AvailabilityZone)
+	g.book = backend.NewBalancer(g.set.HostID, g.set.AvailabilityZone)
 	g.ledger = usage.NewLedger()
 	g.view = view.New(g.log, func(s *view.Snapshot) { g.book.Sync(s.Servers) })
 	g.news = newNews(g, incarnation)
--- a/internal/program/process/news_test.go
+++ b/internal/program/process/news_test.go
@@ -13,7 +13,7 @@
 )
 
 func newTestNews(incarnation uint64) *news {
-	book := backend.NewBook("self", "north-a")
+	book := backend.NewBalancer("self", "north-a")
 	book.Sync([]backend.Server{{ID: "e1", Pool: "engines"}, {ID: "e2", Pool: "engines"}})
 	n := newNews(&Gateway{
 		ledger: usage.NewLedger(),
