--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -46,8 +46,8 @@
 	intervalWeight = 0.2
 )
 
-// Need describes what a request requires of its server.
-type Need struct {
+// Requirements describes what a request requires of its server.
+type Requirements struct {
 	Pool string
 	// Model and MinVersion are set for engines: the server must hold that version of the model or a newer one.
 	Model      string
--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -24,7 +24,7 @@
 }
 
 // acquire returns the ID of the chosen server, or an empty string if there is none.
-func acquire(balancer *Balancer, need Need) string {
+func acquire(balancer *Balancer, need Requirements) string {
 	server, ok := balancer.Acquire(now, need)
 	if !ok {
 		return ""
@@ -33,27 +33,27 @@
 }
 
 func TestAcquire(t *testing.T) {
-	desk := Need{Pool: "desk"}
+	desk := Requirements{Pool: "desk"}
 	for _, test := range []struct {
 		name  string
 		setup func(*Balancer)
-		need  Need
+		need  Requirements
 		want  string
 	}{
 		{name: "server in the same zone among equals", need: desk, want: "b"},
 		{name: "less loaded server in another zone", setup: func(b *Balancer) { acquire(b, desk) }, need: desk, want: "a"},
-		{name: "excluded server", need: Need{Pool: "desk", Avoid: map[string]bool{"b": true}}, want: "a"},
-		{name: "pool without servers", need: Need{Pool: "none"}},
+		{name: "excluded server", need: Requirements{Pool: "desk", Avoid: map[string]bool{"b": true}}, want: "a"},
+		{name: "pool without servers", need: Requirements{Pool: "none"}},
 		{name: "server that just refused is last", setup: func(b *Balancer) { b.Refused(now, "b") }, need: desk, want: "a"},
 		{name: "unreachable server is last", setup: func(b *Balancer) { b.Unreachable(now, "b") }, need: desk, want: "a"},
 		{name: "reported load", setup: func(b *Balancer) { b.Reported(now, "b", 2) }, need: desk, want: "a"},
 		{name: "outdated load report", setup: func(b *Balancer) { b.Reported(now.Add(-time.Minute), "b", 2) }, need: desk, want: "b"},
 		{name: "requests of other gateways", setup: func(b *Balancer) { b.Others(map[string]int{"b": 2}) }, need: desk, want: "a"},
-		{name: "new enough weights", need: Need{Pool: "engines", Model: "m", MinVersion: 4}, want: "e2"},
-		{name: "weights shown by an answer", setup: func(b *Balancer) { b.Shows("e1", "m", 4) }, need: Need{Pool: "engines", Model: "m", MinVersion: 4}, want: "e1"},
-		{name: "weights that no server has", need: Need{Pool: "engines", Model: "m", MinVersion: 5}},
-		{name: "work that can wait avoids full servers", setup: func(b *Balancer) { b.Others(map[string]int{"e1": 2, "e2": 2}) }, need: Need{Pool: "engines", Model: "m", Within: true}},
-		{name: "work that can wait avoids servers that refused", setup: func(b *Balancer) { b.Refused(now, "e1") }, need: Need{Pool: "engines", Model: "m", Within: true}, want: "e2"},
+		{name: "new enough weights", need: Requirements{Pool: "engines", Model: "m", MinVersion: 4}, want: "e2"},
+		{name: "weights shown by an answer", setup: func(b *Balancer) { b.Shows("e1", "m", 4) }, need: Requirements{Pool: "engines", Model: "m", MinVersion: 4}, want: "e1"},
+		{name: "weights that no server has", need: Requirements{Pool: "engines", Model: "m", MinVersion: 5}},
+		{name: "work that can wait avoids full servers", setup: func(b *Balancer) { b.Others(map[string]int{"e1": 2, "e2": 2}) }, need: Requirements{Pool: "engines", Model: "m", Within: true}},
+		{name: "work that can wait avoids servers that refused", setup: func(b *Balancer) { b.Refused(now, "e1") }, need: Requirements{Pool: "engines", Model: "m", Within: true}, want: "e2"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			balancer := newTestBalancer()
@@ -74,7 +74,7 @@
 		list[i].Draining = list[i].ID != "c"
 	}
 	balancer.Sync(list)
-	if got := acquire(balancer, Need{Pool: "desk"}); got != "c" {
+	if got := acquire(balancer, Requirements{Pool: "desk"}); got != "c" {
 		t.Errorf("got %q", got)
 	}
 }
@@ -87,7 +87,7 @@
 	list := servers()
 	list[3].Started = now.Add(time.Second)
 	balancer.Sync(list)
-	if got := acquire(balancer, Need{Pool: "engines", Model: "m", MinVersion: 9}); got != "" {
+	if got := acquire(balancer, Requirements{Pool: "engines", Model: "m", MinVersion: 9}); got != "" {
 		t.Errorf("got %q", got)
 	}
 }
@@ -97,7 +97,7 @@
 // reset it.
 func TestRefusalBackoffGrows(t *testing.T) {
 	balancer := newTestBalancer()
-	need := Need{Pool: "engines", Model: "m", MinVersion: 4, Within: true}
+	need := Requirements{Pool: "engines", Model: "m", MinVersion: 4, Within: true}
 	at := now
 	for _, backoff := range []time.Duration{minRefusalBackoff, 2 * minRefusalBackoff, 4 * minRefusalBackoff, maxRefusalBackoff} {
 		balancer.Refused(at, "e2")
@@ -119,7 +119,7 @@
 
 func TestReleaseFreesASlot(t *testing.T) {
 	balancer := newTestBalancer()
-	need := Need{Pool: "engines", Model: "m", MinVersion: 4, Within: true}
+	need := Requirements{Pool: "engines", Model: "m", MinVersion: 4, Within: true}
 	acquire(balancer, need)
 	acquire(balancer, need)
 	if got := acquire(balancer, need); got != "" {
--- a/internal/core/backend/choose.go
+++ b/internal/core/backend/choose.go
@@ -10,7 +10,7 @@
 
 // Acquire chooses a server for a request and counts the request there until Release. It returns false if no server
 // may take it.
-func (b *Balancer) Acquire(now time.Time, need Need) (Server, bool) {
+func (b *Balancer) Acquire(now time.Time, need Requirements) (Server, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	candidates := b.candidates(now, need)
@@ -30,7 +30,7 @@
 
 // candidates returns the servers that may run the request, without those that the tracker excludes as slow or
 // failing.
-func (b *Balancer) candidates(now time.Time, need Need) []*serverState {
+func (b *Balancer) candidates(now time.Time, need Requirements) []*serverState {
 	var available []placement.Server
 	considered := 0
 	for _, state := range b.pools[need.Pool] {
@@ -54,7 +54,7 @@
 }
 
 // canRun reports whether the server can run the request at all.
-func canRun(state *serverState, need Need) bool {
+func canRun(state *serverState, need Requirements) bool {
 	if state.server.Draining || need.Avoid[state.server.ID] {
 		return false
 	}
@@ -62,7 +62,7 @@
 }
 
 // isAvailable reports whether the request may be sent to the server now. Only work that can wait is held back.
-func isAvailable(now time.Time, state *serverState, need Need) bool {
+func isAvailable(now time.Time, state *serverState, need Requirements) bool {
 	if !need.Within {
 		return true
 	}
--- a/internal/core/backend/spare_test.go
+++ b/internal/core/backend/spare_test.go
@@ -5,7 +5,7 @@
 // Guards against callers who find all slots of a pool taken by work that can wait.
 func TestReservedSlots(t *testing.T) {
 	balancer := newTestBalancer()
-	rewards := Need{Pool: "desk", Within: true, Spare: 1}
+	rewards := Requirements{Pool: "desk", Within: true, Spare: 1}
 	for range 3 {
 		if got := acquire(balancer, rewards); got == "" {
 			t.Fatal("refused while slots are free")
@@ -15,7 +15,7 @@
 		t.Errorf("took a reserved slot of %s", got)
 	}
 	for range 3 {
-		if got := acquire(balancer, Need{Pool: "desk"}); got == "" {
+		if got := acquire(balancer, Requirements{Pool: "desk"}); got == "" {
 			t.Error("a caller was refused")
 		}
 	}
