--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -52,9 +52,9 @@
 	// Model and MinVersion are set for engines: the server must hold that version of the model or a newer one.
 	Model      string
 	MinVersion int
-	// Within is set for work that can wait. It isn't sent to servers whose slots are all taken by the known requests
+	// Deferrable is set for work that can wait. It isn't sent to servers whose slots are all taken by the known requests
 	// of all gateways, or that refused recently.
-	Within bool
+	Deferrable bool
 	// Spare is the number of slots of each server that work that can wait has to leave free for other requests.
 	Spare int
 	// Avoid holds the IDs of servers that must not get this request again.
--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -52,8 +52,8 @@
 		{name: "new enough weights", need: Requirements{Pool: "engines", Model: "m", MinVersion: 4}, want: "e2"},
 		{name: "weights shown by an answer", setup: func(b *Balancer) { b.Shows("e1", "m", 4) }, need: Requirements{Pool: "engines", Model: "m", MinVersion: 4}, want: "e1"},
 		{name: "weights that no server has", need: Requirements{Pool: "engines", Model: "m", MinVersion: 5}},
-		{name: "work that can wait avoids full servers", setup: func(b *Balancer) { b.Others(map[string]int{"e1": 2, "e2": 2}) }, need: Requirements{Pool: "engines", Model: "m", Within: true}},
-		{name: "work that can wait avoids servers that refused", setup: func(b *Balancer) { b.Refused(now, "e1") }, need: Requirements{Pool: "engines", Model: "m", Within: true}, want: "e2"},
+		{name: "work that can wait avoids full servers", setup: func(b *Balancer) { b.Others(map[string]int{"e1": 2, "e2": 2}) }, need: Requirements{Pool: "engines", Model: "m", Deferrable: true}},
+		{name: "work that can wait avoids servers that refused", setup: func(b *Balancer) { b.Refused(now, "e1") }, need: Requirements{Pool: "engines", Model: "m", Deferrable: true}, want: "e2"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			balancer := newTestBalancer()
@@ -97,7 +97,7 @@
 // reset it.
 func TestRefusalBackoffGrows(t *testing.T) {
 	balancer := newTestBalancer()
-	need := Requirements{Pool: "engines", Model: "m", MinVersion: 4, Within: true}
+	need := Requirements{Pool: "engines", Model: "m", MinVersion: 4, Deferrable: true}
 	at := now
 	for _, backoff := range []time.Duration{minRefusalBackoff, 2 * minRefusalBackoff, 4 * minRefusalBackoff, maxRefusalBackoff} {
 		balancer.Refused(at, "e2")
@@ -119,7 +119,7 @@
 
 func TestReleaseFreesASlot(t *testing.T) {
 	balancer := newTestBalancer()
-	need := Requirements{Pool: "engines", Model: "m", MinVersion: 4, Within: true}
+	need := Requirements{Pool: "engines", Model: "m", MinVersion: 4, Deferrable: true}
 	acquire(balancer, need)
 	acquire(balancer, need)
 	if got := acquire(balancer, need); got != "" {
--- a/internal/core/backend/choose.go
+++ b/internal/core/backend/choose.go
@@ -63,7 +63,7 @@
 
 // isAvailable reports whether the request may be sent to the server now. Only work that can wait is held back.
 func isAvailable(now time.Time, state *serverState, need Requirements) bool {
-	if !need.Within {
+	if !need.Deferrable {
 		return true
 	}
 	return !now.Before(state.backoffUntil) && state.running+state.peerRunning < max(1, state.server.Slots-need.Spare)
--- a/internal/core/backend/subset_test.go
+++ b/internal/core/backend/subset_test.go
@@ -21,7 +21,7 @@
 // each engine for every request. Guards against that: a gateway must stay with a few engines while these have free
 // slots, use more when they are full, and not use the same ones as other gateways.
 func TestGatewayUsesASubsetOfServers(t *testing.T) {
-	need := Requirements{Pool: "p", Model: "m", MinVersion: 1, Within: true}
+	need := Requirements{Pool: "p", Model: "m", MinVersion: 1, Deferrable: true}
 	used := func(host string, requests int) map[string]bool {
 		balancer := newLargePool(host, 2700)
 		servers := map[string]bool{}
@@ -59,7 +59,7 @@
 // the gateway's order.
 func TestLastFreeSlotIsFound(t *testing.T) {
 	balancer := newLargePool("entry-1", 200)
-	need := Requirements{Pool: "p", Model: "m", Within: true}
+	need := Requirements{Pool: "p", Model: "m", Deferrable: true}
 	for range 200 * 12 {
 		if _, ok := balancer.Acquire(now, need); !ok {
 			t.Fatal("refused although a slot is free")
@@ -74,7 +74,7 @@
 	for _, engines := range []int{9, 45, 2700} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
 			balancer := newLargePool("entry-1", engines)
-			need := Requirements{Pool: "p", Model: "m", Within: true}
+			need := Requirements{Pool: "p", Model: "m", Deferrable: true}
 			at := now
 			for b.Loop() {
 				at = at.Add(time.Millisecond)
