--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -55,8 +55,8 @@
 	// Deferrable is set for work that can wait. It isn't sent to servers whose slots are all taken by the known requests
 	// of all gateways, or that refused recently.
 	Deferrable bool
-	// Spare is the number of slots of each server that work that can wait has to leave free for other requests.
-	Spare int
+	// ReservedSlots is the number of slots of each server that work that can wait has to leave free for other requests.
+	ReservedSlots int
 	// Avoid holds the IDs of servers that must not get this request again.
 	Avoid map[string]bool
 }
--- a/internal/core/backend/choose.go
+++ b/internal/core/backend/choose.go
@@ -66,7 +66,7 @@
 	if !need.Deferrable {
 		return true
 	}
-	return !now.Before(state.backoffUntil) && state.running+state.peerRunning < max(1, state.server.Slots-need.Spare)
+	return !now.Before(state.backoffUntil) && state.running+state.peerRunning < max(1, state.server.Slots-need.ReservedSlots)
 }
 
 // backoffRank orders servers that refused recently or could not be reached after the others.
--- a/internal/core/backend/spare_test.go
+++ b/internal/core/backend/spare_test.go
@@ -5,7 +5,7 @@
 // Guards against callers who find all slots of a pool taken by work that can wait.
 func TestReservedSlots(t *testing.T) {
 	balancer := newTestBalancer()
-	rewards := Requirements{Pool: "desk", Deferrable: true, Spare: 1}
+	rewards := Requirements{Pool: "desk", Deferrable: true, ReservedSlots: 1}
 	for range 3 {
 		if got := acquire(balancer, rewards); got == "" {
 			t.Fatal("refused while slots are free")
