--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -57,8 +57,8 @@
 	Deferrable bool
 	// ReservedSlots is the number of slots of each server that work that can wait has to leave free for other requests.
 	ReservedSlots int
-	// Avoid holds the IDs of servers that must not get this request again.
-	Avoid map[string]bool
+	// Exclude holds the IDs of servers that must not get this request again.
+	Exclude map[string]bool
 }
 
 // serverState is what a gateway knows of a server beside its registration.
--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -42,7 +42,7 @@
 	}{
 		{name: "server in the same zone among equals", need: desk, want: "b"},
 		{name: "less loaded server in another zone", setup: func(b *Balancer) { acquire(b, desk) }, need: desk, want: "a"},
-		{name: "excluded server", need: Requirements{Pool: "desk", Avoid: map[string]bool{"b": true}}, want: "a"},
+		{name: "excluded server", need: Requirements{Pool: "desk", Exclude: map[string]bool{"b": true}}, want: "a"},
 		{name: "pool without servers", need: Requirements{Pool: "none"}},
 		{name: "server that just refused is last", setup: func(b *Balancer) { b.Refused(now, "b") }, need: desk, want: "a"},
 		{name: "unreachable server is last", setup: func(b *Balancer) { b.Unreachable(now, "b") }, need: desk, want: "a"},
--- a/internal/core/backend/choose.go
+++ b/internal/core/backend/choose.go
@@ -55,7 +55,7 @@
 
 // canRun reports whether the server can run the request at all.
 func canRun(state *serverState, need Requirements) bool {
-	if state.server.Draining || need.Avoid[state.server.ID] {
+	if state.server.Draining || need.Exclude[state.server.ID] {
 		return false
 	}
 	return need.Model == "" || state.weightVersion(need.Model) >= need.MinVersion
--- a/internal/edge/call/tries.go
+++ b/internal/edge/call/tries.go
@@ -85,7 +85,7 @@
 	if !ok {
 		return false
 	}
-	server, ok := t.sender.book.Acquire(time.Now(), backend.Requirements{Pool: pool, Avoid: t.tried})
+	server, ok := t.sender.book.Acquire(time.Now(), backend.Requirements{Pool: pool, Exclude: t.tried})
 	if !ok {
 		return false
 	}
