--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -162,8 +162,8 @@
 	return servers
 }
 
-// Others records how many requests other gateways run at each of the given servers; other servers keep their counts.
-func (b *Balancer) Others(running map[string]int) {
+// RecordPeerRequests records how many requests other gateways run at each of the given servers; other servers keep their counts.
+func (b *Balancer) RecordPeerRequests(running map[string]int) {
 	if len(running) == 0 {
 		return
 	}
--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -48,11 +48,11 @@
 		{name: "unreachable server is last", setup: func(b *Balancer) { b.Unreachable(now, "b") }, need: desk, want: "a"},
 		{name: "reported load", setup: func(b *Balancer) { b.Reported(now, "b", 2) }, need: desk, want: "a"},
 		{name: "outdated load report", setup: func(b *Balancer) { b.Reported(now.Add(-time.Minute), "b", 2) }, need: desk, want: "b"},
-		{name: "requests of other gateways", setup: func(b *Balancer) { b.Others(map[string]int{"b": 2}) }, need: desk, want: "a"},
+		{name: "requests of other gateways", setup: func(b *Balancer) { b.RecordPeerRequests(map[string]int{"b": 2}) }, need: desk, want: "a"},
 		{name: "new enough weights", need: Requirements{Pool: "engines", Model: "m", MinVersion: 4}, want: "e2"},
 		{name: "weights shown by an answer", setup: func(b *Balancer) { b.Shows("e1", "m", 4) }, need: Requirements{Pool: "engines", Model: "m", MinVersion: 4}, want: "e1"},
 		{name: "weights that no server has", need: Requirements{Pool: "engines", Model: "m", MinVersion: 5}},
-		{name: "work that can wait avoids full servers", setup: func(b *Balancer) { b.Others(map[string]int{"e1": 2, "e2": 2}) }, need: Requirements{Pool: "engines", Model: "m", Deferrable: true}},
+		{name: "work that can wait avoids full servers", setup: func(b *Balancer) { b.RecordPeerRequests(map[string]int{"e1": 2, "e2": 2}) }, need: Requirements{Pool: "engines", Model: "m", Deferrable: true}},
 		{name: "work that can wait avoids servers that refused", setup: func(b *Balancer) { b.Refused(now, "e1") }, need: Requirements{Pool: "engines", Model: "m", Deferrable: true}, want: "e2"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -219,7 +219,7 @@
 			delete(n.total, server)
 		}
 	}
-	n.gateway.book.Others(changed)
+	n.gateway.book.RecordPeerRequests(changed)
 }
 
 // tidy drops what is out of date.
