--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -182,8 +182,8 @@
 	return b.nonZeroCounts(func(s *serverState) int { return s.running })
 }
 
-// RunningAnywhere returns the known number of requests of all gateways at each server that has any.
-func (b *Balancer) RunningAnywhere() map[string]int {
+// TotalRunning returns the known number of requests of all gateways at each server that has any.
+func (b *Balancer) TotalRunning() map[string]int {
 	return b.nonZeroCounts(func(s *serverState) int { return s.running + s.peerRunning })
 }
 
--- a/internal/edge/leader/weights.go
+++ b/internal/edge/leader/weights.go
@@ -71,7 +71,7 @@
 	if now.Sub(w.started) >= tokenRateDelay {
 		rates = w.deps.TokenRates(now)
 	}
-	running := w.deps.Book.RunningAnywhere()
+	running := w.deps.Book.TotalRunning()
 	engines := map[string][]weights.Engine{}
 	for _, server := range snapshot.Servers {
 		if len(server.Models) == 0 {
--- a/internal/program/process/news_test.go
+++ b/internal/program/process/news_test.go
@@ -93,7 +93,7 @@
 func TestWhatOthersRunIsAddedUp(t *testing.T) {
 	n := newTestNews(1)
 	at := time.Now()
-	running := func() map[string]int { return n.gateway.book.RunningAnywhere() }
+	running := func() map[string]int { return n.gateway.book.TotalRunning() }
 	n.note("a", runningThere{at: at, servers: map[string]int{"e1": 3}})
 	n.note("b", runningThere{at: at, servers: map[string]int{"e1": 2, "e2": 1}})
 	if diff := cmp.Diff(map[string]int{"e1": 5, "e2": 1}, running()); diff != "" {
