--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -210,8 +210,8 @@
 	}
 }
 
-// Reported records the number of requests that the server reported.
-func (b *Balancer) Reported(now time.Time, id string, requests int) {
+// RecordLoad records the number of requests that the server reported.
+func (b *Balancer) RecordLoad(now time.Time, id string, requests int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if state, ok := b.servers[id]; ok {
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -139,7 +139,7 @@
 	}()
 	answer := platform.ReadAnswer(stream.Header())
 	if answer.Load >= 0 {
-		r.manager.book.Reported(time.Now(), r.server.ID, answer.Load)
+		r.manager.book.RecordLoad(time.Now(), r.server.ID, answer.Load)
 	}
 	if result, ok := r.checkHeader(answer); !ok {
 		if result == outcomeRefused && answer.NotRun {
--- a/internal/edge/call/attempt.go
+++ b/internal/edge/call/attempt.go
@@ -74,7 +74,7 @@
 func (s *Sender) learn(ctx context.Context, done *Attempt) {
 	now, id := time.Now(), done.Server.ID
 	if done.Answer.Load >= 0 && done.Answer.Status != 0 {
-		s.book.Reported(now, id, done.Answer.Load)
+		s.book.RecordLoad(now, id, done.Answer.Load)
 	}
 	switch {
 	case done.Outcome == verdict.Ran && done.Answer.Status < fasthttp.StatusInternalServerError:
