--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -220,8 +220,8 @@
 	}
 }
 
-// Served records the time that a unit of work took at the server: a whole call, or one event of a stream.
-func (b *Balancer) Served(now time.Time, id string, took time.Duration) {
+// RecordLatency records the time that a unit of work took at the server: a whole call, or one event of a stream.
+func (b *Balancer) RecordLatency(now time.Time, id string, took time.Duration) {
 	b.tracker.ObserveRequest(now, id, took, false)
 }
 
--- a/internal/edge/call/attempt.go
+++ b/internal/edge/call/attempt.go
@@ -78,7 +78,7 @@
 	}
 	switch {
 	case done.Outcome == verdict.Ran && done.Answer.Status < fasthttp.StatusInternalServerError:
-		s.book.Served(now, id, now.Sub(done.Sent))
+		s.book.RecordLatency(now, id, now.Sub(done.Sent))
 	case done.Outcome == verdict.NotRun && done.Answer.Status != 0:
 		s.book.Refused(now, id)
 	case ctx.Err() != nil:
