--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -225,8 +225,8 @@
 	b.tracker.ObserveRequest(now, id, took, false)
 }
 
-// Failed records that the server failed a request.
-func (b *Balancer) Failed(now time.Time, id string) {
+// RecordFailure records that the server failed a request.
+func (b *Balancer) RecordFailure(now time.Time, id string) {
 	b.tracker.ObserveRequest(now, id, 0, true)
 }
 
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -167,7 +167,7 @@
 	}
 	if ctx.Err() == nil || errors.Is(r.cause, errStalled) {
 		r.manager.book.Unreachable(time.Now(), r.server.ID)
-		r.manager.book.Failed(time.Now(), r.server.ID)
+		r.manager.book.RecordFailure(time.Now(), r.server.ID)
 	}
 	if errors.Is(err, exchange.ErrNotSent) {
 		return outcomeRefused
@@ -181,7 +181,7 @@
 	switch {
 	case answer.RequestID != "" && answer.RequestID != r.item.ID:
 		r.cause = errWrongRequest
-		book.Failed(now, r.server.ID)
+		book.RecordFailure(now, r.server.ID)
 		return outcomeCut, false
 	case answer.NotRun:
 		r.cause = errors.Errorf("status %d", answer.Status)
@@ -192,11 +192,11 @@
 		return outcomeImpossible, false
 	case answer.Status == fasthttp.StatusInternalServerError:
 		r.cause = errors.New("status 500")
-		book.Failed(now, r.server.ID)
+		book.RecordFailure(now, r.server.ID)
 		return outcomeFailed, false
 	case answer.Status != fasthttp.StatusOK || !answer.Signed():
 		r.cause = errors.Errorf("status %d", answer.Status)
-		book.Failed(now, r.server.ID)
+		book.RecordFailure(now, r.server.ID)
 		return outcomeCut, false
 	case answer.Version == 0:
 		// An answer without a version has no events: all were received before, and only the end of the stream was lost.
--- a/internal/edge/call/attempt.go
+++ b/internal/edge/call/attempt.go
@@ -85,8 +85,8 @@
 		// Nobody waits any more; it says nothing about the server.
 	case done.Answer.Status == 0:
 		s.book.Unreachable(now, id)
-		s.book.Failed(now, id)
+		s.book.RecordFailure(now, id)
 	default:
-		s.book.Failed(now, id)
+		s.book.RecordFailure(now, id)
 	}
 }
