--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -230,8 +230,8 @@
 	b.tracker.ObserveRequest(now, id, 0, true)
 }
 
-// Refused records that the server had no free slot. It is ignored while the server is backed off already.
-func (b *Balancer) Refused(now time.Time, id string) {
+// RecordRefusal records that the server had no free slot. It is ignored while the server is backed off already.
+func (b *Balancer) RecordRefusal(now time.Time, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	state, ok := b.servers[id]
--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -44,7 +44,7 @@
 		{name: "less loaded server in another zone", setup: func(b *Balancer) { acquire(b, desk) }, need: desk, want: "a"},
 		{name: "excluded server", need: Requirements{Pool: "desk", Exclude: map[string]bool{"b": true}}, want: "a"},
 		{name: "pool without servers", need: Requirements{Pool: "none"}},
-		{name: "server that just refused is last", setup: func(b *Balancer) { b.Refused(now, "b") }, need: desk, want: "a"},
+		{name: "server that just refused is last", setup: func(b *Balancer) { b.RecordRefusal(now, "b") }, need: desk, want: "a"},
 		{name: "unreachable server is last", setup: func(b *Balancer) { b.Unreachable(now, "b") }, need: desk, want: "a"},
 		{name: "reported load", setup: func(b *Balancer) { b.RecordLoad(now, "b", 2) }, need: desk, want: "a"},
 		{name: "outdated load report", setup: func(b *Balancer) { b.RecordLoad(now.Add(-time.Minute), "b", 2) }, need: desk, want: "b"},
@@ -53,7 +53,7 @@
 		{name: "weights shown by an answer", setup: func(b *Balancer) { b.Shows("e1", "m", 4) }, need: Requirements{Pool: "engines", Model: "m", MinVersion: 4}, want: "e1"},
 		{name: "weights that no server has", need: Requirements{Pool: "engines", Model: "m", MinVersion: 5}},
 		{name: "work that can wait avoids full servers", setup: func(b *Balancer) { b.RecordPeerRequests(map[string]int{"e1": 2, "e2": 2}) }, need: Requirements{Pool: "engines", Model: "m", Deferrable: true}},
-		{name: "work that can wait avoids servers that refused", setup: func(b *Balancer) { b.Refused(now, "e1") }, need: Requirements{Pool: "engines", Model: "m", Deferrable: true}, want: "e2"},
+		{name: "work that can wait avoids servers that refused", setup: func(b *Balancer) { b.RecordRefusal(now, "e1") }, need: Requirements{Pool: "engines", Model: "m", Deferrable: true}, want: "e2"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			balancer := newTestBalancer()
@@ -100,7 +100,7 @@
 	need := Requirements{Pool: "engines", Model: "m", MinVersion: 4, Deferrable: true}
 	at := now
 	for _, backoff := range []time.Duration{minRefusalBackoff, 2 * minRefusalBackoff, 4 * minRefusalBackoff, maxRefusalBackoff} {
-		balancer.Refused(at, "e2")
+		balancer.RecordRefusal(at, "e2")
 		if _, ok := balancer.Acquire(at.Add(backoff-time.Millisecond), need); ok {
 			t.Errorf("chosen again before %v", backoff)
 		}
@@ -111,7 +111,7 @@
 		balancer.Release("e2")
 	}
 	balancer.Accepted("e2")
-	balancer.Refused(at, "e2")
+	balancer.RecordRefusal(at, "e2")
 	if _, ok := balancer.Acquire(at.Add(minRefusalBackoff), need); !ok {
 		t.Error("an accepted request did not reset the backoff")
 	}
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -185,7 +185,7 @@
 		return outcomeCut, false
 	case answer.NotRun:
 		r.cause = errors.Errorf("status %d", answer.Status)
-		book.Refused(now, r.server.ID)
+		book.RecordRefusal(now, r.server.ID)
 		return outcomeRefused, false
 	case answer.Status == fasthttp.StatusUnprocessableEntity:
 		r.cause = errors.New("the item can never succeed")
--- a/internal/edge/call/attempt.go
+++ b/internal/edge/call/attempt.go
@@ -80,7 +80,7 @@
 	case done.Outcome == verdict.Ran && done.Answer.Status < fasthttp.StatusInternalServerError:
 		s.book.RecordLatency(now, id, now.Sub(done.Sent))
 	case done.Outcome == verdict.NotRun && done.Answer.Status != 0:
-		s.book.Refused(now, id)
+		s.book.RecordRefusal(now, id)
 	case ctx.Err() != nil:
 		// Nobody waits any more; it says nothing about the server.
 	case done.Answer.Status == 0:
