--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -242,8 +242,8 @@
 	state.refusals = min(state.refusals+1, 4)
 }
 
-// Accepted records that the server accepted a request, which ends a series of refusals.
-func (b *Balancer) Accepted(id string) {
+// RecordAcceptance records that the server accepted a request, which ends a series of refusals.
+func (b *Balancer) RecordAcceptance(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if state, ok := b.servers[id]; ok {
--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -110,7 +110,7 @@
 		}
 		balancer.Release("e2")
 	}
-	balancer.Accepted("e2")
+	balancer.RecordAcceptance("e2")
 	balancer.RecordRefusal(at, "e2")
 	if _, ok := balancer.Acquire(at.Add(minRefusalBackoff), need); !ok {
 		t.Error("an accepted request did not reset the backoff")
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -210,7 +210,7 @@
 func (r *itemRun) acceptVersion(version int) (outcome, bool) {
 	r.version = version
 	spec := r.job.spec
-	r.manager.book.Accepted(r.server.ID)
+	r.manager.book.RecordAcceptance(r.server.ID)
 	r.manager.book.Shows(r.server.ID, spec.Model, version)
 	if version < spec.MinVersion {
 		r.cause = errWrongVersion
