--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -251,8 +251,8 @@
 	}
 }
 
-// Unreachable records that a connection to the server could not be made or broke.
-func (b *Balancer) Unreachable(now time.Time, id string) {
+// RecordConnectionFailure records that a connection to the server could not be made or broke.
+func (b *Balancer) RecordConnectionFailure(now time.Time, id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if state, ok := b.servers[id]; ok {
--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -45,7 +45,7 @@
 		{name: "excluded server", need: Requirements{Pool: "desk", Exclude: map[string]bool{"b": true}}, want: "a"},
 		{name: "pool without servers", need: Requirements{Pool: "none"}},
 		{name: "server that just refused is last", setup: func(b *Balancer) { b.RecordRefusal(now, "b") }, need: desk, want: "a"},
-		{name: "unreachable server is last", setup: func(b *Balancer) { b.Unreachable(now, "b") }, need: desk, want: "a"},
+		{name: "unreachable server is last", setup: func(b *Balancer) { b.RecordConnectionFailure(now, "b") }, need: desk, want: "a"},
 		{name: "reported load", setup: func(b *Balancer) { b.RecordLoad(now, "b", 2) }, need: desk, want: "a"},
 		{name: "outdated load report", setup: func(b *Balancer) { b.RecordLoad(now.Add(-time.Minute), "b", 2) }, need: desk, want: "b"},
 		{name: "requests of other gateways", setup: func(b *Balancer) { b.RecordPeerRequests(map[string]int{"b": 2}) }, need: desk, want: "a"},
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -166,7 +166,7 @@
 		r.cause = cause
 	}
 	if ctx.Err() == nil || errors.Is(r.cause, errStalled) {
-		r.manager.book.Unreachable(time.Now(), r.server.ID)
+		r.manager.book.RecordConnectionFailure(time.Now(), r.server.ID)
 		r.manager.book.RecordFailure(time.Now(), r.server.ID)
 	}
 	if errors.Is(err, exchange.ErrNotSent) {
--- a/internal/edge/call/attempt.go
+++ b/internal/edge/call/attempt.go
@@ -84,7 +84,7 @@
 	case ctx.Err() != nil:
 		// Nobody waits any more; it says nothing about the server.
 	case done.Answer.Status == 0:
-		s.book.Unreachable(now, id)
+		s.book.RecordConnectionFailure(now, id)
 		s.book.RecordFailure(now, id)
 	default:
 		s.book.RecordFailure(now, id)
