--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -260,8 +260,8 @@
 	}
 }
 
-// Shows records the weight version that an answer of the server showed.
-func (b *Balancer) Shows(id, model string, version int) {
+// RecordVersion records the weight version that an answer of the server showed.
+func (b *Balancer) RecordVersion(id, model string, version int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if state, ok := b.servers[id]; ok {
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -211,7 +211,7 @@
 	r.version = version
 	spec := r.job.spec
 	r.manager.book.RecordAcceptance(r.server.ID)
-	r.manager.book.Shows(r.server.ID, spec.Model, version)
+	r.manager.book.RecordVersion(r.server.ID, spec.Model, version)
 	if version < spec.MinVersion {
 		r.cause = errWrongVersion
 		return outcomeRefused, false
