--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -269,8 +269,8 @@
 	}
 }
 
-// Pace records the mean time between events of a stream at the server, measured over several events.
-func (b *Balancer) Pace(id string, interval time.Duration) {
+// RecordEventInterval records the mean time between events of a stream at the server, measured over several events.
+func (b *Balancer) RecordEventInterval(id string, interval time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	state, ok := b.servers[id]
--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -151,7 +151,7 @@
 	}
 	for _, id := range []string{"b", "c", "d"} {
 		for range 50 {
-			balancer.Pace(id, 40*time.Millisecond)
+			balancer.RecordEventInterval(id, 40*time.Millisecond)
 		}
 	}
 	for _, test := range []struct {
--- a/internal/edge/batchjob/item_test.go
+++ b/internal/edge/batchjob/item_test.go
@@ -16,7 +16,7 @@
 	}
 	book.Sync(servers)
 	for _, server := range servers[1:] {
-		book.Pace(server.ID, 30*time.Millisecond)
+		book.RecordEventInterval(server.ID, 30*time.Millisecond)
 	}
 	return book
 }
