--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -146,7 +146,7 @@
 		list = append(list, Server{ID: id, Pool: "p", Slots: 12, Models: map[string]int{"m": 1}})
 	}
 	balancer.Sync(list)
-	if balancer.Moves("a", time.Second) {
+	if balancer.ShouldMove("a", time.Second) {
 		t.Error("called slow without other servers to compare with")
 	}
 	for _, id := range []string{"b", "c", "d"} {
@@ -164,7 +164,7 @@
 		{name: "slow", interval: 110 * time.Millisecond, want: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := balancer.Moves("a", test.interval); got != test.want {
+			if got := balancer.ShouldMove("a", test.interval); got != test.want {
 				t.Errorf("got %v", got)
 			}
 		})
--- a/internal/core/backend/choose.go
+++ b/internal/core/backend/choose.go
@@ -91,12 +91,12 @@
 	return share
 }
 
-// Moves reports whether a stream at the server should be moved to another one because other servers of the pool are
+// ShouldMove reports whether a stream at the server should be moved to another one because other servers of the pool are
 // much faster. The interval is the mean time between its events so far.
 //
 // An engine that becomes slow keeps what it runs. The longest of its items would take four times as long as elsewhere
 // and determine the duration of their step. A move only costs processing the prompt again, some milliseconds.
-func (b *Balancer) Moves(id string, interval time.Duration) bool {
+func (b *Balancer) ShouldMove(id string, interval time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	current, ok := b.servers[id]
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -283,7 +283,7 @@
 	p.events, p.spanStart = 0, now
 	p.book.RecordLatency(now, p.server, pace)
 	p.book.RecordEventInterval(p.server, pace)
-	if !p.book.Moves(p.server, pace) {
+	if !p.book.ShouldMove(p.server, pace) {
 		p.slowSpans = 0
 		return false
 	}
