--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -46,7 +46,7 @@
 	intervalWeight = 0.2
 )
 
-// Requirements describes what a request requires of its server.
+// Requirements are what a request needs of its server.
 type Requirements struct {
 	Pool string
 	// Model and MinVersion are set for engines: the server must hold that version of the model or a newer one.
--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -50,10 +50,24 @@
 		{name: "outdated load report", setup: func(b *Balancer) { b.RecordLoad(now.Add(-time.Minute), "b", 2) }, need: desk, want: "b"},
 		{name: "requests of other gateways", setup: func(b *Balancer) { b.RecordPeerRequests(map[string]int{"b": 2}) }, need: desk, want: "a"},
 		{name: "new enough weights", need: Requirements{Pool: "engines", Model: "m", MinVersion: 4}, want: "e2"},
-		{name: "weights shown by an answer", setup: func(b *Balancer) { b.RecordVersion("e1", "m", 4) }, need: Requirements{Pool: "engines", Model: "m", MinVersion: 4}, want: "e1"},
+		{
+			name:  "weights shown by an answer",
+			setup: func(b *Balancer) { b.RecordVersion("e1", "m", 4) },
+			need:  Requirements{Pool: "engines", Model: "m", MinVersion: 4},
+			want:  "e1",
+		},
 		{name: "weights that no server has", need: Requirements{Pool: "engines", Model: "m", MinVersion: 5}},
-		{name: "work that can wait avoids full servers", setup: func(b *Balancer) { b.RecordPeerRequests(map[string]int{"e1": 2, "e2": 2}) }, need: Requirements{Pool: "engines", Model: "m", Deferrable: true}},
-		{name: "work that can wait avoids servers that refused", setup: func(b *Balancer) { b.RecordRefusal(now, "e1") }, need: Requirements{Pool: "engines", Model: "m", Deferrable: true}, want: "e2"},
+		{
+			name:  "work that can wait avoids full servers",
+			setup: func(b *Balancer) { b.RecordPeerRequests(map[string]int{"e1": 2, "e2": 2}) },
+			need:  Requirements{Pool: "engines", Model: "m", Deferrable: true},
+		},
+		{
+			name:  "work that can wait avoids servers that refused",
+			setup: func(b *Balancer) { b.RecordRefusal(now, "e1") },
+			need:  Requirements{Pool: "engines", Model: "m", Deferrable: true},
+			want:  "e2",
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			balancer := newTestBalancer()
--- a/internal/core/backend/subset_test.go
+++ b/internal/core/backend/subset_test.go
@@ -11,7 +11,9 @@
 	balancer := NewBalancer(host, "near")
 	var list []Server
 	for i := range engines {
-		list = append(list, Server{ID: fmt.Sprintf("engine-%04d", i), Pool: "p", AvailabilityZone: "near", Slots: 12, Started: now, Models: map[string]int{"m": i % 2}})
+		list = append(list, Server{
+			ID: fmt.Sprintf("engine-%04d", i), Pool: "p", AvailabilityZone: "near", Slots: 12, Started: now, Models: map[string]int{"m": i % 2},
+		})
 	}
 	balancer.Sync(list)
 	return balancer
--- a/internal/core/batch/partial_test.go
+++ b/internal/core/batch/partial_test.go
@@ -15,7 +15,9 @@
 
 // newPartialProgress returns the progress of a job with three items in one group.
 func newPartialProgress(minVersion int, single bool) *Progress {
-	job := &Job{ID: "j", Submission: Submission{MinVersion: minVersion, Items: []Item{{ID: "a", Group: "g"}, {ID: "b", Group: "g"}, {ID: "c", Group: "g"}}}}
+	job := &Job{ID: "j", Submission: Submission{
+		MinVersion: minVersion, Items: []Item{{ID: "a", Group: "g"}, {ID: "b", Group: "g"}, {ID: "c", Group: "g"}},
+	}}
 	job.SingleVersion = single
 	return NewProgress(job, 1)
 }
--- a/internal/core/batch/progress_test.go
+++ b/internal/core/batch/progress_test.go
@@ -12,7 +12,9 @@
 
 // newTestJob returns a job with that many groups of two items each.
 func newTestJob(groups, wanted int) *Job {
-	job := &Job{ID: "j", Accepted: start, Terms: Terms{MaxAttempts: 2, ItemTimeout: 40 * time.Second}, Submission: Submission{WantedGroups: wanted}}
+	job := &Job{
+		ID: "j", Accepted: start, Terms: Terms{MaxAttempts: 2, ItemTimeout: 40 * time.Second}, Submission: Submission{WantedGroups: wanted},
+	}
 	for g := range groups {
 		for i := range 2 {
 			job.Items = append(job.Items, Item{ID: fmt.Sprintf("%d%c", g, 'a'+i), Group: fmt.Sprint(g), Body: []byte{byte(g), byte(i)}})
--- a/internal/edge/call/call.go
+++ b/internal/edge/call/call.go
@@ -64,7 +64,7 @@
 	log     zerolog.Logger
 }
 
-// NewSender returns a sender over the connections of the client that learns into the book.
+// NewSender returns a sender over the connections of the client that records the outcomes of attempts in the book.
 func NewSender(book *backend.Balancer, servers *exchange.Client, log zerolog.Logger) *Sender {
 	return &Sender{book: book, servers: servers, log: log}
 }
