--- a/internal/core/batch/output.go
+++ b/internal/core/batch/output.go
@@ -8,9 +8,9 @@
 // Output accumulates the stream of an item over all its attempts.
 type Output struct {
 	// LastEvent is the number of the last complete event; 0 before the first.
-	LastEvent     int
-	Versions []int
-	text     strings.Builder
+	LastEvent int
+	Versions  []int
+	text      strings.Builder
 }
 
 // Event is one event of a stream.
@@ -41,10 +41,10 @@
 
 // Partial is the state of an item without a result, as stored in a page or sent to another gateway.
 type Partial struct {
-	Item     string `json:"item" msgpack:"i"`
-	LastEvent     int    `json:"last" msgpack:"l"`
-	Versions []int  `json:"versions" msgpack:"v"`
-	Text     string `json:"text" msgpack:"t"`
+	Item      string `json:"item" msgpack:"i"`
+	LastEvent int    `json:"last" msgpack:"l"`
+	Versions  []int  `json:"versions" msgpack:"v"`
+	Text      string `json:"text" msgpack:"t"`
 	// TextComplete is set once the text is complete and waits to be scored.
 	TextComplete bool `json:"whole,omitempty" msgpack:"w"`
 	// Failures and RewardFailures count how often servers failed the item and its reward call.
--- a/internal/core/batch/partial.go
+++ b/internal/core/batch/partial.go
@@ -91,7 +91,7 @@
 func (s *itemState) partial() Partial {
 	return Partial{
 		Item:           s.item.ID,
-		LastEvent:           s.output.LastEvent,
+		LastEvent:      s.output.LastEvent,
 		Versions:       slices.Clone(s.output.Versions),
 		Text:           s.output.Text(),
 		TextComplete:   s.textComplete(),
