--- a/internal/core/execution/record.go
+++ b/internal/core/execution/record.go
@@ -134,14 +134,14 @@
 			"request %s is in progress", id)
 	default:
 		return verdict.Refuse(verdict.MayHaveRun, verdict.ReasonFenced, 0,
-			"request %s was accepted before", id)
+			"request %s was taken before", id)
 	}
 }
 
 // fenced returns the refusal for a fenced request.
 func fenced(id request.ID) *verdict.Refusal {
 	return verdict.Refuse(verdict.NotRun, verdict.ReasonFenced, 0,
-		"request %s was fenced and will never run", id)
+		"request %s was recorded as never to be run", id)
 }
 
 // Start marks a queued request as running. It fails if the request was fenced while it was queued.
