--- a/internal/edge/peer/answer.go
+++ b/internal/edge/peer/answer.go
@@ -13,65 +13,66 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// Ask sends a request whose answer is one message.
+// Ask sends a request with message q and returns its answer, a single message. It returns an error that wraps ErrUnsent or
+// ErrLost if the transport fails, and a *verdict.Refusal if the peer refuses the request.
 func Ask[Q, A any](ctx context.Context, c *Client, to netip.AddrPort, m Method, q Q) (A, error) {
 	var a A
-	out, err := send(ctx, c, to, m, q)
+	s, err := startRequest(ctx, c, to, m, q)
 	if err != nil {
 		return a, err
 	}
-	defer out.finish()
-	if err := out.await(func() bool { return out.end != nil }); err != nil {
+	defer s.finish()
+	if err := s.await(func() bool { return s.end != nil }); err != nil {
 		return a, err
 	}
-	if err := out.whole(); err != nil {
+	if err := s.verifyIntegrity(); err != nil {
 		return a, err
 	}
-	if err := msgpack.Unmarshal(out.end.Body, &a); err != nil {
-		return a, out.lost("decode the answer of method %s: %v", m, err)
+	if err := msgpack.Unmarshal(s.end.Body, &a); err != nil {
+		return a, s.lostErrorf("decode the answer of method %s: %v", m, err)
 	}
 	return a, nil
 }
 
-// Open sends a request whose answer is streamed, and returns once its head has come.
-// The answer is cancelled when ctx ends; else it must be read to its end or cancelled.
+// Open sends a request whose answer is streamed, and returns when the head of the answer has arrived.
+// The answer is cancelled when ctx ends. Otherwise the caller must read it to the end or cancel it.
 func Open[Q, E any](ctx context.Context, c *Client, to netip.AddrPort, m Method, q Q) (*Answer[E], error) {
-	out, err := send(ctx, c, to, m, q)
+	s, err := startRequest(ctx, c, to, m, q)
 	if err != nil {
 		return nil, err
 	}
-	payload, err := out.readHead()
+	payload, err := s.readHead()
 	if err != nil {
-		out.finish()
+		s.finish()
 		return nil, err
 	}
-	a := &Answer[E]{out: out}
+	a := &Answer[E]{stream: s}
 	if err := msgpack.Unmarshal(payload, &a.head); err != nil {
-		out.finish()
-		return nil, out.lost("decode the head of method %s: %v", m, err)
+		s.finish()
+		return nil, s.lostErrorf("decode the head of method %s: %v", m, err)
 	}
-	a.stop = context.AfterFunc(ctx, func() { out.finish() })
+	a.unwatchContext = context.AfterFunc(ctx, func() { s.finish() })
 	return a, nil
 }
 
-func send[Q any](ctx context.Context, c *Client, to netip.AddrPort, m Method, q Q) (*outbound, error) {
-	payload, err := encodeCall(ctx, c, m, q)
+func startRequest[Q any](ctx context.Context, c *Client, to netip.AddrPort, m Method, q Q) (*clientStream, error) {
+	payload, err := encodeRequest(ctx, c, m, q)
 	if err != nil {
 		return nil, err
 	}
-	channel, err := c.acquire(ctx, to)
+	conn, err := c.acquire(ctx, to)
 	if err != nil {
 		return nil, errors.Wrapf(ErrUnsent, "method %s: %v", m, err)
 	}
-	return start(ctx, channel, payload), nil
+	return startStream(ctx, conn, payload), nil
 }
 
-func encodeCall[Q any](ctx context.Context, c *Client, m Method, q Q) ([]byte, error) {
+func encodeRequest[Q any](ctx context.Context, c *Client, m Method, q Q) ([]byte, error) {
 	body, err := marshal(q)
 	if err != nil {
 		return nil, errors.Wrapf(ErrUnsent, "encode the message of method %s: %v", m, err)
 	}
-	message := call{Method: m, Body: body}
+	message := requestMessage{Method: m, Body: body}
 	if deadline, ok := ctx.Deadline(); ok {
 		message.Remaining = max(time.Until(deadline), time.Nanosecond)
 	}
@@ -86,54 +87,54 @@
 	return payload, nil
 }
 
-// Answer is a streamed answer. It is read by one goroutine.
+// Answer is a streamed answer. It must be read by only one goroutine.
 type Answer[E any] struct {
-	out  *outbound
-	head request.AnswerHead
-	end  E
-	done error
-	stop func() bool
+	stream         *clientStream
+	head           request.AnswerHead
+	end            E
+	err            error
+	unwatchContext func() bool
 }
 
-// Head returns what opened the answer.
+// Head returns the head of the answer.
 func (a *Answer[E]) Head() request.AnswerHead { return a.head }
 
-// End returns the closing message; it is set once Next has returned io.EOF.
+// End returns the end message of the answer. It is valid once Next has returned io.EOF.
 func (a *Answer[E]) End() E { return a.end }
 
-// Process returns the incarnation of the process that answers.
-func (a *Answer[E]) Process() uint64 { return a.out.channel.process }
+// Process returns the incarnation of the process that sends the answer.
+func (a *Answer[E]) Process() uint64 { return a.stream.conn.serverIncarnation }
 
-// Next returns the next bytes, which belong to the caller. It returns io.EOF only when the answer
-// is whole: its length and checksum agree with the closing frame.
+// Next returns the next bytes, which the caller may keep and modify. It returns io.EOF only if the answer is
+// complete, that is, if its length and checksum match those in the end frame.
 func (a *Answer[E]) Next() ([]byte, error) {
-	if a.done != nil {
-		return nil, a.done
+	if a.err != nil {
+		return nil, a.err
 	}
-	chunk, err := a.out.readChunk()
+	chunk, err := a.stream.readChunk()
 	if err == nil && chunk != nil {
 		return chunk, nil
 	}
 	if err == nil {
-		err = a.finish()
+		err = a.decodeEnd()
 	}
-	a.done = err
+	a.err = err
 	a.Cancel()
 	return nil, err
 }
 
-func (a *Answer[E]) finish() error {
-	if err := a.out.whole(); err != nil {
+func (a *Answer[E]) decodeEnd() error {
+	if err := a.stream.verifyIntegrity(); err != nil {
 		return err
 	}
-	if err := msgpack.Unmarshal(a.out.end.Body, &a.end); err != nil {
-		return a.out.lost("decode the end of an answer: %v", err)
+	if err := msgpack.Unmarshal(a.stream.end.Body, &a.end); err != nil {
+		return a.stream.lostErrorf("decode the end of an answer: %v", err)
 	}
 	return io.EOF
 }
 
-// Cancel gives the answer up and lets the peer's handler end; it may be called more than once.
+// Cancel discards the rest of the answer and cancels the peer's handler. It may be called more than once.
 func (a *Answer[E]) Cancel() {
-	a.stop()
-	a.out.finish()
+	a.unwatchContext()
+	a.stream.finish()
 }
--- a/internal/edge/peer/bench_test.go
+++ b/internal/edge/peer/bench_test.go
@@ -10,7 +10,7 @@
 
 func BenchmarkFrameEncode(b *testing.B) {
 	b.ReportAllocs()
-	f := frame{Kind: kindData, Incarnation: 1 << 60, Stream: 12345, Payload: make([]byte, 256)}
+	f := frame{Kind: kindData, ConnectionID: 1 << 60, StreamID: 12345, Payload: make([]byte, 256)}
 	var buf bytes.Buffer
 	encoder := msgpack.NewEncoder(nil)
 	for b.Loop() {
@@ -24,7 +24,7 @@
 func BenchmarkFrameDecode(b *testing.B) {
 	b.ReportAllocs()
 	var buf bytes.Buffer
-	f := frame{Kind: kindData, Incarnation: 1 << 60, Stream: 12345, Payload: make([]byte, 256)}
+	f := frame{Kind: kindData, ConnectionID: 1 << 60, StreamID: 12345, Payload: make([]byte, 256)}
 	if err := appendFrame(&buf, msgpack.NewEncoder(nil), f); err != nil {
 		b.Fatal(err)
 	}
@@ -38,22 +38,22 @@
 	}
 }
 
-func BenchmarkAsk(b *testing.B) {
-	bench := newBench(b)
+func BenchmarkCall(b *testing.B) {
+	peers := newTestPeers(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := Ask[text, text](b.Context(), bench.client, bench.address, methodEcho, text{Text: "hello"}); err != nil {
+		if _, err := Ask[text, text](b.Context(), peers.client, peers.address, methodEcho, text{Text: "hello"}); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-func BenchmarkAskParallel(b *testing.B) {
-	bench := newBench(b)
+func BenchmarkCallParallel(b *testing.B) {
+	peers := newTestPeers(b)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			if _, err := Ask[text, text](b.Context(), bench.client, bench.address, methodEcho, text{Text: "hello"}); err != nil {
+			if _, err := Ask[text, text](b.Context(), peers.client, peers.address, methodEcho, text{Text: "hello"}); err != nil {
 				b.Error(err)
 			}
 		}
@@ -63,21 +63,21 @@
 // BenchmarkOpenStream reports the memory of one open stream, both sides and the handler's goroutine
 // together, as B/stream.
 func BenchmarkOpenStream(b *testing.B) {
-	bench := newBench(b, WithMaxStreams(1<<20))
-	before := memory()
-	var open []*Answer[text]
+	peers := newTestPeers(b, WithMaxStreams(1<<20))
+	before := memoryInUse()
+	var answers []*Answer[text]
 	for b.Loop() {
-		a, err := Open[text, text](b.Context(), bench.client, bench.address, methodHold, text{})
+		answer, err := Open[text, text](b.Context(), peers.client, peers.address, methodHold, text{})
 		if err != nil {
 			b.Fatal(err)
 		}
-		<-bench.started
-		open = append(open, a)
+		<-peers.handlerStarted
+		answers = append(answers, answer)
 	}
-	b.ReportMetric(float64(memory()-before)/float64(len(open)), "B/stream")
-	close(bench.release)
-	for _, a := range open {
-		if _, err := readAll(a); err != nil {
+	b.ReportMetric(float64(memoryInUse()-before)/float64(len(answers)), "B/stream")
+	close(peers.releaseHandlers)
+	for _, answer := range answers {
+		if _, err := readAnswer(answer); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -85,20 +85,20 @@
 
 // BenchmarkConnection reports the memory of one idle connection, both sides together, as B/connection.
 func BenchmarkConnection(b *testing.B) {
-	bench := newBench(b)
-	before := memory()
-	count := 0
+	peers := newTestPeers(b)
+	before := memoryInUse()
+	connections := 0
 	for b.Loop() {
 		client := newTestClient(b, testSecret)
-		if _, err := Ask[text, text](b.Context(), client, bench.address, methodEcho, text{}); err != nil {
+		if _, err := Ask[text, text](b.Context(), client, peers.address, methodEcho, text{}); err != nil {
 			b.Fatal(err)
 		}
-		count++
+		connections++
 	}
-	b.ReportMetric(float64(memory()-before)/float64(count), "B/connection")
+	b.ReportMetric(float64(memoryInUse()-before)/float64(connections), "B/connection")
 }
 
-func memory() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/edge/peer/cancel_test.go
+++ b/internal/edge/peer/cancel_test.go
@@ -11,67 +11,67 @@
 	"github.com/sourcegraph/conc"
 )
 
-// An agent's host stands still, so that nothing of a connection is taken any more and its queue is full. The deadline of a
-// caller whose request was sent passes. The caller must be answered then, and not when the connection breaks seconds later; and
-// where the host goes on, it must learn that the request was given up on.
-func TestGivingUpDoesNotWaitForAStandingConnection(t *testing.T) {
-	near, far := net.Pipe()
-	s := defaultSettings()
-	s.heartbeat, s.heartbeatTimeout, s.writeTimeout = time.Hour, time.Hour, time.Hour
+// Guards against a cancelled request that waits for a stalled connection. The peer's host has stopped reading and the send queue
+// is full when the deadline of a sent request passes. The caller must get its error immediately, and not when the connection
+// breaks seconds later. If the host resumes, it must receive the cancellation.
+func TestAbandonDoesNotWaitForStalledConnection(t *testing.T) {
+	local, remote := net.Pipe()
+	settings := defaultSettings()
+	settings.heartbeat, settings.heartbeatTimeout, settings.writeTimeout = time.Hour, time.Hour, time.Hour
 	ctx, cancel := context.WithCancel(context.Background())
 	var work conc.WaitGroup
 	defer work.Wait()
 	defer cancel()
-	progress := newProgressConn(near, s)
-	c := newChannel(newLink(ctx, progress, newFrameReader(bufio.NewReader(progress), s.maxFrame), identity{}, s))
+	progress := newProgressConn(local, settings)
+	c := newClientConn(newFrameConn(ctx, progress, newFrameReader(bufio.NewReader(progress), settings.maxFrame), identity{}, settings))
 	work.Go(c.run)
-	out := startOn(ctx, t, c)
-	for out.sentStream() == 0 {
-		time.Sleep(time.Millisecond) // until the writer has taken the frame, and stands
+	s := startTestStream(ctx, t, c)
+	for s.sentID() == 0 {
+		time.Sleep(time.Millisecond) // until the writer has dequeued the frame and blocks
 	}
-	for len(c.out) < queueLength {
-		startOn(ctx, t, c)
+	for len(c.queue) < queueLength {
+		startTestStream(ctx, t, c)
 	}
-	deadline, pass := context.WithCancel(ctx)
-	out.ctx = deadline
-	pass()
-	gaveUp := make(chan error, 1)
-	work.Go(func() { gaveUp <- out.await(func() bool { return false }) })
+	requestCtx, cancelRequest := context.WithCancel(ctx)
+	s.ctx = requestCtx
+	cancelRequest()
+	abandoned := make(chan error, 1)
+	work.Go(func() { abandoned <- s.await(func() bool { return false }) })
 	select {
-	case err := <-gaveUp:
+	case err := <-abandoned:
 		if !errors.Is(err, ErrLost) {
 			t.Error(err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("giving up waits for the connection")
+		t.Fatal("the cancelled request waits for the connection")
 	}
-	reader := newFrameReader(bufio.NewReader(far), s.maxFrame)
+	reader := newFrameReader(bufio.NewReader(remote), settings.maxFrame)
 	for {
 		f, err := reader.next()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if f.Kind == kindCancel {
-			if f.Stream != out.sentStream() {
-				t.Errorf("cancelled stream %d", f.Stream)
+			if f.StreamID != s.sentID() {
+				t.Errorf("cancelled stream %d", f.StreamID)
 			}
 			return
 		}
 	}
 }
 
-// startOn queues a request on the channel.
-func startOn(ctx context.Context, t *testing.T, c *channel) *outbound {
+// startTestStream queues a request on the connection.
+func startTestStream(ctx context.Context, t *testing.T, c *clientConn) *clientStream {
 	t.Helper()
 	if !c.reserve() {
-		t.Fatal("the channel takes no request")
+		t.Fatal("the connection accepts no request")
 	}
-	return start(ctx, c, []byte("x"))
+	return startStream(ctx, c, []byte("x"))
 }
 
-// sentStream returns the stream, 0 until the frame is about to be written.
-func (o *outbound) sentStream() uint64 {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.stream
+// sentID returns the stream ID, or 0 until the request frame is about to be written.
+func (s *clientStream) sentID() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.id
 }
--- a/internal/edge/peer/channel.go
+++ b/internal/edge/peer/channel.go
@@ -7,108 +7,108 @@
 	"github.com/pkg/errors"
 )
 
-// channel is the asking side of a connection.
-type channel struct {
-	*link
+// clientConn is the client side of a connection.
+type clientConn struct {
+	*frameConn
 
-	mu      sync.Mutex
-	streams map[uint64]*outbound
-	next    uint64
-	// reserved counts the requests that are open or about to be.
+	mu           sync.Mutex
+	streams      map[uint64]*clientStream
+	lastStreamID uint64
+	// reserved counts the requests that are running or about to be sent.
 	reserved int
-	// leaving: no new request may be sent on this connection.
-	leaving bool
-	idle    *time.Timer
+	// draining is set when no new request may be sent on this connection.
+	draining  bool
+	idleTimer *time.Timer
 }
 
-func newChannel(l *link) *channel {
-	c := &channel{link: l, streams: make(map[uint64]*outbound)}
-	c.idle = time.AfterFunc(l.settings.idleTimeout, c.closeIdle)
+func newClientConn(transport *frameConn) *clientConn {
+	c := &clientConn{frameConn: transport, streams: make(map[uint64]*clientStream)}
+	c.idleTimer = time.AfterFunc(transport.settings.idleTimeout, c.closeIdle)
 	return c
 }
 
-func (c *channel) run() {
-	_ = c.link.run(c.dispatch)
+func (c *clientConn) run() {
+	_ = c.frameConn.run(c.dispatch)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving = true
-	c.idle.Stop()
+	c.draining = true
+	c.idleTimer.Stop()
 }
 
-// reserve makes room for one request; false means that another connection is needed.
-func (c *channel) reserve() bool {
+// reserve counts a request that is about to be sent. It returns false if the connection takes no new requests.
+func (c *clientConn) reserve() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leaving || c.ctx.Err() != nil {
+	if c.draining || c.ctx.Err() != nil {
 		return false
 	}
 	c.reserved++
-	c.idle.Stop()
+	c.idleTimer.Stop()
 	return true
 }
 
-func (c *channel) release() {
+func (c *clientConn) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reserved--
 	if c.reserved > 0 {
 		return
 	}
-	if c.leaving {
-		c.end(ErrClosed)
+	if c.draining {
+		c.cancel(ErrClosed)
 		return
 	}
-	c.idle.Reset(c.settings.idleTimeout)
+	c.idleTimer.Reset(c.settings.idleTimeout)
 }
 
-func (c *channel) closeIdle() {
+func (c *clientConn) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.reserved == 0 {
-		c.leaving = true
-		c.end(ErrClosed)
+		c.draining = true
+		c.cancel(ErrClosed)
 	}
 }
 
-// claim gives an outbound request its stream, right before its frame is written: streams are
-// numbered in the order in which they are sent, and a request without one was never sent.
-func (c *channel) claim(out *outbound) uint64 {
+// assignID assigns an ID to a stream and registers it, right before its request frame is written. IDs ascend in the order in which
+// the frames are sent, and a request without an ID was never sent.
+func (c *clientConn) assignID(s *clientStream) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next++
-	c.streams[c.next] = out
-	return c.next
+	c.lastStreamID++
+	c.streams[c.lastStreamID] = s
+	return c.lastStreamID
 }
 
-func (c *channel) drop(stream uint64) {
+func (c *clientConn) removeStream(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.streams, stream)
+	delete(c.streams, id)
 }
 
-func (c *channel) dispatch(f frame) error {
+func (c *clientConn) dispatch(f frame) error {
 	switch f.Kind {
-	case kindHead, kindData, kindEnd, kindFail:
+	case kindHead, kindData, kindEnd, kindRefusal:
 		c.mu.Lock()
-		out, ok := c.streams[f.Stream]
+		s, ok := c.streams[f.StreamID]
 		c.mu.Unlock()
 		if !ok {
-			return nil // late: the request was cancelled
+			return nil // late frame of a cancelled request
 		}
-		return out.deliver(f)
+		return s.deliver(f)
 	case kindGoAway:
-		c.goAway()
+		c.handleGoAway()
 		return nil
 	default:
 		return errors.Wrapf(ErrProtocol, "frame of kind %d from a server", f.Kind)
 	}
 }
 
-func (c *channel) goAway() {
+func (c *clientConn) handleGoAway() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving = true
+	c.draining = true
 	if c.reserved == 0 {
-		c.end(ErrClosed)
+		c.cancel(ErrClosed)
 	}
 }
--- a/internal/edge/peer/client.go
+++ b/internal/edge/peer/client.go
@@ -13,7 +13,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Client sends requests to other processes over one connection to each.
+// Client sends requests to other processes. It keeps one connection to each.
 type Client struct {
 	secret   []byte
 	settings settings
@@ -21,28 +21,28 @@
 	wg       *conc.WaitGroup
 
 	mu     sync.Mutex
-	peers  map[netip.AddrPort]*dialling
+	conns  map[netip.AddrPort]*sharedConn
 	closed bool
-	// failed holds the addresses whose last dial failed, for the dump.
-	failed map[netip.AddrPort]failure
+	// dialFailures holds the addresses whose last dial failed, for the debug state.
+	dialFailures map[netip.AddrPort]dialFailure
 }
 
-// dialling is a connection that is open or being opened; callers share it.
-type dialling struct {
-	ready   chan struct{} // closed when channel or err is set
-	channel *channel
-	err     error
+// sharedConn is a connection that is open or being opened. All requests to its address share it.
+type sharedConn struct {
+	ready chan struct{} // closed when conn or err is set
+	conn  *clientConn
+	err   error
 }
 
-// NewClient returns a client whose connections end with ctx.
+// NewClient returns a client whose connections are closed when ctx ends.
 func NewClient(ctx context.Context, secret []byte, opts ...ClientOption) *Client {
 	c := &Client{
-		secret:   secret,
-		settings: defaultSettings(),
-		ctx:      ctx,
-		wg:       conc.NewWaitGroup(),
-		peers:    make(map[netip.AddrPort]*dialling),
-		failed:   make(map[netip.AddrPort]failure),
+		secret:       secret,
+		settings:     defaultSettings(),
+		ctx:          ctx,
+		wg:           conc.NewWaitGroup(),
+		conns:        make(map[netip.AddrPort]*sharedConn),
+		dialFailures: make(map[netip.AddrPort]dialFailure),
 	}
 	for _, opt := range opts {
 		opt(&c.settings)
@@ -50,77 +50,77 @@
 	return c
 }
 
-// Wait returns when all connections have ended, after the client's context has.
+// Wait blocks until the client's context has ended and all connections are closed.
 func (c *Client) Wait() {
 	<-c.ctx.Done()
 	c.close()
 	c.wg.Wait()
 }
 
-// close makes sure that no goroutine is counted in while Wait waits.
+// close prevents new connections, so that no goroutine joins the wait group while Wait blocks on it.
 func (c *Client) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 }
 
-// acquire returns an open connection with one stream reserved on it.
-func (c *Client) acquire(ctx context.Context, to netip.AddrPort) (*channel, error) {
+// acquire returns an open connection on which one request is reserved.
+func (c *Client) acquire(ctx context.Context, to netip.AddrPort) (*clientConn, error) {
 	for {
-		d, err := c.dialling(to)
+		shared, err := c.connTo(to)
 		if err != nil {
 			return nil, err
 		}
 		select {
-		case <-d.ready:
+		case <-shared.ready:
 		case <-ctx.Done():
 			return nil, context.Cause(ctx)
 		}
-		if d.err != nil {
-			return nil, d.err
+		if shared.err != nil {
+			return nil, shared.err
 		}
-		if d.channel.reserve() {
-			return d.channel, nil
+		if shared.conn.reserve() {
+			return shared.conn, nil
 		}
-		c.forget(to, d)
+		c.removeConn(to, shared)
 	}
 }
 
-func (c *Client) dialling(to netip.AddrPort) (*dialling, error) {
+func (c *Client) connTo(to netip.AddrPort) (*sharedConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || c.ctx.Err() != nil {
 		return nil, errors.Wrap(ErrClosed, "client")
 	}
-	if d, ok := c.peers[to]; ok {
-		return d, nil
+	if shared, ok := c.conns[to]; ok {
+		return shared, nil
 	}
-	d := &dialling{ready: make(chan struct{})}
-	c.peers[to] = d
-	c.wg.Go(func() { c.serve(to, d) })
-	return d, nil
+	shared := &sharedConn{ready: make(chan struct{})}
+	c.conns[to] = shared
+	c.wg.Go(func() { c.runConn(to, shared) })
+	return shared, nil
 }
 
-func (c *Client) forget(to netip.AddrPort, d *dialling) {
+func (c *Client) removeConn(to netip.AddrPort, shared *sharedConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.peers[to] == d {
-		delete(c.peers, to)
+	if c.conns[to] == shared {
+		delete(c.conns, to)
 	}
 }
 
-func (c *Client) serve(to netip.AddrPort, d *dialling) {
-	defer c.forget(to, d)
-	l, err := c.dial(to)
-	c.remember(to, err)
+func (c *Client) runConn(to netip.AddrPort, shared *sharedConn) {
+	defer c.removeConn(to, shared)
+	transport, err := c.dial(to)
+	c.recordDial(to, err)
 	if err != nil {
-		d.err = errors.Wrapf(err, "connect to %s", to)
-		close(d.ready)
+		shared.err = errors.Wrapf(err, "connect to %s", to)
+		close(shared.ready)
 		return
 	}
-	d.channel = newChannel(l)
-	close(d.ready)
-	d.channel.run()
+	shared.conn = newClientConn(transport)
+	close(shared.ready)
+	shared.conn.run()
 }
 
 // connect opens a TCP connection. It retries attempts that time out, up to maxConnectAttempts in total, doubling the timeout after
@@ -140,7 +140,7 @@
 	}
 }
 
-func (c *Client) dial(to netip.AddrPort) (*link, error) {
+func (c *Client) dial(to netip.AddrPort) (*frameConn, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.settings.dialTimeout)
 	defer cancel()
 	conn, err := connect(ctx, to)
@@ -150,26 +150,26 @@
 	if c.settings.tls != nil {
 		conn = tls.Client(conn, c.settings.tlsFor(to))
 	}
-	l, err := establish(c.ctx, conn, c.settings, func(conn net.Conn, reader *frameReader) (identity, error) {
-		return greet(conn, reader, c.secret)
+	transport, err := establish(c.ctx, conn, c.settings, func(conn net.Conn, reader *frameReader) (identity, error) {
+		return clientHandshake(conn, reader, c.secret)
 	})
 	if err != nil {
 		_ = conn.Close()
 	}
-	return l, err
+	return transport, err
 }
 
-// establish runs the handshake within the dial timeout.
+// establish runs the handshake, for at most the dial timeout.
 func establish(
-	ctx context.Context, conn net.Conn, s settings, shake func(net.Conn, *frameReader) (identity, error),
-) (*link, error) {
+	ctx context.Context, conn net.Conn, s settings, handshake func(net.Conn, *frameReader) (identity, error),
+) (*frameConn, error) {
 	timeout := time.AfterFunc(s.dialTimeout, func() { _ = conn.Close() })
 	defer timeout.Stop()
 	progress := newProgressConn(conn, s)
 	reader := newFrameReader(bufio.NewReaderSize(progress, readBufferSize), maxHandshakeFrame)
-	id, err := shake(progress, reader)
+	id, err := handshake(progress, reader)
 	if err != nil {
 		return nil, err
 	}
-	return newLink(ctx, progress, reader, id, s), nil
+	return newFrameConn(ctx, progress, reader, id, s), nil
 }
--- a/internal/edge/peer/connect_test.go
+++ b/internal/edge/peer/connect_test.go
@@ -15,20 +15,20 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	raw, err := listener.(*net.TCPListener).SyscallConn()
+	rawConn, err := listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
 	// With a backlog of 0 the kernel drops SYN packets while another connection waits to be accepted.
-	if err := raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) }); err != nil {
+	if err := rawConn.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) }); err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().(*net.TCPAddr)
-	waiting, err := net.Dial("tcp", address.String())
+	pending, err := net.Dial("tcp", address.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = waiting.Close() })
+	t.Cleanup(func() { _ = pending.Close() })
 	time.AfterFunc(100*time.Millisecond, func() {
 		for {
 			conn, err := listener.Accept()
@@ -47,7 +47,7 @@
 	_ = conn.Close()
 }
 
-// Guards against a caller that waits for an address where nothing listens.
+// Guards against a caller that waits and retries although nothing listens at the address.
 func TestConnectDoesNotRetryARefusedConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,15 +76,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	ended := make(chan error, 1)
+	returned := make(chan error, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
 		_, err := connect(expiredContext{ctx}, listener.Addr().(*net.TCPAddr).AddrPort())
-		ended <- err
+		returned <- err
 	}()
 	select {
-	case err := <-ended:
+	case err := <-returned:
 		if err == nil {
 			t.Error("connected after the deadline")
 		}
--- a/internal/edge/peer/failure.go
+++ b/internal/edge/peer/failure.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// failureTime is how long a failed dial stays in the dump if the address is not dialled again, as with a host that was
-// replaced.
-const failureTime = 10 * time.Minute
+// failureRetention is how long a failed dial stays in the debug state if the address, such as that of a replaced host, is not
+// dialled again.
+const failureRetention = 10 * time.Minute
 
-// failure is why the last dial of an address failed.
-type failure struct {
-	text string
-	at   time.Time
+// dialFailure is the error of the last dial of an address.
+type dialFailure struct {
+	message string
+	at      time.Time
 }
 
-// remember keeps the outcome of a dial; a failure is forgotten once a dial of its address succeeds.
-func (c *Client) remember(to netip.AddrPort, err error) {
+// recordDial records a failed dial, and removes the recorded failure of the address after a successful one.
+func (c *Client) recordDial(to netip.AddrPort, err error) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil {
-		delete(c.failed, to)
+		delete(c.dialFailures, to)
 		return
 	}
-	for address, old := range c.failed {
-		if now.Sub(old.at) > failureTime {
-			delete(c.failed, address)
+	for address, failure := range c.dialFailures {
+		if now.Sub(failure.at) > failureRetention {
+			delete(c.dialFailures, address)
 		}
 	}
-	c.failed[to] = failure{text: err.Error(), at: now}
+	c.dialFailures[to] = dialFailure{message: err.Error(), at: now}
 }
--- a/internal/edge/peer/frame.go
+++ b/internal/edge/peer/frame.go
@@ -10,11 +10,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// kind says what a frame is.
-type kind uint8
+// frameKind is the type of a frame.
+type frameKind uint8
 
 const (
-	kindHello kind = iota + 1
+	kindHello frameKind = iota + 1
 	kindChallenge
 	kindProof
 	kindReady
@@ -22,7 +22,7 @@
 	kindHead
 	kindData
 	kindEnd
-	kindFail
+	kindRefusal
 	kindCancel
 	kindWindow
 	kindHeartbeat
@@ -30,65 +30,65 @@
 )
 
 const (
-	lengthSize  = 4
-	frameFields = 4
-	// maxHandshakeFrame bounds what a peer may make this side allocate before it proved the secret.
+	lengthPrefixSize = 4
+	frameFieldCount  = 4
+	// maxHandshakeFrame limits how many bytes an unauthenticated peer can make this side allocate.
 	maxHandshakeFrame = 1 << 10
-	// frameOverhead is more than the encoded fields beside the payload take.
+	// frameOverhead is an upper bound for the encoded size of all fields except the payload, in bytes.
 	frameOverhead = 64
 )
 
-// frame is the unit on the wire.
+// frame is the unit of transmission.
 type frame struct {
-	Kind kind
-	// Incarnation is that of the connection, derived from both sides' nonces. A frame of any other
-	// connection is refused, so an answer can't reach a request that it doesn't belong to.
-	Incarnation uint64
-	Stream      uint64
-	Payload     []byte
+	Kind frameKind
+	// ConnectionID is derived from the nonces of both sides. A frame of another connection is rejected, so that
+	// an answer can't reach a request that it doesn't belong to.
+	ConnectionID uint64
+	StreamID     uint64
+	Payload      []byte
 }
 
-// call is the payload of a request frame.
-type call struct {
+// requestMessage is the payload of a request frame.
+type requestMessage struct {
 	Method Method `msgpack:"m"`
-	// Remaining is the time left until the deadline; clocks of hosts are never compared. 0: no deadline.
+	// Remaining is the time left until the deadline, or 0 if there is none. It is relative because hosts' clocks may differ.
 	Remaining time.Duration      `msgpack:"r"`
 	Body      msgpack.RawMessage `msgpack:"b"`
 }
 
-// closing is the payload of an end frame.
-type closing struct {
-	// Length and Sum cover the head, the data and Body: an answer that differs in them isn't whole.
-	Length uint64             `msgpack:"l"`
-	Sum    uint64             `msgpack:"s"`
-	Body   msgpack.RawMessage `msgpack:"b"`
+// endMessage is the payload of an end frame.
+type endMessage struct {
+	// Length and Checksum cover the head, the data and Body. An answer that doesn't match them is incomplete or corrupt.
+	Length   uint64             `msgpack:"l"`
+	Checksum uint64             `msgpack:"s"`
+	Body     msgpack.RawMessage `msgpack:"b"`
 }
 
-// appendFrame appends the encoded frame, length first.
+// appendFrame appends the encoded frame to buf, preceded by its length as a 32-bit integer.
 func appendFrame(buf *bytes.Buffer, encoder *msgpack.Encoder, f frame) error {
 	start := buf.Len()
-	buf.Write(make([]byte, lengthSize))
+	buf.Write(make([]byte, lengthPrefixSize))
 	encoder.Reset(buf)
 	if err := encodeFields(encoder, f); err != nil {
-		return errors.Wrapf(err, "encode frame of stream %d", f.Stream)
+		return errors.Wrapf(err, "encode frame of stream %d", f.StreamID)
 	}
 	buf.Write(f.Payload)
-	length := buf.Len() - start - lengthSize
+	length := buf.Len() - start - lengthPrefixSize
 	binary.BigEndian.PutUint32(buf.Bytes()[start:], uint32(length))
 	return nil
 }
 
 func encodeFields(encoder *msgpack.Encoder, f frame) error {
-	if err := encoder.EncodeArrayLen(frameFields); err != nil {
+	if err := encoder.EncodeArrayLen(frameFieldCount); err != nil {
 		return err
 	}
 	if err := encoder.EncodeUint(uint64(f.Kind)); err != nil {
 		return err
 	}
-	if err := encoder.EncodeUint(f.Incarnation); err != nil {
+	if err := encoder.EncodeUint(f.ConnectionID); err != nil {
 		return err
 	}
-	if err := encoder.EncodeUint(f.Stream); err != nil {
+	if err := encoder.EncodeUint(f.StreamID); err != nil {
 		return err
 	}
 	return encoder.EncodeBytesLen(len(f.Payload))
@@ -96,23 +96,23 @@
 
 // frameReader reads frames from a connection.
 type frameReader struct {
-	source  io.Reader
-	limit   int
-	decoder *msgpack.Decoder
-	length  [lengthSize]byte
-	body    bytes.Reader
+	source       io.Reader
+	limit        int
+	decoder      *msgpack.Decoder
+	lengthPrefix [lengthPrefixSize]byte
+	body         bytes.Reader
 }
 
 func newFrameReader(source io.Reader, limit int) *frameReader {
 	return &frameReader{source: source, limit: limit, decoder: msgpack.NewDecoder(nil)}
 }
 
-// next returns the next frame; its payload belongs to the caller.
+// next returns the next frame. The caller may keep and modify its payload.
 func (r *frameReader) next() (frame, error) {
-	if _, err := io.ReadFull(r.source, r.length[:]); err != nil {
+	if _, err := io.ReadFull(r.source, r.lengthPrefix[:]); err != nil {
 		return frame{}, errors.Wrap(err, "read frame length")
 	}
-	length := binary.BigEndian.Uint32(r.length[:])
+	length := binary.BigEndian.Uint32(r.lengthPrefix[:])
 	if uint64(length) > uint64(r.limit) {
 		return frame{}, errors.Wrapf(ErrTooLarge, "%d bytes, %d allowed", length, r.limit)
 	}
@@ -143,18 +143,18 @@
 	if err != nil {
 		return f, 0, err
 	}
-	if fields != frameFields {
+	if fields != frameFieldCount {
 		return f, 0, errors.Errorf("%d fields", fields)
 	}
 	number, err := decoder.DecodeUint8()
 	if err != nil {
 		return f, 0, err
 	}
-	f.Kind = kind(number)
-	if f.Incarnation, err = decoder.DecodeUint64(); err != nil {
+	f.Kind = frameKind(number)
+	if f.ConnectionID, err = decoder.DecodeUint64(); err != nil {
 		return f, 0, err
 	}
-	if f.Stream, err = decoder.DecodeUint64(); err != nil {
+	if f.StreamID, err = decoder.DecodeUint64(); err != nil {
 		return f, 0, err
 	}
 	size, err := decoder.DecodeBytesLen()
--- a/internal/edge/peer/handshake.go
+++ b/internal/edge/peer/handshake.go
@@ -12,12 +12,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// protocolVersion changes when frames change; peers of another version fail the handshake.
+// protocolVersion must change when the frame format changes. Peers with another version fail the handshake.
 const protocolVersion = 1
 
 const nonceSize = 32
 
-// Labels keep a proof of one side from being sent back as the proof of the other.
+// Labels distinguish the proofs of the two sides, so that a peer can't send back the proof that it received as its own.
 const (
 	labelServer     = "oleandershelf server"
 	labelClient     = "oleandershelf client"
@@ -30,94 +30,94 @@
 }
 
 type challenge struct {
-	Version int    `msgpack:"v"`
-	Nonce   []byte `msgpack:"n"`
-	Process uint64 `msgpack:"i"`
-	Proof   []byte `msgpack:"p"`
+	Version     int    `msgpack:"v"`
+	Nonce       []byte `msgpack:"n"`
+	Incarnation uint64 `msgpack:"i"`
+	Proof       []byte `msgpack:"p"`
 }
 
 type proof struct {
 	Proof []byte `msgpack:"p"`
 }
 
-// transcript is what both sides sign: both nonces, so that a recorded proof is of no use again, and
-// the incarnation of the serving process.
+// transcript is the content that both sides authenticate: both nonces, which prevent the replay of a recorded proof,
+// and the incarnation of the server process.
 type transcript struct {
 	secret, clientNonce, serverNonce []byte
-	process                          uint64
+	serverIncarnation                uint64
 }
 
-// identity is what a handshake settles about a connection.
+// identity is the result of a handshake.
 type identity struct {
-	// incarnation is that of the connection.
-	incarnation uint64
-	// process is the incarnation of the serving process.
-	process uint64
+	connectionID uint64
+	// serverIncarnation identifies one run of the server process.
+	serverIncarnation uint64
 }
 
-func (t transcript) sum(label string) []byte {
+func (t transcript) mac(label string) []byte {
 	mac := hmac.New(sha256.New, t.secret)
 	mac.Write([]byte(label))
 	mac.Write(t.clientNonce)
 	mac.Write(t.serverNonce)
-	mac.Write(binary.BigEndian.AppendUint64(nil, t.process))
+	mac.Write(binary.BigEndian.AppendUint64(nil, t.serverIncarnation))
 	return mac.Sum(nil)
 }
 
 func (t transcript) identity() identity {
-	return identity{incarnation: binary.BigEndian.Uint64(t.sum(labelConnection)), process: t.process}
+	return identity{connectionID: binary.BigEndian.Uint64(t.mac(labelConnection)), serverIncarnation: t.serverIncarnation}
 }
 
-// greet proves the secret as the side that dialled.
-func greet(conn net.Conn, reader *frameReader, secret []byte) (identity, error) {
+// clientHandshake runs the dialling side of the handshake: it verifies the server's proof of the secret and sends its own.
+func clientHandshake(conn net.Conn, reader *frameReader, secret []byte) (identity, error) {
 	t := transcript{secret: secret, clientNonce: newNonce()}
-	if err := sendPayload(conn, kindHello, hello{Version: protocolVersion, Nonce: t.clientNonce}); err != nil {
+	if err := sendHandshake(conn, kindHello, hello{Version: protocolVersion, Nonce: t.clientNonce}); err != nil {
 		return identity{}, err
 	}
-	var answer challenge
-	if err := receivePayload(reader, kindChallenge, &answer); err != nil {
+	var serverChallenge challenge
+	if err := receiveHandshake(reader, kindChallenge, &serverChallenge); err != nil {
 		return identity{}, err
 	}
-	t.serverNonce = answer.Nonce
-	t.process = answer.Process
-	if err := t.check(answer.Version, answer.Nonce, answer.Proof, labelServer); err != nil {
+	t.serverNonce = serverChallenge.Nonce
+	t.serverIncarnation = serverChallenge.Incarnation
+	if err := t.verify(serverChallenge.Version, serverChallenge.Nonce, serverChallenge.Proof, labelServer); err != nil {
 		return identity{}, err
 	}
-	if err := sendPayload(conn, kindProof, proof{Proof: t.sum(labelClient)}); err != nil {
+	if err := sendHandshake(conn, kindProof, proof{Proof: t.mac(labelClient)}); err != nil {
 		return identity{}, err
 	}
-	return t.identity(), receivePayload(reader, kindReady, &proof{})
+	return t.identity(), receiveHandshake(reader, kindReady, &proof{})
 }
 
-// accept proves the secret as the side that was dialled, a process of the given incarnation.
-func accept(conn net.Conn, reader *frameReader, secret []byte, process uint64) (identity, error) {
-	var opening hello
-	if err := receivePayload(reader, kindHello, &opening); err != nil {
+// serverHandshake runs the accepting side of the handshake for a process with the given incarnation: it sends its proof of the
+// secret and verifies the client's.
+func serverHandshake(conn net.Conn, reader *frameReader, secret []byte, incarnation uint64) (identity, error) {
+	var clientHello hello
+	if err := receiveHandshake(reader, kindHello, &clientHello); err != nil {
 		return identity{}, err
 	}
-	t := transcript{secret: secret, clientNonce: opening.Nonce, serverNonce: newNonce(), process: process}
-	answer := challenge{Version: protocolVersion, Nonce: t.serverNonce, Process: process, Proof: t.sum(labelServer)}
-	if err := sendPayload(conn, kindChallenge, answer); err != nil {
+	t := transcript{secret: secret, clientNonce: clientHello.Nonce, serverNonce: newNonce(), serverIncarnation: incarnation}
+	message := challenge{Version: protocolVersion, Nonce: t.serverNonce, Incarnation: incarnation, Proof: t.mac(labelServer)}
+	if err := sendHandshake(conn, kindChallenge, message); err != nil {
 		return identity{}, err
 	}
-	var reply proof
-	if err := receivePayload(reader, kindProof, &reply); err != nil {
+	var clientProof proof
+	if err := receiveHandshake(reader, kindProof, &clientProof); err != nil {
 		return identity{}, err
 	}
-	if err := t.check(opening.Version, opening.Nonce, reply.Proof, labelClient); err != nil {
+	if err := t.verify(clientHello.Version, clientHello.Nonce, clientProof.Proof, labelClient); err != nil {
 		return identity{}, err
 	}
-	return t.identity(), sendPayload(conn, kindReady, proof{})
+	return t.identity(), sendHandshake(conn, kindReady, proof{})
 }
 
-func (t transcript) check(version int, nonce, given []byte, label string) error {
+func (t transcript) verify(version int, nonce, received []byte, label string) error {
 	if version != protocolVersion {
 		return errors.Wrapf(ErrHandshake, "protocol version %d, not %d", version, protocolVersion)
 	}
 	if len(nonce) != nonceSize {
 		return errors.Wrapf(ErrHandshake, "nonce of %d bytes", len(nonce))
 	}
-	if !hmac.Equal(given, t.sum(label)) {
+	if !hmac.Equal(received, t.mac(label)) {
 		return errors.WithStack(ErrHandshake)
 	}
 	return nil
@@ -129,7 +129,7 @@
 	return nonce
 }
 
-func sendPayload(conn net.Conn, k kind, message any) error {
+func sendHandshake(conn net.Conn, k frameKind, message any) error {
 	payload, err := msgpack.Marshal(message)
 	if err != nil {
 		return errors.Wrap(err, "encode handshake")
@@ -142,7 +142,7 @@
 	return errors.Wrap(err, "send handshake")
 }
 
-func receivePayload(reader *frameReader, k kind, message any) error {
+func receiveHandshake(reader *frameReader, k frameKind, message any) error {
 	f, err := reader.next()
 	if err != nil {
 		return err
--- a/internal/edge/peer/link.go
+++ b/internal/edge/peer/link.go
@@ -12,54 +12,54 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// outgoing is a frame that waits for the writer of its connection.
-type outgoing struct {
+// queuedFrame is a frame in the send queue of a connection.
+type queuedFrame struct {
 	frame frame
-	// claim, if set, is called right before the frame is written, and may fill it in;
-	// the frame is dropped if it returns false.
-	claim func(f *frame) bool
+	// assignID, if set, is called right before the frame is written, and sets its stream ID. The frame is dropped if it
+	// returns false.
+	assignID func(f *frame) bool
 }
 
-// link is one authenticated connection: a writer with heartbeats and a reader.
-// The reader never waits for a stream, so that a slow reader of one answer holds up no other.
-type link struct {
+// frameConn sends and receives the frames of an authenticated connection, and sends heartbeats.
+// Its reading goroutine never waits for a stream, so that a slow reader of one answer doesn't block the others.
+type frameConn struct {
 	identity
-	conn     net.Conn
+	netConn  net.Conn
 	reader   *frameReader
 	settings settings
-	out      chan outgoing
-	late     late
+	queue    chan queuedFrame
+	overflow overflowQueue
 	ctx      context.Context
-	end      context.CancelCauseFunc
+	cancel   context.CancelCauseFunc
 }
 
-// late holds frames that found the queue full and whose sender doesn't wait: at most one for each open stream.
-type late struct {
+// overflowQueue holds frames that were sent by sendAsync while the send queue was full: at most one for each open stream.
+type overflowQueue struct {
 	mu     sync.Mutex
 	frames []frame
 }
 
-func (l *late) put(f frame) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.frames = append(l.frames, f)
+func (q *overflowQueue) put(f frame) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.frames = append(q.frames, f)
 }
 
-func (l *late) take() []frame {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	frames := l.frames
-	l.frames = nil
+func (q *overflowQueue) take() []frame {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	frames := q.frames
+	q.frames = nil
 	return frames
 }
 
-// progressConn sets a new deadline for each read and each bounded write, so that a long frame may
-// take its time as long as bytes move, and a peer that stands still is noticed.
+// progressConn sets a new deadline for each read and for each part of a write, so that a long frame may take any time
+// as long as data flows, and a stalled peer is detected.
 type progressConn struct {
 	net.Conn
 	readTimeout, writeTimeout time.Duration
-	// received is when bytes came last.
-	received time.Time
+	// lastRead is when the last Read returned, or when the connection was opened.
+	lastRead time.Time
 }
 
 func newProgressConn(conn net.Conn, s settings) *progressConn {
@@ -67,24 +67,23 @@
 		Conn:         conn,
 		readTimeout:  s.heartbeatTimeout,
 		writeTimeout: s.writeTimeout,
-		received:     time.Now(),
+		lastRead:     time.Now(),
 	}
 }
 
-// Read fails also when bytes are there, but this process did not look for longer than the timeout: it
-// was frozen. The other side has given the connection up by then and told its callers that their
-// requests may have run; the frames that waited in the socket must not start them now, with a
-// deadline counted from the wake-up.
+// Read also fails, with ErrFrozen, if data is available but this process has not read for longer than the timeout because it was
+// suspended. By then the peer has closed the connection and has told its callers that their requests may have run. The frames left
+// in the socket buffer must not start these requests now, with a deadline that counts from the time of the resumption.
 func (c *progressConn) Read(p []byte) (int, error) {
 	if err := c.SetReadDeadline(time.Now().Add(c.readTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
 	now := time.Now()
-	if silence := now.Sub(c.received); silence > c.readTimeout {
-		return 0, errors.Wrapf(ErrFrozen, "nothing was read for %s", silence)
+	if gap := now.Sub(c.lastRead); gap > c.readTimeout {
+		return 0, errors.Wrapf(ErrFrozen, "nothing was read for %s", gap)
 	}
-	c.received = now
+	c.lastRead = now
 	return n, err
 }
 
@@ -103,40 +102,41 @@
 	return written, nil
 }
 
-func newLink(ctx context.Context, conn net.Conn, reader *frameReader, id identity, s settings) *link {
-	ctx, end := context.WithCancelCause(ctx)
+func newFrameConn(ctx context.Context, conn net.Conn, reader *frameReader, id identity, s settings) *frameConn {
+	ctx, cancel := context.WithCancelCause(ctx)
 	reader.limit = s.maxFrame
-	return &link{
+	return &frameConn{
 		identity: id,
-		conn:     conn,
+		netConn:  conn,
 		reader:   reader,
 		settings: s,
-		out:      make(chan outgoing, queueLength),
+		queue:    make(chan queuedFrame, queueLength),
 		ctx:      ctx,
-		end:      end,
+		cancel:   cancel,
 	}
 }
 
-// run serves the connection until it ends; dispatch is called for each frame but heartbeats.
-func (l *link) run(dispatch func(frame) error) error {
-	stop := context.AfterFunc(l.ctx, func() { _ = l.conn.Close() })
+// run sends and receives frames until the connection ends, and returns the cause. It calls dispatch for each received frame
+// except heartbeats.
+func (c *frameConn) run(dispatch func(frame) error) error {
+	stop := context.AfterFunc(c.ctx, func() { _ = c.netConn.Close() })
 	defer stop()
 	wg := conc.NewWaitGroup()
-	wg.Go(func() { l.end(l.write()) })
-	l.end(l.read(dispatch))
-	_ = l.conn.Close()
+	wg.Go(func() { c.cancel(c.write()) })
+	c.cancel(c.read(dispatch))
+	_ = c.netConn.Close()
 	wg.Wait()
-	return context.Cause(l.ctx)
+	return context.Cause(c.ctx)
 }
 
-func (l *link) read(dispatch func(frame) error) error {
+func (c *frameConn) read(dispatch func(frame) error) error {
 	for {
-		f, err := l.reader.next()
+		f, err := c.reader.next()
 		if err != nil {
 			return err
 		}
-		if f.Incarnation != l.incarnation {
-			return errors.Wrapf(ErrProtocol, "frame of connection %016x on %016x", f.Incarnation, l.incarnation)
+		if f.ConnectionID != c.connectionID {
+			return errors.Wrapf(ErrProtocol, "frame of connection %016x on %016x", f.ConnectionID, c.connectionID)
 		}
 		if f.Kind == kindHeartbeat {
 			continue
@@ -147,19 +147,19 @@
 	}
 }
 
-// write sends queued frames, as many in one system call as are waiting, and heartbeats when quiet.
-func (l *link) write() error {
-	ticker := time.NewTicker(l.settings.heartbeat)
+// write sends the queued frames, combined into few system calls, and a heartbeat after each interval in which no frame was queued.
+func (c *frameConn) write() error {
+	ticker := time.NewTicker(c.settings.heartbeat)
 	defer ticker.Stop()
-	batch := batch{link: l, encoder: msgpack.NewEncoder(nil)}
+	batch := batch{conn: c, encoder: msgpack.NewEncoder(nil)}
 	quiet := true
 	for {
 		select {
-		case <-l.ctx.Done():
-			return context.Cause(l.ctx)
-		case o := <-l.out:
+		case <-c.ctx.Done():
+			return context.Cause(c.ctx)
+		case q := <-c.queue:
 			quiet = false
-			if err := batch.send(o); err != nil {
+			if err := batch.send(q); err != nil {
 				return err
 			}
 		case <-ticker.C:
@@ -171,82 +171,82 @@
 	}
 }
 
-// send queues a frame. It waits while the queue is full, until ctx or the connection ends.
-func (l *link) send(ctx context.Context, o outgoing) error {
+// send queues a frame. If the queue is full, it blocks until there is room or until ctx or the connection ends.
+func (c *frameConn) send(ctx context.Context, q queuedFrame) error {
 	select {
-	case l.out <- o:
+	case c.queue <- q:
 		return nil
 	case <-ctx.Done():
 		return context.Cause(ctx)
-	case <-l.ctx.Done():
-		return context.Cause(l.ctx)
+	case <-c.ctx.Done():
+		return context.Cause(c.ctx)
 	}
 }
 
-// post hands a frame to the writer without waiting.
+// sendAsync queues a frame without blocking. If the queue is full, the frame is written with the next batch, at the latest at
+// the next heartbeat tick once the writer makes progress again.
 //
-// Guard: the other side stands still, and the queue is full. A request whose caller has given up would wait to tell the other
-// side so until the connection breaks, and its caller as long. The writer sends the frame when it gets on, or a heartbeat's
-// time later if it had just emptied the queue.
-func (l *link) post(f frame) {
+// Guards against a cancelled request, and with it its caller, that waits for room in the queue of a stalled connection until
+// the connection breaks.
+func (c *frameConn) sendAsync(f frame) {
 	select {
-	case l.out <- outgoing{frame: f}:
+	case c.queue <- queuedFrame{frame: f}:
 	default:
-		l.late.put(f)
+		c.overflow.put(f)
 	}
 }
 
-// batch collects the frames of one system call.
+// batch collects frames that are written with one system call.
 type batch struct {
-	link    *link
+	conn    *frameConn
 	buf     bytes.Buffer
 	encoder *msgpack.Encoder
 }
 
-func (b *batch) send(o outgoing) error {
+func (b *batch) send(q queuedFrame) error {
 	for {
-		if err := b.add(o); err != nil {
+		if err := b.add(q); err != nil {
 			return err
 		}
 		if b.buf.Len() >= bufferSize {
 			return b.flush()
 		}
 		select {
-		case o = <-b.link.out:
+		case q = <-b.conn.queue:
 		default:
 			return b.flush()
 		}
 	}
 }
 
-func (b *batch) add(o outgoing) error {
-	o.frame.Incarnation = b.link.incarnation
-	if o.claim != nil && !o.claim(&o.frame) {
+func (b *batch) add(q queuedFrame) error {
+	q.frame.ConnectionID = b.conn.connectionID
+	if q.assignID != nil && !q.assignID(&q.frame) {
 		return nil
 	}
-	return appendFrame(&b.buf, b.encoder, o.frame)
+	return appendFrame(&b.buf, b.encoder, q.frame)
 }
 
 func (b *batch) heartbeat(quiet bool) error {
 	if !quiet {
 		return b.flush()
 	}
-	if err := b.add(outgoing{frame: frame{Kind: kindHeartbeat}}); err != nil {
+	if err := b.add(queuedFrame{frame: frame{Kind: kindHeartbeat}}); err != nil {
 		return err
 	}
 	return b.flush()
 }
 
 func (b *batch) flush() error {
-	for _, f := range b.link.late.take() {
-		if err := b.add(outgoing{frame: f}); err != nil {
+	for _, f := range b.conn.overflow.take() {
+		if err := b.add(queuedFrame{frame: f}); err != nil {
 			return err
 		}
 	}
 	if b.buf.Len() == 0 {
 		return nil
 	}
-	_, err := b.link.conn.Write(b.buf.Bytes())
+	_, err := b.conn.netConn.Write(b.buf.Bytes())
 	if b.buf.Cap() > 4*bufferSize {
 		b.buf = bytes.Buffer{}
 	}
--- a/internal/edge/peer/lost.go
+++ b/internal/edge/peer/lost.go
@@ -6,29 +6,28 @@
 	"github.com/pkg/errors"
 )
 
-// lostError is an ErrLost that names the process to which the request was sent.
+// lostError wraps ErrLost and records the incarnation of the process to which the request was sent.
 type lostError struct {
-	process uint64
-	detail  string
+	serverIncarnation uint64
+	detail            string
 }
 
-func (o *outbound) lost(format string, args ...any) error {
-	return &lostError{process: o.channel.process, detail: fmt.Sprintf(format, args...)}
+func (s *clientStream) lostErrorf(format string, args ...any) error {
+	return &lostError{serverIncarnation: s.conn.serverIncarnation, detail: fmt.Sprintf(format, args...)}
 }
 
-// Error returns the detail and what it means.
+// Error returns the detail followed by the text of ErrLost.
 func (e *lostError) Error() string { return e.detail + ": " + ErrLost.Error() }
 
-// Unwrap makes errors.Is find ErrLost.
+// Unwrap returns ErrLost.
 func (e *lostError) Unwrap() error { return ErrLost }
 
-// LostProcess returns the incarnation of the process to which a request with this ErrLost was sent, and
-// 0 for other errors. A process of another incarnation at the same address can't say what became of
-// the request.
+// LostProcess returns the incarnation of the process to which the request was sent if err wraps ErrLost, and 0 for other
+// errors. A process with another incarnation at the same address doesn't know the outcome of the request.
 func LostProcess(err error) uint64 {
 	var lost *lostError
 	if errors.As(err, &lost) {
-		return lost.process
+		return lost.serverIncarnation
 	}
 	return 0
 }
--- a/internal/edge/peer/marshal.go
+++ b/internal/edge/peer/marshal.go
@@ -6,8 +6,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// marshal encodes a message with numbers as short as they are. By default each 64-bit number takes nine bytes, which are most
-// of a question and its answer where a host asks its relay every second: times, revisions, lengths. Both forms are read.
+// marshal encodes a message with integers in their shortest form. By default msgpack encodes each 64-bit integer in nine bytes.
+// These would be most of the request and the answer when a host polls its relay every second: times, revisions and lengths.
+// The decoder accepts both forms.
 func marshal(message any) ([]byte, error) {
 	encoder := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(encoder)
--- a/internal/edge/peer/marshal_test.go
+++ b/internal/edge/peer/marshal_test.go
@@ -9,7 +9,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// numbers has each kind of number that messages between processes have.
+// numbers has a field for each type of number that occurs in messages.
 type numbers struct {
 	Length uint64        `msgpack:"l"`
 	Age    time.Duration `msgpack:"a"`
@@ -18,9 +18,9 @@
 	Exact  float64       `msgpack:"f"`
 }
 
-// A deployment of two versions of the program, of which one sends each number in nine bytes and the other in as few as it
-// needs: both must read the same numbers, at the ends of their ranges too.
-func TestNumbersInBothForms(t *testing.T) {
+// Guards against processes of different versions that misread each other's numbers, in particular the limits of a type. One
+// version encodes each 64-bit integer in nine bytes, the other in as few as possible.
+func TestBothIntegerEncodingsAreRead(t *testing.T) {
 	for _, want := range []numbers{
 		{},
 		{Length: 1, Age: time.Nanosecond, Signed: 1, Small: 1, Exact: 1},
@@ -28,20 +28,20 @@
 		{Length: math.MaxUint32, Age: time.Second, Signed: math.MinInt32, Small: math.MaxInt32, Exact: -2},
 		{Length: math.MaxUint64, Age: math.MaxInt64, Signed: math.MinInt64, Small: math.MinInt64, Exact: math.MaxFloat64},
 	} {
-		short, err := marshal(want)
+		compact, err := marshal(want)
 		if err != nil {
 			t.Fatal(err)
 		}
-		long, err := msgpack.Marshal(want)
+		fixed, err := msgpack.Marshal(want)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(short) > len(long) {
-			t.Errorf("%+v takes %d bytes, %d in the long form", want, len(short), len(long))
+		if len(compact) > len(fixed) {
+			t.Errorf("%+v takes %d bytes in the compact form, %d in the fixed-size form", want, len(compact), len(fixed))
 		}
-		for _, form := range [][]byte{short, long} {
+		for _, encoded := range [][]byte{compact, fixed} {
 			var got numbers
-			if err := msgpack.Unmarshal(form, &got); err != nil {
+			if err := msgpack.Unmarshal(encoded, &got); err != nil {
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(want, got); diff != "" {
@@ -51,9 +51,9 @@
 	}
 }
 
-// The budget of a relay is 15 KB/s with 58 followers that ask every second, so the parts of a message that are the same in
-// all are counted: a second takes five bytes and a small length one.
-func TestSmallNumbersTakeFewBytes(t *testing.T) {
+// Guards against messages that exceed the bandwidth limit of a relay: 15 KB/s with 58 followers that poll it every second. A
+// duration of a second must take five bytes, and a small length one.
+func TestSmallIntegersTakeFewBytes(t *testing.T) {
 	const keys, fields = 2, 5
 	got, err := marshal(numbers{Length: 54, Age: time.Second, Small: 7})
 	if err != nil {
--- a/internal/edge/peer/option.go
+++ b/internal/edge/peer/option.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// settings are the bounds and timeouts of a connection, the same on both sides.
+// settings are the limits and timeouts of a connection. Clients and servers use the same ones.
 type settings struct {
 	maxFrame         int
 	maxStreams       int
@@ -34,7 +34,7 @@
 	}
 }
 
-// Option sets a bound or timeout of clients and servers alike.
+// Option sets a limit or timeout of a client or a server.
 type Option func(*settings)
 
 // ServerOption configures a Server.
@@ -43,23 +43,24 @@
 // ClientOption configures a Client.
 type ClientOption = Option
 
-// WithMaxFrame bounds one frame, and with it a request's body; in bytes.
+// WithMaxFrame sets the maximum size of a frame in bytes, which also limits the body of a request.
 func WithMaxFrame(size int) Option {
 	return func(s *settings) { s.maxFrame = size }
 }
 
-// WithMaxStreams bounds the requests that run at once on a connection.
+// WithMaxStreams sets the maximum number of concurrent requests on a connection.
 func WithMaxStreams(count int) Option {
 	return func(s *settings) { s.maxStreams = count }
 }
 
-// WithWindow bounds the bytes of one answer that wait for a slow reader. Both sides must agree.
+// WithWindow sets the flow-control window of a stream: how many bytes of an answer may wait for a slow reader.
+// Both sides must use the same value.
 func WithWindow(size int) Option {
 	return func(s *settings) { s.window = size }
 }
 
-// WithHeartbeat sets how often a quiet connection carries a heartbeat, and after how long a silence
-// the peer is taken for frozen or cut off.
+// WithHeartbeat sets the interval at which an idle connection sends heartbeats, and how long nothing may be received
+// before the peer is considered suspended or unreachable.
 func WithHeartbeat(interval, timeout time.Duration) Option {
 	return func(s *settings) {
 		s.heartbeat = interval
@@ -67,33 +68,33 @@
 	}
 }
 
-// WithIdleTimeout sets after how long without a request a client closes a connection.
+// WithIdleTimeout sets how long a client keeps a connection without requests open.
 func WithIdleTimeout(timeout time.Duration) Option {
 	return func(s *settings) { s.idleTimeout = timeout }
 }
 
-// WithDialTimeout bounds connecting and the handshake together.
+// WithDialTimeout limits the time to connect, and after that the time of the handshake.
 func WithDialTimeout(timeout time.Duration) Option {
 	return func(s *settings) { s.dialTimeout = timeout }
 }
 
-// WithWriteTimeout bounds how long a write may make no progress.
+// WithWriteTimeout limits how long a write may make no progress.
 func WithWriteTimeout(timeout time.Duration) Option {
 	return func(s *settings) { s.writeTimeout = timeout }
 }
 
-// tlsFor returns the configuration for dialling the address.
+// tlsFor returns the TLS configuration for dialling the address. The server's certificate must contain the address as a
+// subject alternative name.
 //
-// Guard: hosts know each other by address alone, and a client that names nobody to verify refuses every
-// connection. The server's certificate must hold the address as a subject alternative name.
+// Guards against a TLS client without a server name, which rejects every connection: hosts know each other only by address.
 func (s settings) tlsFor(to netip.AddrPort) *tls.Config {
 	config := s.tls.Clone()
 	config.ServerName = to.Addr().Unmap().String()
 	return config
 }
 
-// WithTLS puts the frames inside TLS; the secret is proved all the same. A client verifies that the server's
-// certificate is for the address that it dialled.
+// WithTLS encrypts connections with TLS. Both sides still prove the shared secret. A client verifies that the server's
+// certificate is valid for the address that it dialled.
 func WithTLS(config *tls.Config) Option {
 	return func(s *settings) { s.tls = config }
 }
--- a/internal/edge/peer/outbound.go
+++ b/internal/edge/peer/outbound.go
@@ -11,94 +11,95 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// outbound is one request that was asked and its answer as it arrives.
-type outbound struct {
-	channel *channel
+// clientStream is a request of the client with its answer as far as it has arrived.
+type clientStream struct {
+	conn    *clientConn
 	ctx     context.Context
-	signal  chan struct{}
+	changed chan struct{}
 
 	mu sync.Mutex
-	// stream is 0 until the request frame is about to be written.
-	stream   uint64
+	// id is 0 until the request frame is about to be written.
+	id       uint64
 	finished bool
 	head     []byte
 	chunks   [][]byte
 	buffered int
-	end      *closing
-	failure  error
-
-	// Of the reading goroutine only:
-	consumed int
-	sum      *xxhash.Digest
-	length   uint64
+	end      *endMessage
+	err      error
+
+	// The fields below are used only by the goroutine that reads the answer. uncredited is the number of bytes
+	// that were read but not returned to the sender as credit yet.
+	uncredited int
+	checksum   *xxhash.Digest
+	length     uint64
 }
 
-// start queues the request frame.
-func start(ctx context.Context, c *channel, payload []byte) *outbound {
-	out := &outbound{channel: c, ctx: ctx, signal: make(chan struct{}, 1), sum: xxhash.New()}
-	o := outgoing{frame: frame{Kind: kindRequest, Payload: payload}, claim: out.claim}
-	if err := c.send(ctx, o); err != nil {
-		out.finish()
+// startStream queues the request frame.
+func startStream(ctx context.Context, c *clientConn, payload []byte) *clientStream {
+	s := &clientStream{conn: c, ctx: ctx, changed: make(chan struct{}, 1), checksum: xxhash.New()}
+	q := queuedFrame{frame: frame{Kind: kindRequest, Payload: payload}, assignID: s.assignID}
+	if err := c.send(ctx, q); err != nil {
+		s.finish()
 	}
-	return out
+	return s
 }
 
-// claim marks the request as sent; false if its caller has given up before.
-func (o *outbound) claim(f *frame) bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.finished {
+// assignID assigns the stream ID, which marks the request as sent. It returns false if the request was already cancelled.
+func (s *clientStream) assignID(f *frame) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.finished {
 		return false
 	}
-	o.stream = o.channel.claim(o)
-	f.Stream = o.stream
+	s.id = s.conn.assignID(s)
+	f.StreamID = s.id
 	return true
 }
 
-// deliver takes a frame of the answer; it never waits.
-func (o *outbound) deliver(f frame) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if err := o.take(f); err != nil {
+// deliver processes a received frame of the answer. It never blocks.
+func (s *clientStream) deliver(f frame) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.apply(f); err != nil {
 		return err
 	}
 	select {
-	case o.signal <- struct{}{}:
+	case s.changed <- struct{}{}:
 	default:
 	}
 	return nil
 }
 
-func (o *outbound) take(f frame) error {
-	if o.end != nil || o.failure != nil {
-		return errors.Wrapf(ErrProtocol, "frame of kind %d after the end of stream %d", f.Kind, o.stream)
+func (s *clientStream) apply(f frame) error {
+	if s.end != nil || s.err != nil {
+		return errors.Wrapf(ErrProtocol, "frame of kind %d after the end of stream %d", f.Kind, s.id)
 	}
 	switch f.Kind {
 	case kindHead:
-		o.head = f.Payload
+		s.head = f.Payload
 	case kindData:
-		o.chunks = append(o.chunks, f.Payload)
-		o.buffered += len(f.Payload)
-		if o.buffered > o.channel.settings.window {
-			return errors.Wrapf(ErrProtocol, "stream %d exceeds its window", o.stream)
+		s.chunks = append(s.chunks, f.Payload)
+		s.buffered += len(f.Payload)
+		if s.buffered > s.conn.settings.window {
+			return errors.Wrapf(ErrProtocol, "stream %d exceeds its window", s.id)
 		}
 	case kindEnd:
-		var end closing
-		if err := msgpack.Unmarshal(f.Payload, &end); err != nil {
-			return errors.Wrapf(ErrProtocol, "end of stream %d: %v", o.stream, err)
+		var message endMessage
+		if err := msgpack.Unmarshal(f.Payload, &message); err != nil {
+			return errors.Wrapf(ErrProtocol, "end of stream %d: %v", s.id, err)
 		}
-		o.end = &end
+		s.end = &message
 	default:
-		o.failure = o.decodeRefusal(f.Payload)
+		s.err = s.decodeRefusal(f.Payload)
 	}
 	return nil
 }
 
-// decodeRefusal reads a refusal; one without a verdict may have run.
-func (o *outbound) decodeRefusal(payload []byte) error {
+// decodeRefusal decodes a refusal. A missing verdict becomes MayHaveRun.
+func (s *clientStream) decodeRefusal(payload []byte) error {
 	var refusal verdict.Refusal
 	if err := msgpack.Unmarshal(payload, &refusal); err != nil {
-		return o.lost("decode refusal: %v", err)
+		return s.lostErrorf("decode refusal: %v", err)
 	}
 	if refusal.Verdict != verdict.NotRun {
 		refusal.Verdict = max(refusal.Verdict, verdict.MayHaveRun)
@@ -106,127 +107,127 @@
 	return &refusal
 }
 
-// await returns when ready finds what it looks for, and fails when the answer fails first.
-func (o *outbound) await(ready func() bool) error {
+// await blocks until ready returns true. It fails if the answer ends or fails, or the context or the connection ends, before that.
+func (s *clientStream) await(ready func() bool) error {
 	for {
-		if done, err := o.poll(ready); done {
+		if done, err := s.tryAwait(ready); done {
 			return err
 		}
 		select {
-		case <-o.signal:
-		case <-o.ctx.Done():
-			return o.giveUp(context.Cause(o.ctx))
-		case <-o.channel.ctx.Done():
-			// The closing frame may have come together with the end of the connection.
-			if done, err := o.poll(ready); done {
+		case <-s.changed:
+		case <-s.ctx.Done():
+			return s.abandon(context.Cause(s.ctx))
+		case <-s.conn.ctx.Done():
+			// The end frame may have arrived just before the connection ended.
+			if done, err := s.tryAwait(ready); done {
 				return err
 			}
-			return o.giveUp(context.Cause(o.channel.ctx))
+			return s.abandon(context.Cause(s.conn.ctx))
 		}
 	}
 }
 
-func (o *outbound) poll(ready func() bool) (bool, error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (s *clientStream) tryAwait(ready func() bool) (bool, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if ready() {
 		return true, nil
 	}
-	if o.failure != nil {
-		return true, o.failure
+	if s.err != nil {
+		return true, s.err
 	}
-	if o.end != nil {
-		return true, o.lost("stream %d ended out of order", o.stream)
+	if s.end != nil {
+		return true, s.lostErrorf("stream %d ended out of order", s.id)
 	}
 	return false, nil
 }
 
-// giveUp ends the request on this side and says whether any of it was sent.
-func (o *outbound) giveUp(cause error) error {
-	if o.finish() == 0 {
+// abandon cancels the request. It returns ErrUnsent with the cause if the request was never sent, and ErrLost otherwise.
+func (s *clientStream) abandon(cause error) error {
+	if s.finish() == 0 {
 		return errors.Wrapf(ErrUnsent, "%v", cause)
 	}
-	return o.lost("%v", cause)
+	return s.lostErrorf("%v", cause)
 }
 
-// finish releases the stream, once; it returns 0 if the request was never sent.
-// The peer is told to stop unless it has closed the stream itself.
-func (o *outbound) finish() uint64 {
-	o.mu.Lock()
-	first := !o.finished
-	o.finished = true
-	stream := o.stream
-	open := o.end == nil && o.failure == nil
-	o.mu.Unlock()
+// finish releases the stream and, unless the peer has ended it, tells the peer to cancel the request. Further calls
+// have no effect. It returns the stream ID, or 0 if the request was never sent.
+func (s *clientStream) finish() uint64 {
+	s.mu.Lock()
+	first := !s.finished
+	s.finished = true
+	id := s.id
+	open := s.end == nil && s.err == nil
+	s.mu.Unlock()
 	if !first {
-		return stream
+		return id
 	}
-	if stream != 0 {
-		o.channel.drop(stream)
+	if id != 0 {
+		s.conn.removeStream(id)
 		if open {
-			o.channel.post(frame{Kind: kindCancel, Stream: stream})
+			s.conn.sendAsync(frame{Kind: kindCancel, StreamID: id})
 		}
 	}
-	o.channel.release()
-	return stream
+	s.conn.release()
+	return id
 }
 
-// cover adds to the length and checksum of what was read.
-func (o *outbound) cover(p []byte) {
-	_, _ = o.sum.Write(p) // never fails
-	o.length += uint64(len(p))
+// addToChecksum adds p to the length and checksum of the data read so far.
+func (s *clientStream) addToChecksum(p []byte) {
+	_, _ = s.checksum.Write(p) // never fails
+	s.length += uint64(len(p))
 }
 
-// whole compares what was read with the closing frame.
-func (o *outbound) whole() error {
-	o.cover(o.end.Body)
-	if o.length != o.end.Length || o.sum.Sum64() != o.end.Sum {
-		return o.lost("answer of %d bytes has a closing frame for %d, or another checksum",
-			o.length, o.end.Length)
+// verifyIntegrity compares the length and checksum of the answer with those in the end frame.
+func (s *clientStream) verifyIntegrity() error {
+	s.addToChecksum(s.end.Body)
+	if s.length != s.end.Length || s.checksum.Sum64() != s.end.Checksum {
+		return s.lostErrorf("answer of %d bytes has a closing frame for %d, or another checksum",
+			s.length, s.end.Length)
 	}
 	return nil
 }
 
-// readHead waits for the head.
-func (o *outbound) readHead() ([]byte, error) {
-	if err := o.await(func() bool { return o.head != nil }); err != nil {
+// readHead returns the head of the answer, and blocks until it has arrived.
+func (s *clientStream) readHead() ([]byte, error) {
+	if err := s.await(func() bool { return s.head != nil }); err != nil {
 		return nil, err
 	}
-	o.cover(o.head)
-	return o.head, nil
+	s.addToChecksum(s.head)
+	return s.head, nil
 }
 
-// readChunk returns the next bytes, or nil after the last.
-func (o *outbound) readChunk() ([]byte, error) {
+// readChunk returns the next chunk of the answer, or nil after the last one.
+func (s *clientStream) readChunk() ([]byte, error) {
 	var chunk []byte
-	err := o.await(func() bool {
-		if len(o.chunks) == 0 {
-			return o.end != nil
+	err := s.await(func() bool {
+		if len(s.chunks) == 0 {
+			return s.end != nil
 		}
-		chunk = o.chunks[0]
-		o.chunks[0] = nil
-		o.chunks = o.chunks[1:]
-		o.buffered -= len(chunk)
+		chunk = s.chunks[0]
+		s.chunks[0] = nil
+		s.chunks = s.chunks[1:]
+		s.buffered -= len(chunk)
 		return true
 	})
 	if err != nil || chunk == nil {
 		return nil, err
 	}
-	o.cover(chunk)
-	o.grant(len(chunk))
+	s.addToChecksum(chunk)
+	s.returnCredit(len(chunk))
 	return chunk, nil
 }
 
-// grant lets the sender send on once half of the window was read.
-func (o *outbound) grant(n int) {
-	o.consumed += n
-	if o.consumed < o.channel.settings.window/2 {
+// returnCredit counts n bytes as read, and returns the credit to the sender once half of the window has been read.
+func (s *clientStream) returnCredit(n int) {
+	s.uncredited += n
+	if s.uncredited < s.conn.settings.window/2 {
 		return
 	}
-	payload, err := marshal(o.consumed)
+	payload, err := marshal(s.uncredited)
 	if err != nil {
 		return
 	}
-	o.consumed = 0
-	_ = o.channel.send(o.ctx, outgoing{frame: frame{Kind: kindWindow, Stream: o.stream, Payload: payload}})
+	s.uncredited = 0
+	_ = s.conn.send(s.ctx, queuedFrame{frame: frame{Kind: kindWindow, StreamID: s.id, Payload: payload}})
 }
--- a/internal/edge/peer/peer_test.go
+++ b/internal/edge/peer/peer_test.go
@@ -26,14 +26,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bench is a server and a client on loopback.
-type bench struct {
-	server  *Server
-	client  *Client
-	address netip.AddrPort
-	started chan struct{}
-	release chan struct{}
-	ended   chan error
+// testPeers is a server and a client that are connected over the loopback interface.
+type testPeers struct {
+	server          *Server
+	client          *Client
+	address         netip.AddrPort
+	handlerStarted  chan struct{}
+	releaseHandlers chan struct{}
+	handlerEnded    chan error
 }
 
 func listen(t testing.TB) (net.Listener, netip.AddrPort) {
@@ -45,23 +45,23 @@
 	return l, l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func newBench(t testing.TB, opts ...Option) *bench {
+func newTestPeers(t testing.TB, opts ...Option) *testPeers {
 	t.Helper()
-	b := &bench{
-		started: make(chan struct{}, 1000),
-		release: make(chan struct{}),
-		ended:   make(chan error, 1000),
+	p := &testPeers{
+		handlerStarted:  make(chan struct{}, 1000),
+		releaseHandlers: make(chan struct{}),
+		handlerEnded:    make(chan error, 1000),
 	}
 	l, address := listen(t)
-	b.address = address
+	p.address = address
 	ctx, cancel := context.WithCancel(context.Background())
-	b.server = NewServer(ctx, l, b.registry(), testSecret, opts...)
-	b.client = newTestClient(t, testSecret, opts...)
+	p.server = NewServer(ctx, l, p.newRegistry(), testSecret, opts...)
+	p.client = newTestClient(t, testSecret, opts...)
 	t.Cleanup(func() {
 		cancel()
-		_ = b.server.Close()
+		_ = p.server.Close()
 	})
-	return b
+	return p
 }
 
 func newTestClient(t testing.TB, secret []byte, opts ...Option) *Client {
@@ -75,7 +75,7 @@
 	return client
 }
 
-func (b *bench) registry() *Registry {
+func (p *testPeers) newRegistry() *Registry {
 	r := NewRegistry()
 	Handle(r, methodEcho, func(_ context.Context, q text) (text, error) { return q, nil })
 	HandleStream(r, methodStream, func(_ context.Context, q text, out Sink) (text, error) {
@@ -88,14 +88,14 @@
 		return text{Text: "end"}, nil
 	})
 	HandleStream(r, methodHold, func(ctx context.Context, q text, out Sink) (text, error) {
-		b.started <- struct{}{}
+		p.handlerStarted <- struct{}{}
 		if err := out.Head(request.AnswerHead{Status: 200}); err != nil {
 			return text{}, err
 		}
 		select {
-		case <-b.release:
+		case <-p.releaseHandlers:
 		case <-ctx.Done():
-			b.ended <- context.Cause(ctx)
+			p.handlerEnded <- context.Cause(ctx)
 			return text{}, context.Cause(ctx)
 		}
 		_, err := out.Write([]byte(q.Text))
@@ -104,22 +104,22 @@
 	return r
 }
 
-func readAll[E any](a *Answer[E]) (string, error) {
-	var whole []byte
+func readAnswer[E any](answer *Answer[E]) (string, error) {
+	var content []byte
 	for {
-		chunk, err := a.Next()
+		chunk, err := answer.Next()
 		if errors.Is(err, io.EOF) {
-			return string(whole), nil
+			return string(content), nil
 		}
 		if err != nil {
-			return string(whole), err
+			return string(content), err
 		}
-		whole = append(whole, chunk...)
+		content = append(content, chunk...)
 	}
 }
 
-func TestAskAndOpen(t *testing.T) {
-	for _, tc := range []struct {
+func TestCallAndOpenStream(t *testing.T) {
+	for _, test := range []struct {
 		name string
 		opts []Option
 	}{
@@ -127,9 +127,9 @@
 		{name: "small window", opts: []Option{WithWindow(1000)}},
 		{name: "tls", opts: []Option{WithTLS(testTLS(t, net.IPv4(127, 0, 0, 1)))}},
 	} {
-		t.Run(tc.name, func(t *testing.T) {
-			b := newBench(t, tc.opts...)
-			got, err := Ask[text, text](t.Context(), b.client, b.address, methodEcho, text{Text: "hello"})
+		t.Run(test.name, func(t *testing.T) {
+			peers := newTestPeers(t, test.opts...)
+			got, err := Ask[text, text](t.Context(), peers.client, peers.address, methodEcho, text{Text: "hello"})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -137,13 +137,13 @@
 				t.Error(diff)
 			}
 			body := string(make([]byte, 1<<20))
-			a, err := Open[text, text](t.Context(), b.client, b.address, methodStream, text{Text: body})
+			answer, err := Open[text, text](t.Context(), peers.client, peers.address, methodStream, text{Text: body})
 			if err != nil {
 				t.Fatal(err)
 			}
-			whole, err := readAll(a)
-			if err != nil || whole != body || a.End().Text != "end" || a.Head().Status != 200 {
-				t.Errorf("%d bytes, head %v, end %v, error %v", len(whole), a.Head(), a.End(), err)
+			content, err := readAnswer(answer)
+			if err != nil || content != body || answer.End().Text != "end" || answer.Head().Status != 200 {
+				t.Errorf("%d bytes, head %v, end %v, error %v", len(content), answer.Head(), answer.End(), err)
 			}
 		})
 	}
--- a/internal/edge/peer/proxy_test.go
+++ b/internal/edge/peer/proxy_test.go
@@ -13,19 +13,19 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// proxy stands between client and server and tampers with the frames that the server sends.
+// proxy forwards connections to a server and tampers with the frames that the server sends.
 type proxy struct {
 	listener net.Listener
 	wg       conc.WaitGroup
 	mu       sync.Mutex
 	conns    []net.Conn
-	// tamper returns the frames to pass on in place of f.
+	// tamper returns the frames that replace f.
 	tamper func(f frame) []frame
-	// frozen, once closed, stops all bytes towards the client while connections stay open.
+	// frozen, once closed, stops all data to the client while the connections stay open.
 	frozen chan struct{}
 }
 
-func newProxy(t *testing.T, to netip.AddrPort, tamper func(frame) []frame) (*proxy, netip.AddrPort) {
+func newProxy(t *testing.T, serverAddress netip.AddrPort, tamper func(frame) []frame) (*proxy, netip.AddrPort) {
 	t.Helper()
 	l, address := listen(t)
 	p := &proxy{listener: l, tamper: tamper, frozen: make(chan struct{})}
@@ -35,7 +35,7 @@
 			if err != nil {
 				return
 			}
-			server, err := net.Dial("tcp", to.String())
+			server, err := net.Dial("tcp", serverAddress.String())
 			if err != nil {
 				_ = conn.Close()
 				continue
@@ -44,7 +44,7 @@
 			p.conns = append(p.conns, conn, server)
 			p.mu.Unlock()
 			p.wg.Go(func() { _, _ = io.Copy(server, conn) })
-			p.wg.Go(func() { p.pass(conn, server) })
+			p.wg.Go(func() { p.forward(conn, server) })
 		}
 	})
 	t.Cleanup(func() {
@@ -55,7 +55,7 @@
 	return p, address
 }
 
-// cut closes all connections at once.
+// cut closes all connections.
 func (p *proxy) cut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-func (p *proxy) pass(client, server net.Conn) {
+func (p *proxy) forward(client, server net.Conn) {
 	defer func() { _ = client.Close() }()
 	reader := newFrameReader(bufio.NewReader(server), defaultMaxFrame)
 	for {
--- a/internal/edge/peer/registry.go
+++ b/internal/edge/peer/registry.go
@@ -10,30 +10,30 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// handler serves one request and returns the encoded closing message.
+// handler serves one request and returns the encoded body of the end message.
 type handler func(ctx context.Context, body []byte, out Sink) ([]byte, error)
 
-// Registry holds the methods that a process serves. It is filled before its server starts.
+// Registry holds the methods that a process serves. All methods must be registered before the server starts.
 type Registry struct {
-	handlers map[Method]handler
-	process  uint64
+	handlers    map[Method]handler
+	incarnation uint64
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
-	return &Registry{handlers: make(map[Method]handler), process: binary.BigEndian.Uint64(newNonce())}
+	return &Registry{handlers: make(map[Method]handler), incarnation: binary.BigEndian.Uint64(newNonce())}
 }
 
-// Process is the random incarnation of the process that serves these methods. Its server announces it,
-// so that the other side can tell a process from one that was started anew at the same address.
-func (r *Registry) Process() uint64 { return r.process }
+// Process returns the random incarnation of the process that serves these methods. The server sends it in the handshake,
+// so that clients can distinguish the process from a restarted one at the same address.
+func (r *Registry) Process() uint64 { return r.incarnation }
 
-// Handle serves a method whose answer is one message.
+// Handle registers a method whose answer is a single message.
 func Handle[Q, A any](r *Registry, m Method, h func(ctx context.Context, q Q) (A, error)) {
 	HandleStream(r, m, func(ctx context.Context, q Q, _ Sink) (A, error) { return h(ctx, q) })
 }
 
-// HandleStream serves a method whose answer is a head, any number of bytes and a closing message.
+// HandleStream registers a method whose answer is a head, any number of bytes and an end message.
 func HandleStream[Q, E any](r *Registry, m Method, h func(ctx context.Context, q Q, out Sink) (E, error)) {
 	r.handlers[m] = func(ctx context.Context, body []byte, out Sink) ([]byte, error) {
 		var q Q
@@ -50,7 +50,7 @@
 	}
 }
 
-func (r *Registry) find(m Method) (handler, error) {
+func (r *Registry) lookup(m Method) (handler, error) {
 	if h, ok := r.handlers[m]; ok {
 		return h, nil
 	}
--- a/internal/edge/peer/server.go
+++ b/internal/edge/peer/server.go
@@ -13,7 +13,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/ticker"
 )
 
-// Server answers the requests of other processes until its context ends.
+// Server serves the requests of other processes until its context ends or it is closed.
 type Server struct {
 	listener net.Listener
 	registry *Registry
@@ -26,14 +26,14 @@
 	mu       sync.Mutex
 	draining bool
 	running  int
-	idle     chan struct{} // closed when draining and nothing runs
-	sessions map[*session]struct{}
-	// rejected and lastRejected tell of failed handshakes, for the dump.
+	drained  chan struct{} // closed when draining and no request is running
+	conns    map[*serverConn]struct{}
+	// rejected counts the failed handshakes and lastRejected describes the last one, for the debug state.
 	rejected     int
 	lastRejected string
 }
 
-// NewServer starts to serve on the listener, which it owns.
+// NewServer starts a server on the listener and takes ownership of it.
 func NewServer(ctx context.Context, l net.Listener, r *Registry, secret []byte, opts ...ServerOption) *Server {
 	s := &Server{
 		listener: l,
@@ -41,8 +41,8 @@
 		secret:   secret,
 		settings: defaultSettings(),
 		wg:       conc.NewWaitGroup(),
-		idle:     make(chan struct{}),
-		sessions: make(map[*session]struct{}),
+		drained:  make(chan struct{}),
+		conns:    make(map[*serverConn]struct{}),
 	}
 	for _, opt := range opts {
 		opt(&s.settings)
@@ -62,7 +62,7 @@
 		case errors.Is(err, net.ErrClosed) || s.ctx.Err() != nil:
 			return
 		default:
-			// A host out of file descriptors fails here at once and again; a pause keeps it from spinning.
+			// On a host without free file descriptors Accept fails immediately. The pause prevents a busy loop.
 			ticker.Sleep(s.ctx, s.settings.heartbeat/10)
 		}
 	}
@@ -72,44 +72,44 @@
 	stop := context.AfterFunc(s.ctx, func() { _ = conn.Close() })
 	defer stop()
 	defer func() { _ = conn.Close() }()
-	inner := conn
+	wrapped := conn
 	if s.settings.tls != nil {
-		inner = tls.Server(conn, s.settings.tls)
+		wrapped = tls.Server(conn, s.settings.tls)
 	}
-	l, err := establish(s.ctx, inner, s.settings, func(conn net.Conn, reader *frameReader) (identity, error) {
-		return accept(conn, reader, s.secret, s.registry.process)
+	transport, err := establish(s.ctx, wrapped, s.settings, func(conn net.Conn, reader *frameReader) (identity, error) {
+		return serverHandshake(conn, reader, s.secret, s.registry.incarnation)
 	})
 	if err != nil {
-		s.reject(conn.RemoteAddr(), err)
+		s.recordRejection(conn.RemoteAddr(), err)
 		return
 	}
-	session := newSession(s, l)
-	s.add(session)
-	defer s.remove(session)
-	session.run()
+	served := newServerConn(s, transport)
+	s.addConn(served)
+	defer s.removeConn(served)
+	served.run()
 }
 
-func (s *Server) reject(from net.Addr, err error) {
+func (s *Server) recordRejection(from net.Addr, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rejected++
 	s.lastRejected = fmt.Sprintf("%s: %v", from, err)
 }
 
-func (s *Server) add(session *session) {
+func (s *Server) addConn(conn *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sessions[session] = struct{}{}
+	s.conns[conn] = struct{}{}
 }
 
-func (s *Server) remove(session *session) {
+func (s *Server) removeConn(conn *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.sessions, session)
+	delete(s.conns, conn)
 }
 
-// begin counts a request in; it returns false when the server is leaving.
-func (s *Server) begin() bool {
+// beginRequest counts a request as running. It returns false if the server is draining.
+func (s *Server) beginRequest() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining {
@@ -119,65 +119,65 @@
 	return true
 }
 
-func (s *Server) done() {
+func (s *Server) endRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
 	if s.draining && s.running == 0 {
-		close(s.idle)
+		close(s.drained)
 	}
 }
 
-// Drain refuses new requests, waits until the running ones have been answered, and closes.
-// It returns the context's error if that ends first; nothing is cut off in that case either.
+// Drain refuses new requests, waits until the running ones are answered, and closes the server. If ctx ends before that, it
+// returns the context's error, and the running requests continue.
 func (s *Server) Drain(ctx context.Context) error {
 	s.mu.Lock()
 	if !s.draining {
 		s.draining = true
 		if s.running == 0 {
-			close(s.idle)
+			close(s.drained)
 		}
 	}
 	s.mu.Unlock()
 	select {
-	case <-s.idle:
+	case <-s.drained:
 	case <-ctx.Done():
 		return errors.Wrap(ctx.Err(), "drain peer server")
 	}
 	_ = s.listener.Close()
-	s.sayGoodbye(ctx)
+	s.sendGoAway(ctx)
 	return s.Close()
 }
 
-// sayGoodbye asks all clients to close, and waits for them for a moment. A socket that is closed
-// while bytes of the client are unread is reset, and the reset can destroy an answer's tail that the
-// client has not read yet; a client closes only after it has read all of them.
-func (s *Server) sayGoodbye(ctx context.Context) {
+// sendGoAway asks all clients to close their connections, and waits up to the close timeout for them to do so. If the server
+// closed a socket with unread bytes of the client, the kernel would reset the connection, and the client could lose the rest
+// of an answer. A client closes the connection only after it has read all answers.
+func (s *Server) sendGoAway(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, s.settings.closeTimeout)
 	defer cancel()
-	for _, session := range s.snapshot() {
-		_ = session.send(ctx, outgoing{frame: frame{Kind: kindGoAway}})
+	for _, conn := range s.connections() {
+		_ = conn.send(ctx, queuedFrame{frame: frame{Kind: kindGoAway}})
 	}
-	for _, session := range s.snapshot() {
+	for _, conn := range s.connections() {
 		select {
-		case <-session.ctx.Done():
+		case <-conn.ctx.Done():
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (s *Server) snapshot() []*session {
+func (s *Server) connections() []*serverConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sessions := make([]*session, 0, len(s.sessions))
-	for session := range s.sessions {
-		sessions = append(sessions, session)
+	conns := make([]*serverConn, 0, len(s.conns))
+	for conn := range s.conns {
+		conns = append(conns, conn)
 	}
-	return sessions
+	return conns
 }
 
-// Close ends all connections and running requests at once and waits for their goroutines.
+// Close closes all connections, cancels the running requests, and waits for their goroutines.
 func (s *Server) Close() error {
 	s.cancel()
 	s.wg.Wait()
--- a/internal/edge/peer/session.go
+++ b/internal/edge/peer/session.go
@@ -16,199 +16,199 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// retrySoon is when a refused request may come back: another server takes it at once.
-const retrySoon = time.Second
+// retryAfter is when a refused request may be sent again. It is short, since another server can take the request at once.
+const retryAfter = time.Second
 
-// session is the serving side of a connection.
-type session struct {
-	*link
+// serverConn is the server side of a connection.
+type serverConn struct {
+	*frameConn
 	server *Server
 	wg     *conc.WaitGroup
 
 	mu      sync.Mutex
-	streams map[uint64]*inbound
-	// last is the highest stream seen. A stream at or below it is a frame that came twice: it is
-	// dropped, since running it again would run one request twice.
-	last uint64
+	streams map[uint64]*serverStream
+	// lastStreamID is the highest stream ID received. A request frame with this ID or a lower one is a duplicate. It is
+	// dropped, since the request would run twice.
+	lastStreamID uint64
 }
 
-func newSession(server *Server, l *link) *session {
-	return &session{link: l, server: server, wg: conc.NewWaitGroup(), streams: make(map[uint64]*inbound)}
+func newServerConn(server *Server, transport *frameConn) *serverConn {
+	return &serverConn{frameConn: transport, server: server, wg: conc.NewWaitGroup(), streams: make(map[uint64]*serverStream)}
 }
 
-func (s *session) run() {
-	_ = s.link.run(s.dispatch)
-	s.wg.Wait()
+func (c *serverConn) run() {
+	_ = c.frameConn.run(c.dispatch)
+	c.wg.Wait()
 }
 
-func (s *session) dispatch(f frame) error {
+func (c *serverConn) dispatch(f frame) error {
 	switch f.Kind {
 	case kindRequest:
-		return s.open(f)
+		return c.openStream(f)
 	case kindCancel:
-		s.withStream(f.Stream, func(in *inbound) { in.cancel(ErrCancelled) })
+		c.withStream(f.StreamID, func(s *serverStream) { s.cancel(ErrCancelled) })
 		return nil
 	case kindWindow:
 		var n int
 		if err := msgpack.Unmarshal(f.Payload, &n); err != nil || n <= 0 {
-			return errors.Wrapf(ErrProtocol, "window of stream %d", f.Stream)
+			return errors.Wrapf(ErrProtocol, "window of stream %d", f.StreamID)
 		}
-		s.withStream(f.Stream, func(in *inbound) { in.credit.add(n) })
+		c.withStream(f.StreamID, func(s *serverStream) { s.credit.add(n) })
 		return nil
 	default:
 		return errors.Wrapf(ErrProtocol, "frame of kind %d from a client", f.Kind)
 	}
 }
 
-func (s *session) withStream(stream uint64, do func(*inbound)) {
-	s.mu.Lock()
-	in, ok := s.streams[stream]
-	s.mu.Unlock()
+func (c *serverConn) withStream(id uint64, apply func(*serverStream)) {
+	c.mu.Lock()
+	s, ok := c.streams[id]
+	c.mu.Unlock()
 	if ok {
-		do(in)
+		apply(s)
 	}
 }
 
-func (s *session) open(f frame) error {
-	if f.Stream <= s.last {
+func (c *serverConn) openStream(f frame) error {
+	if f.StreamID <= c.lastStreamID {
 		return nil
 	}
-	s.last = f.Stream
-	var c call
-	if err := msgpack.Unmarshal(f.Payload, &c); err != nil {
-		return errors.Wrapf(ErrProtocol, "request of stream %d: %v", f.Stream, err)
+	c.lastStreamID = f.StreamID
+	var message requestMessage
+	if err := msgpack.Unmarshal(f.Payload, &message); err != nil {
+		return errors.Wrapf(ErrProtocol, "request of stream %d: %v", f.StreamID, err)
 	}
-	h, err := s.server.registry.find(c.Method)
+	h, err := c.server.registry.lookup(message.Method)
 	if err != nil {
-		return s.refuse(f.Stream, err)
+		return c.refuse(f.StreamID, err)
 	}
-	in := newInbound(s, f.Stream, c.Remaining)
-	if !s.register(in) {
-		in.release()
-		return s.refuse(f.Stream, verdict.Refuse(verdict.NotRun,
-			verdict.ReasonNoRoom, retrySoon, "%d requests run on this connection", s.settings.maxStreams))
+	s := newServerStream(c, f.StreamID, message.Remaining)
+	if !c.register(s) {
+		s.release()
+		return c.refuse(f.StreamID, verdict.Refuse(verdict.NotRun,
+			verdict.ReasonNoRoom, retryAfter, "%d requests run on this connection", c.settings.maxStreams))
 	}
-	if !s.server.begin() {
-		s.unregister(in)
-		return s.refuse(f.Stream, verdict.Refuse(verdict.NotRun,
-			verdict.ReasonLeaving, retrySoon, "the process is leaving"))
+	if !c.server.beginRequest() {
+		c.unregister(s)
+		return c.refuse(f.StreamID, verdict.Refuse(verdict.NotRun,
+			verdict.ReasonLeaving, retryAfter, "the process is leaving"))
 	}
-	s.wg.Go(func() { in.serve(h, c.Body) })
+	c.wg.Go(func() { s.serve(h, message.Body) })
 	return nil
 }
 
-func (s *session) register(in *inbound) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.streams) >= s.settings.maxStreams {
+func (c *serverConn) register(s *serverStream) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.streams) >= c.settings.maxStreams {
 		return false
 	}
-	s.streams[in.stream] = in
+	c.streams[s.id] = s
 	return true
 }
 
-func (s *session) unregister(in *inbound) {
-	s.mu.Lock()
-	delete(s.streams, in.stream)
-	s.mu.Unlock()
-	in.release()
+func (c *serverConn) unregister(s *serverStream) {
+	c.mu.Lock()
+	delete(c.streams, s.id)
+	c.mu.Unlock()
+	s.release()
 }
 
-func (s *session) refuse(stream uint64, reason error) error {
+func (c *serverConn) refuse(streamID uint64, reason error) error {
 	payload, err := marshal(verdict.From(reason))
 	if err != nil {
-		return errors.Wrapf(err, "encode refusal of stream %d", stream)
+		return errors.Wrapf(err, "encode refusal of stream %d", streamID)
 	}
-	return s.send(s.ctx, outgoing{frame: frame{Kind: kindFail, Stream: stream, Payload: payload}})
+	return c.send(c.ctx, queuedFrame{frame: frame{Kind: kindRefusal, StreamID: streamID, Payload: payload}})
 }
 
-// inbound is one request that is being served; it is the Sink of its handler.
-type inbound struct {
-	session *session
-	stream  uint64
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	release context.CancelFunc
-	credit  *credit
-	sum     *xxhash.Digest
-	length  uint64
+// serverStream is a request that the server is handling, and the Sink of its handler.
+type serverStream struct {
+	conn     *serverConn
+	id       uint64
+	ctx      context.Context
+	cancel   context.CancelCauseFunc
+	release  context.CancelFunc
+	credit   *credit
+	checksum *xxhash.Digest
+	length   uint64
 }
 
-func newInbound(s *session, stream uint64, remaining time.Duration) *inbound {
-	ctx, cancel := context.WithCancelCause(s.ctx)
+func newServerStream(conn *serverConn, id uint64, remaining time.Duration) *serverStream {
+	ctx, cancel := context.WithCancelCause(conn.ctx)
 	release := context.CancelFunc(func() { cancel(nil) })
 	if remaining > 0 {
 		ctx, release = context.WithTimeout(ctx, remaining)
 	}
-	return &inbound{
-		session: s,
-		stream:  stream,
-		ctx:     ctx,
-		cancel:  cancel,
-		release: release,
-		credit:  newCredit(s.settings.window),
-		sum:     xxhash.New(),
+	return &serverStream{
+		conn:     conn,
+		id:       id,
+		ctx:      ctx,
+		cancel:   cancel,
+		release:  release,
+		credit:   newCredit(conn.settings.window),
+		checksum: xxhash.New(),
 	}
 }
 
-func (in *inbound) serve(h handler, body []byte) {
-	defer in.session.server.done()
-	defer in.cancel(nil)
-	defer in.session.unregister(in)
+func (s *serverStream) serve(h handler, body []byte) {
+	defer s.conn.server.endRequest()
+	defer s.cancel(nil)
+	defer s.conn.unregister(s)
 	var end []byte
 	var err error
-	if caught := panics.Try(func() { end, err = h(in.ctx, body, in) }); caught != nil {
+	if caught := panics.Try(func() { end, err = h(s.ctx, body, s) }); caught != nil {
 		err = errors.Wrap(caught.AsError(), "handler")
 	}
 	if err == nil {
-		err = in.close(end)
+		err = s.close(end)
 	}
 	if err != nil {
-		_ = in.session.refuse(in.stream, err)
+		_ = s.conn.refuse(s.id, err)
 	}
 }
 
-func (in *inbound) close(body []byte) error {
-	in.cover(body)
-	payload, err := marshal(closing{Length: in.length, Sum: in.sum.Sum64(), Body: body})
+func (s *serverStream) close(body []byte) error {
+	s.addToChecksum(body)
+	payload, err := marshal(endMessage{Length: s.length, Checksum: s.checksum.Sum64(), Body: body})
 	if err != nil {
-		return errors.Wrapf(err, "encode end of stream %d", in.stream)
+		return errors.Wrapf(err, "encode end of stream %d", s.id)
 	}
-	if len(payload)+frameOverhead > in.session.settings.maxFrame {
+	if len(payload)+frameOverhead > s.conn.settings.maxFrame {
 		return errors.Wrapf(ErrTooLarge, "answer of %d bytes", len(payload))
 	}
-	return in.session.send(in.session.ctx, outgoing{frame: frame{Kind: kindEnd, Stream: in.stream, Payload: payload}})
+	return s.conn.send(s.conn.ctx, queuedFrame{frame: frame{Kind: kindEnd, StreamID: s.id, Payload: payload}})
 }
 
-func (in *inbound) cover(p []byte) {
-	_, _ = in.sum.Write(p) // never fails
-	in.length += uint64(len(p))
+func (s *serverStream) addToChecksum(p []byte) {
+	_, _ = s.checksum.Write(p) // never fails
+	s.length += uint64(len(p))
 }
 
 // Abort implements Aborter.
-func (in *inbound) Abort(cause error) { in.cancel(cause) }
+func (s *serverStream) Abort(cause error) { s.cancel(cause) }
 
 // Head implements Sink.
-func (in *inbound) Head(head request.AnswerHead) error {
+func (s *serverStream) Head(head request.AnswerHead) error {
 	payload, err := marshal(head)
 	if err != nil {
-		return errors.Wrapf(err, "encode head of stream %d", in.stream)
+		return errors.Wrapf(err, "encode head of stream %d", s.id)
 	}
-	in.cover(payload)
-	return in.session.send(in.ctx, outgoing{frame: frame{Kind: kindHead, Stream: in.stream, Payload: payload}})
+	s.addToChecksum(payload)
+	return s.conn.send(s.ctx, queuedFrame{frame: frame{Kind: kindHead, StreamID: s.id, Payload: payload}})
 }
 
 // Write implements Sink.
-func (in *inbound) Write(p []byte) (int, error) {
+func (s *serverStream) Write(p []byte) (int, error) {
 	written := 0
 	for written < len(p) {
-		n, err := in.credit.take(in.ctx, min(len(p)-written, chunkSize))
+		n, err := s.credit.take(s.ctx, min(len(p)-written, chunkSize))
 		if err != nil {
 			return written, err
 		}
 		chunk := bytes.Clone(p[written : written+n])
-		in.cover(chunk)
-		if err := in.session.send(in.ctx, outgoing{frame: frame{Kind: kindData, Stream: in.stream, Payload: chunk}}); err != nil {
+		s.addToChecksum(chunk)
+		if err := s.conn.send(s.ctx, queuedFrame{frame: frame{Kind: kindData, StreamID: s.id, Payload: chunk}}); err != nil {
 			return written, err
 		}
 		written += n
--- a/internal/edge/peer/state.go
+++ b/internal/edge/peer/state.go
@@ -6,83 +6,83 @@
 	"time"
 )
 
-// ClientState is the dump of a client.
+// ClientState is the debug state of a client.
 type ClientState struct {
 	Connections []ConnectionState `json:"connections"`
-	// Failures are the addresses whose last dial failed.
+	// Failures lists the addresses whose last dial failed.
 	Failures []FailureState `json:"failures"`
 }
 
-// FailureState is an address that could not be reached or did not prove who it is.
+// FailureState describes the last failed dial of an address: the connection or the handshake failed.
 type FailureState struct {
 	Address netip.AddrPort `json:"address"`
 	At      time.Time      `json:"at"`
 	Error   string         `json:"error"`
 }
 
-// ConnectionState is one connection of a client in a dump.
+// ConnectionState is the debug state of a client's connection.
 type ConnectionState struct {
 	Address netip.AddrPort `json:"address"`
 	// Open is false while the connection is being opened.
 	Open bool `json:"open"`
-	// Requests are open or about to be sent.
+	// Requests is the number of requests that are running or about to be sent.
 	Requests int `json:"requests"`
 	// Sent is the number of requests sent so far.
-	Sent    uint64 `json:"sent"`
-	Leaving bool   `json:"leaving"`
+	Sent     uint64 `json:"sent"`
+	Draining bool   `json:"leaving"`
 }
 
-// ServerState is the dump of a server.
+// ServerState is the debug state of a server.
 type ServerState struct {
 	Connections int  `json:"connections"`
 	Running     int  `json:"running"`
-	Leaving     bool `json:"leaving"`
-	// Rejected is the number of connections that failed the handshake, and LastRejected why the last of them did.
+	Draining    bool `json:"leaving"`
+	// Rejected is the number of connections that failed the handshake, and LastRejected the address and error of the last one.
 	Rejected     int    `json:"rejected"`
 	LastRejected string `json:"lastRejected,omitempty"`
 }
 
-// State returns the dump of the client, sorted by address.
+// State returns the debug state of the client, sorted by address.
 func (c *Client) State() ClientState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state := ClientState{
-		Connections: make([]ConnectionState, 0, len(c.peers)),
-		Failures:    make([]FailureState, 0, len(c.failed)),
+		Connections: make([]ConnectionState, 0, len(c.conns)),
+		Failures:    make([]FailureState, 0, len(c.dialFailures)),
 	}
-	for address, d := range c.peers {
-		state.Connections = append(state.Connections, d.state(address))
+	for address, shared := range c.conns {
+		state.Connections = append(state.Connections, shared.state(address))
 	}
-	for address, failed := range c.failed {
-		state.Failures = append(state.Failures, FailureState{Address: address, At: failed.at, Error: failed.text})
+	for address, failure := range c.dialFailures {
+		state.Failures = append(state.Failures, FailureState{Address: address, At: failure.at, Error: failure.message})
 	}
 	slices.SortFunc(state.Connections, func(a, b ConnectionState) int { return a.Address.Compare(b.Address) })
 	slices.SortFunc(state.Failures, func(a, b FailureState) int { return a.Address.Compare(b.Address) })
 	return state
 }
 
-func (d *dialling) state(address netip.AddrPort) ConnectionState {
+func (c *sharedConn) state(address netip.AddrPort) ConnectionState {
 	state := ConnectionState{Address: address}
 	select {
-	case <-d.ready:
+	case <-c.ready:
 	default:
 		return state
 	}
-	if d.channel == nil {
+	if c.conn == nil {
 		return state
 	}
-	d.channel.mu.Lock()
-	defer d.channel.mu.Unlock()
+	c.conn.mu.Lock()
+	defer c.conn.mu.Unlock()
 	state.Open = true
-	state.Requests = d.channel.reserved
-	state.Sent = d.channel.next
-	state.Leaving = d.channel.leaving
+	state.Requests = c.conn.reserved
+	state.Sent = c.conn.lastStreamID
+	state.Draining = c.conn.draining
 	return state
 }
 
-// State returns the dump of the server.
+// State returns the debug state of the server.
 func (s *Server) State() ServerState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return ServerState{Connections: len(s.sessions), Running: s.running, Leaving: s.draining, Rejected: s.rejected, LastRejected: s.lastRejected}
+	return ServerState{Connections: len(s.conns), Running: s.running, Draining: s.draining, Rejected: s.rejected, LastRejected: s.lastRejected}
 }
--- a/internal/edge/peer/state_test.go
+++ b/internal/edge/peer/state_test.go
@@ -7,26 +7,26 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-func TestState(t *testing.T) {
-	b := newBench(t)
-	if _, err := Ask[text, text](t.Context(), b.client, b.address, methodEcho, text{}); err != nil {
+func TestClientAndServerState(t *testing.T) {
+	peers := newTestPeers(t)
+	if _, err := Ask[text, text](t.Context(), peers.client, peers.address, methodEcho, text{}); err != nil {
 		t.Fatal(err)
 	}
-	a, err := Open[text, text](t.Context(), b.client, b.address, methodHold, text{})
+	answer, err := Open[text, text](t.Context(), peers.client, peers.address, methodHold, text{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := ClientState{Connections: []ConnectionState{{Address: b.address, Open: true, Requests: 1, Sent: 2}}, Failures: []FailureState{}}
-	if diff := cmp.Diff(want, b.client.State(), cmpopts.EquateComparable(b.address)); diff != "" {
+	want := ClientState{Connections: []ConnectionState{{Address: peers.address, Open: true, Requests: 1, Sent: 2}}, Failures: []FailureState{}}
+	if diff := cmp.Diff(want, peers.client.State(), cmpopts.EquateComparable(peers.address)); diff != "" {
 		t.Error(diff)
 	}
-	for b.server.State().Running != 1 { // the echo's goroutine ends just after its answer was sent
+	for peers.server.State().Running != 1 { // the goroutine of the echo request ends shortly after its answer is sent
 	}
-	if diff := cmp.Diff(ServerState{Connections: 1, Running: 1}, b.server.State()); diff != "" {
+	if diff := cmp.Diff(ServerState{Connections: 1, Running: 1}, peers.server.State()); diff != "" {
 		t.Error(diff)
 	}
-	close(b.release)
-	if _, err := readAll(a); err != nil {
+	close(peers.releaseHandlers)
+	if _, err := readAnswer(answer); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/edge/peer/tls_test.go
+++ b/internal/edge/peer/tls_test.go
@@ -14,8 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// testTLS returns a configuration of mutual TLS for both sides. Its certificate is made for the test, is its own authority and
-// holds the address.
+// testTLS returns a mutual TLS configuration for both sides with a generated self-signed certificate for the address.
 func testTLS(t *testing.T, address net.IP) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -44,9 +43,9 @@
 	}
 }
 
-// An operator turns on TLS with certificates of other addresses, or gives one host another secret.
-// Nothing connects. The dump of both sides must say why, or nobody finds the cause, and forget it when it is mended.
-func TestFailedHandshakeIsInTheDump(t *testing.T) {
+// Guards against a configuration error that an operator can't find: certificates for other addresses, or a host with another
+// secret. The connection fails, and the debug state of both sides must show it. With a correct configuration it must show no failure.
+func TestFailedHandshakeIsInDebugState(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		opts    []Option
@@ -55,12 +54,12 @@
 	}{
 		{name: "other address", opts: []Option{WithTLS(testTLS(t, net.IPv4(127, 0, 0, 2)))}, secret: testSecret, refused: true},
 		{name: "other secret", secret: []byte("another secret"), refused: true},
-		{name: "as it should be", opts: []Option{WithTLS(testTLS(t, net.IPv4(127, 0, 0, 1)))}, secret: testSecret},
+		{name: "correct", opts: []Option{WithTLS(testTLS(t, net.IPv4(127, 0, 0, 1)))}, secret: testSecret},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, test.opts...)
+			peers := newTestPeers(t, test.opts...)
 			client := newTestClient(t, test.secret, test.opts...)
-			_, err := Ask[text, text](t.Context(), client, b.address, methodEcho, text{})
+			_, err := Ask[text, text](t.Context(), client, peers.address, methodEcho, text{})
 			if (err != nil) != test.refused {
 				t.Errorf("error %v", err)
 			}
@@ -70,12 +69,12 @@
 			}
 			var want []string
 			if test.refused {
-				want = []string{b.address.String()}
+				want = []string{peers.address.String()}
 			}
 			if diff := cmp.Diff(want, failed); diff != "" {
 				t.Error(diff)
 			}
-			for test.refused && b.server.State().LastRejected == "" { // the server sees the end of the connection a little later
+			for test.refused && peers.server.State().LastRejected == "" { // the server detects the failure slightly later than the client
 				time.Sleep(time.Millisecond)
 			}
 		})
