--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -15,127 +15,127 @@
 )
 
 const (
-	// pace is how often it is looked who is to be called.
-	pace = roster.Interval / 4
-	// beatTimeout bounds one beat; links between availability zones take milliseconds.
-	beatTimeout = time.Second
+	// tickInterval is the interval between two checks for due calls and silent members.
+	tickInterval = roster.Interval / 4
+	// callTimeout limits a call that exchanges heartbeats. The latency between availability zones is some milliseconds.
+	callTimeout = time.Second
 )
 
-// To says for whom a beat is made.
+// To is the recipient of a heartbeat.
 type To struct {
 	Member Member
-	// Copies says that the entry keeps copies of this one's counts.
+	// Copies reports whether the recipient keeps copies of this entry's counts.
 	Copies bool
-	// Whole says that the entry's list of entries differs from this one's.
+	// Whole reports whether the recipient's list of entries differs from this entry's.
 	Whole bool
 }
 
-// Handler takes and gives what entries tell each other.
+// Handler provides and processes the content of heartbeats.
 type Handler interface {
-	// Beat returns what this entry tells; the gossip fills in what it knows of the entries.
+	// Beat returns the content of a heartbeat. Gossip adds what concerns the list of entries.
 	Beat(now time.Time, to To) Beat
-	// Heard takes in what another entry told.
-	Heard(now time.Time, beat Beat)
-	// Told takes in that the beat reached the entry.
-	Told(to Member, beat Beat)
-	// Silent takes in that an entry isn't heard of any more, is leaving, or was started anew.
+	// Heard processes a heartbeat from another entry.
+	Heard(now time.Time, heartbeat Beat)
+	// Told is called after the recipient has answered the heartbeat.
+	Told(to Member, heartbeat Beat)
+	// Silent is called when an entry has become silent, starts to leave, or was restarted.
 	Silent(now time.Time, member Member)
-	// Needed are the entries, by host, that must hear this one directly.
+	// Needed returns the host IDs of the entries that must receive heartbeats directly from this entry.
 	Needed() []string
 }
 
-// Gossip keeps the list of the other entries. It is safe for concurrent use.
+// Gossip maintains the list of the other entries and exchanges heartbeats with them. It is safe for concurrent use.
 type Gossip struct {
 	client  *peer.Client
 	handler Handler
 	log     zerolog.Logger
-	work    conc.WaitGroup
+	wg      conc.WaitGroup
 
 	mu     sync.Mutex
 	roster *roster.Roster
 }
 
-// New starts to gossip until ctx ends. The handler for beats must be registered before the registry's server starts.
+// New starts to exchange heartbeats until ctx ends. It registers a method, so it must be called before the registry's server starts.
 func New(ctx context.Context, self Member, client *peer.Client, registry *peer.Registry, handler Handler, log zerolog.Logger) *Gossip {
 	g := &Gossip{client: client, handler: handler, log: log, roster: roster.New(time.Now(), self)}
-	peer.Handle(registry, MethodBeat, func(_ context.Context, beat Beat) (Beat, error) {
+	peer.Handle(registry, MethodHeartbeat, func(_ context.Context, heartbeat Beat) (Beat, error) {
 		now := time.Now()
-		g.heard(now, beat)
-		return g.beat(now, beat.From, false), nil
+		g.handleHeartbeat(now, heartbeat)
+		return g.buildHeartbeat(now, heartbeat.From, false), nil
 	})
-	g.work.Go(func() {
-		ticker.Every(ctx, pace, func(now time.Time) {
-			g.callAll(ctx, now)
-			g.judge(now)
+	g.wg.Go(func() {
+		ticker.Every(ctx, tickInterval, func(now time.Time) {
+			g.sendHeartbeats(ctx, now)
+			g.reportSilentMembers(now)
 		})
 	})
 	return g
 }
 
-// Wait returns once all goroutines have ended, after the context has.
-func (g *Gossip) Wait() { g.work.Wait() }
+// Wait blocks until all goroutines have ended, which they do after the context has ended.
+func (g *Gossip) Wait() { g.wg.Wait() }
 
-// locked runs f while nobody else uses the list.
-func (g *Gossip) locked(f func(r *roster.Roster)) {
+// withRoster calls f with the roster while holding the lock.
+func (g *Gossip) withRoster(f func(r *roster.Roster)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f(g.roster)
 }
 
-// Meet adds addresses at which entries may be.
+// Meet adds addresses at which other entries may be reachable.
 func (g *Gossip) Meet(addresses ...netip.AddrPort) {
-	g.locked(func(r *roster.Roster) { r.AddAddresses(time.Now(), addresses...) })
+	g.withRoster(func(r *roster.Roster) { r.AddAddresses(time.Now(), addresses...) })
 }
 
-// Self returns this entry.
+// Self returns this entry as a member.
 func (g *Gossip) Self() (self Member) {
-	g.locked(func(r *roster.Roster) { self = r.Self() })
+	g.withRoster(func(r *roster.Roster) { self = r.Self() })
 	return self
 }
 
-// Leave tells the others from now on that this entry is leaving.
+// Leave marks this entry as leaving and announces it to the others.
 func (g *Gossip) Leave() {
-	g.locked(func(r *roster.Roster) { r.Leave(time.Now()) })
+	g.withRoster(func(r *roster.Roster) { r.Leave(time.Now()) })
 }
 
-// Alive returns the other entries that are heard of, sorted by host, leaving ones included.
+// Alive returns the other entries that are alive, including leaving ones, sorted by host ID.
 func (g *Gossip) Alive(time.Time) (alive []Member) {
-	g.locked(func(r *roster.Roster) { alive = append(alive, r.Alive()...) })
+	g.withRoster(func(r *roster.Roster) { alive = append(alive, r.Alive()...) })
 	return alive
 }
 
-// Find returns the entry of that name if it is heard of.
+// Find returns the entry with the host ID if it is alive.
 func (g *Gossip) Find(_ time.Time, hostID string) (member Member, ok bool) {
-	g.locked(func(r *roster.Roster) { member, ok = r.Find(hostID) })
+	g.withRoster(func(r *roster.Roster) { member, ok = r.Find(hostID) })
 	return member, ok
 }
 
-// beat returns a beat for an entry.
-func (g *Gossip) beat(now time.Time, to Member, copies bool) Beat {
+// buildHeartbeat returns a heartbeat for the entry.
+func (g *Gossip) buildHeartbeat(now time.Time, to Member, keepsCopies bool) Beat {
 	var list []roster.Update
-	g.locked(func(r *roster.Roster) { list = r.FullListFor(now, to.Address) })
-	beat := g.handler.Beat(now, To{Member: to, Copies: copies, Whole: len(list) > 0})
-	beat.List = list
-	g.locked(func(r *roster.Roster) {
-		beat.From = r.Self()
-		beat.Digest = r.Digest()
-		beat.News = r.PendingUpdates(now)
+	g.withRoster(func(r *roster.Roster) { list = r.FullListFor(now, to.Address) })
+	heartbeat := g.handler.Beat(now, To{Member: to, Copies: keepsCopies, Whole: len(list) > 0})
+	heartbeat.List = list
+	g.withRoster(func(r *roster.Roster) {
+		heartbeat.From = r.Self()
+		heartbeat.Digest = r.Digest()
+		heartbeat.News = r.PendingUpdates(now)
 	})
-	return beat
+	return heartbeat
 }
 
-// callAll sends beats to all entries whose turn it is.
-func (g *Gossip) callAll(ctx context.Context, now time.Time) {
-	needed := g.needed()
-	var due []roster.DueCall
-	g.locked(func(r *roster.Roster) { due = r.DueCalls(now, needed...) })
-	for _, each := range due {
-		g.work.Go(func() { g.call(ctx, each) })
+// sendHeartbeats starts a call to each entry to which a heartbeat is due.
+func (g *Gossip) sendHeartbeats(ctx context.Context, now time.Time) {
+	direct := g.directAddresses()
+	var calls []roster.DueCall
+	g.withRoster(func(r *roster.Roster) { calls = r.DueCalls(now, direct...) })
+	for _, call := range calls {
+		g.wg.Go(func() { g.exchangeHeartbeats(ctx, call) })
 	}
 }
 
-// needed returns the addresses of the entries that must hear this one directly.
-func (g *Gossip) needed() []netip.AddrPort {
+// directAddresses returns the addresses of the entries that must receive heartbeats directly from this entry.
+func (g *Gossip) directAddresses() []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for _, host := range g.handler.Needed() {
 		if member, ok := g.Find(time.Now(), host); ok {
@@ -145,39 +145,39 @@
 	return addresses
 }
 
-func (g *Gossip) call(ctx context.Context, due roster.DueCall) {
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+func (g *Gossip) exchangeHeartbeats(ctx context.Context, call roster.DueCall) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	beat := g.beat(time.Now(), due.Member, due.KeepsCopies)
-	answer, err := peer.Ask[Beat, Beat](ctx, g.client, due.Address, MethodBeat, beat)
-	g.locked(func(r *roster.Roster) { r.CallEnded(due.Address) })
+	heartbeat := g.buildHeartbeat(time.Now(), call.Member, call.KeepsCopies)
+	answer, err := peer.Ask[Beat, Beat](ctx, g.client, call.Address, MethodHeartbeat, heartbeat)
+	g.withRoster(func(r *roster.Roster) { r.CallEnded(call.Address) })
 	if err != nil {
-		// Who doesn't answer is taken for silent after a time.
+		// An entry that doesn't answer is considered silent after some time.
 		return
 	}
-	g.handler.Told(answer.From, beat)
-	g.heard(time.Now(), answer)
+	g.handler.Told(answer.From, heartbeat)
+	g.handleHeartbeat(time.Now(), answer)
 }
 
-// heard takes in a beat, whether it came as a call or as an answer. News goes first: only what wasn't known yet is passed on, and what
-// was learned from a list or from the entry itself would not be.
-func (g *Gossip) heard(now time.Time, beat Beat) {
+// handleHeartbeat processes a heartbeat that was received as a call or as an answer. It applies the news first, because the roster passes
+// on only news that is new to it, and it would know the same changes already from the list or from the sender itself.
+func (g *Gossip) handleHeartbeat(now time.Time, heartbeat Beat) {
 	var changes []roster.Change
-	g.locked(func(r *roster.Roster) {
-		changes = append(changes, r.ApplyUpdates(now, beat.News)...)
-		changes = append(changes, r.MergeList(now, beat.List)...)
-		if change, changed := r.RecordContact(now, beat.From, beat.Digest); changed {
+	g.withRoster(func(r *roster.Roster) {
+		changes = append(changes, r.ApplyUpdates(now, heartbeat.News)...)
+		changes = append(changes, r.MergeList(now, heartbeat.List)...)
+		if change, changed := r.RecordContact(now, heartbeat.From, heartbeat.Digest); changed {
 			changes = append(changes, change)
 		}
 	})
 	for _, change := range changes {
-		g.tell(now, change)
+		g.reportChange(now, change)
 	}
-	g.handler.Heard(now, beat)
+	g.handler.Heard(now, heartbeat)
 }
 
-// tell logs a change and tells the handler of a run that is over.
-func (g *Gossip) tell(now time.Time, change roster.Change) {
+// reportChange logs a change, and tells the handler if a run of an entry is over.
+func (g *Gossip) reportChange(now time.Time, change roster.Change) {
 	switch {
 	case change.Silent:
 		g.log.Warn().Str("dependency", "entry").Str("entry", change.Current.HostID).Msg("lost")
@@ -193,14 +193,14 @@
 	}
 }
 
-// judge tells the handler of entries that fell silent.
-func (g *Gossip) judge(now time.Time) {
-	var fallen []Member
-	g.locked(func(r *roster.Roster) { fallen = r.DetectFailures(now) })
-	for _, member := range fallen {
-		g.tell(now, roster.Change{Previous: member, Current: member, Silent: true})
+// reportSilentMembers reports the entries that have become silent.
+func (g *Gossip) reportSilentMembers(now time.Time) {
+	var silent []Member
+	g.withRoster(func(r *roster.Roster) { silent = r.DetectFailures(now) })
+	for _, member := range silent {
+		g.reportChange(now, roster.Change{Previous: member, Current: member, Silent: true})
 	}
 }
 
-// State returns the other entries for the dump.
+// State returns the other entries for the debug state.
 func (g *Gossip) State() any { return g.Alive(time.Now()) }
--- a/internal/edge/gossip/message.go
+++ b/internal/edge/gossip/message.go
@@ -1,6 +1,6 @@
-// Package gossip lets the entries of a deployment know of each other: who lives, what each runs, and which of them has
-// newer state from the store. It agrees on nothing; what must be agreed goes through the store. Whom an entry calls and whom it
-// takes for alive is decided in core/roster.
+// Package gossip exchanges state between the entries of a deployment: which of them are alive, what each runs, and which has newer
+// state from the store. It provides no consensus, which goes through the store. Package core/roster decides which other entries an
+// entry calls and which it considers alive.
 package gossip
 
 import (
@@ -9,47 +9,48 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// Methods between entries.
+// Methods that entries call on each other.
 const (
-	MethodBeat peer.Method = "gossip.beat"
+	MethodHeartbeat peer.Method = "gossip.beat"
 )
 
-// Member is one run of an entry.
+// Member is one run of an entry's process.
 type Member = roster.Member
 
-// Beat is what entries tell each other several times a second. What doesn't change takes no room in it: at 380 entries a beat of some
-// hundred bytes leaves an entry below the 15 KB/s that control may take.
+// Beat is the heartbeat that entries exchange several times a second. State that hasn't changed is left out of it: with 380 entries and
+// heartbeats of some hundred bytes, an entry stays below the limit of 15 KB/s for control traffic.
 type Beat struct {
 	From Member `msgpack:"f"`
-	// Digest is that of the list of entries that the entry has, News what changed of it lately, and List all of it for one whose list
-	// differs.
+	// Digest is the digest of the sender's list of entries, and News the recent changes to that list. List is the whole list, for a
+	// recipient whose list differs.
 	Digest uint64          `msgpack:"d"`
 	News   []roster.Update `msgpack:"n"`
 	List   []roster.Update `msgpack:"m"`
-	// Revisions are the revisions of the parts of the store's state that the entry has, by kind.
+	// Revisions are the revisions of the sender's copies of the store's state, by kind.
 	Revisions map[string]uint64 `msgpack:"v"`
-	// Running is the number of requests that the entry runs at each backend server.
+	// Running is the number of requests that the sender runs at each backend server, by the server's ID.
 	Running map[string]int `msgpack:"r"`
-	// Counts are counts of usage in windows that are not reported yet, as far as the entry that hears the beat hasn't got them from
-	// this one: this entry's own, and to the holder of the duties also copies of others'.
+	// Counts are usage counts of windows that are not reported yet, except those that the recipient already has from the sender: the
+	// sender's own counts, and for the holder of the duties also the sender's copies of other entries' counts.
 	Counts []usage.Count `msgpack:"u"`
-	// Jobs are the batch jobs that the entry runs, or ran to their last result.
+	// Jobs are the batch jobs that the sender runs, or has run to their last result.
 	Jobs []string `msgpack:"j"`
-	// TokenRates are the output rates that the running jobs require, by model, in expected tokens per second until they are due.
+	// TokenRates are the output rates that the running jobs require to meet their deadlines, by model, in expected tokens per second.
 	TokenRates map[string]float64 `msgpack:"t"`
-	// Ended are batch jobs that ended lately.
+	// Ended are the batch jobs that ended recently.
 	Ended []string `msgpack:"e"`
-	// Contacts is how long ago each entry that reached the store lately did, in milliseconds.
+	// Contacts is the time in milliseconds since each entry last reached the store, for entries that did so recently.
 	Contacts map[string]int64 `msgpack:"w"`
-	// Owners are the entries that run batch jobs, by job, as far as the entry heard of them lately; of all for one whose list differs.
+	// Owners maps batch jobs to the entries that run them: the owners that the sender learned recently, or all owners for a recipient
+	// whose list of entries differs.
 	Owners map[string]string `msgpack:"o"`
-	// Holder is who holds the duties.
+	// Holder is the holder of the duties as far as the sender knows.
 	Holder Holder `msgpack:"l"`
 }
 
-// Holder is the entry that holds the duties.
+// Holder is the entry that holds the duties, the control tasks that one entry runs for the deployment.
 type Holder struct {
 	HostID string `msgpack:"h"`
-	// Version is that of the lease object after the holder's last renewal that is known; 0 if none is.
+	// Version is the version of the lease object after the holder's last known renewal, or 0 if no renewal is known.
 	Version uint64 `msgpack:"v"`
 }
