--- a/internal/edge/agent/agent_test.go
+++ b/internal/edge/agent/agent_test.go
@@ -318,7 +318,7 @@
 func (b *bench) untilQueued(t testing.TB, count int) {
 	t.Helper()
 	for {
-		load, err := peer.Ask[request.Probe, request.Load](t.Context(), b.client, b.address, MethodProbe, request.Probe{})
+		load, err := peer.Call[request.Probe, request.Load](t.Context(), b.client, b.address, MethodProbe, request.Probe{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -330,7 +330,7 @@
 
 func (b *bench) settle(t testing.TB, id request.ID) request.Settled {
 	t.Helper()
-	settled, err := peer.Ask[request.Settle, request.Settled](t.Context(), b.client, b.address, MethodSettle,
+	settled, err := peer.Call[request.Settle, request.Settled](t.Context(), b.client, b.address, MethodSettle,
 		request.Settle{ID: id, Process: b.agent.process.Load()})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/edge/agent/cuts_test.go
+++ b/internal/edge/agent/cuts_test.go
@@ -124,7 +124,7 @@
 	if errors.Is(err, peer.ErrUnsent) {
 		return verdict.NotRun
 	}
-	settled, err := peer.Ask[request.Settle, request.Settled](ctx, c.bench.client, c.bench.address, MethodSettle,
+	settled, err := peer.Call[request.Settle, request.Settled](ctx, c.bench.client, c.bench.address, MethodSettle,
 		request.Settle{ID: id, Process: peer.LostProcess(err)})
 	if err != nil {
 		return verdict.MayHaveRun
--- a/internal/edge/agent/failure_test.go
+++ b/internal/edge/agent/failure_test.go
@@ -114,7 +114,7 @@
 		{name: "sent to the dead process", process: process, want: verdict.MayHaveRun},
 		{name: "sent to this process", process: again.agent.process.Load(), want: verdict.NotRun},
 	} {
-		settled, err := peer.Ask[request.Settle, request.Settled](t.Context(), entry, again.address, MethodSettle,
+		settled, err := peer.Call[request.Settle, request.Settled](t.Context(), entry, again.address, MethodSettle,
 			request.Settle{ID: q.ID, Process: tc.process})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/edge/batchjob/end.go
+++ b/internal/edge/batchjob/end.go
@@ -42,7 +42,7 @@
 func (m *Manager) requestEnd(ctx context.Context, holder gossip.Member, q EndRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	answer, err := peer.Ask[EndRequest, EndAnswer](ctx, m.peers, holder.Address, MethodEnd, q)
+	answer, err := peer.Call[EndRequest, EndAnswer](ctx, m.peers, holder.Address, MethodEnd, q)
 	if err == nil && !answer.Known {
 		err = errors.Errorf("job %s is not in memory there", q.Job)
 	}
--- a/internal/edge/batchjob/handover.go
+++ b/internal/edge/batchjob/handover.go
@@ -57,7 +57,7 @@
 	q.Partials = j.progress.Partials()
 	j.mu.Unlock()
 	for _, member := range candidates {
-		_, err := peer.Ask[RunRequest, RunAnswer](ctx, m.peers, member.Address, MethodRun, q)
+		_, err := peer.Call[RunRequest, RunAnswer](ctx, m.peers, member.Address, MethodRun, q)
 		m.log.Info().Str("request", j.spec.ID).Str("entry", member.HostID).AnErr("answer", err).Msg("batch job handed over")
 		if err == nil {
 			m.mergeOwners(m.members.Self(), map[string]string{j.spec.ID: member.HostID})
--- a/internal/edge/batchjob/home.go
+++ b/internal/edge/batchjob/home.go
@@ -68,7 +68,7 @@
 		defer cancel()
 		q := m.newRunRequest(spec)
 		q.SpecJSON = specJSON
-		_, err := peer.Ask[RunRequest, RunAnswer](ctx, m.peers, home.Address, MethodRun, q)
+		_, err := peer.Call[RunRequest, RunAnswer](ctx, m.peers, home.Address, MethodRun, q)
 		m.log.Info().Str("request", spec.ID).Str("entry", home.HostID).Str("model", spec.Model).AnErr("answer", err).
 			Msg("batch job assigned to its home")
 		if err != nil {
--- a/internal/edge/batchjob/owner_test.go
+++ b/internal/edge/batchjob/owner_test.go
@@ -229,7 +229,7 @@
 			m := newTestManager(ctx, cancellableStore{store.client()}, fakeMembers{self: "self", others: []gossip.Member{{HostID: "frozen", Address: owner.address}}})
 			defer m.Wait()
 			defer cancel()
-			if _, err := peer.Ask[ReadRequest, ReadAnswer](ctx, m.peers, owner.address, MethodRead, ReadRequest{}); err != nil {
+			if _, err := peer.Call[ReadRequest, ReadAnswer](ctx, m.peers, owner.address, MethodRead, ReadRequest{}); err != nil {
 				t.Fatal(err)
 			}
 			owner.frozen.Store(true)
--- a/internal/edge/batchjob/read.go
+++ b/internal/edge/batchjob/read.go
@@ -80,7 +80,7 @@
 	ctx, cancel := context.WithTimeout(ctx, q.Wait+peerTimeout)
 	defer cancel()
 	sent := time.Now()
-	answer, err := peer.Ask[ReadRequest, ReadAnswer](ctx, m.peers, from.Address, MethodRead, q)
+	answer, err := peer.Call[ReadRequest, ReadAnswer](ctx, m.peers, from.Address, MethodRead, q)
 	return answer, err == nil && answer.Known && answer.isCurrent(time.Since(sent)), err
 }
 
@@ -212,7 +212,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	answer, err := peer.Ask[BodyRequest, BodyAnswer](ctx, m.peers, from.Address, MethodBody, q)
+	answer, err := peer.Call[BodyRequest, BodyAnswer](ctx, m.peers, from.Address, MethodBody, q)
 	return answer.Body, err == nil && answer.Known && answer.Found
 }
 
--- a/internal/edge/batchjob/reopen.go
+++ b/internal/edge/batchjob/reopen.go
@@ -84,7 +84,7 @@
 	if !ok || former.Leaving {
 		return false
 	}
-	_, err := peer.Ask[RunRequest, RunAnswer](ctx, m.peers, former.Address, MethodRun, q)
+	_, err := peer.Call[RunRequest, RunAnswer](ctx, m.peers, former.Address, MethodRun, q)
 	m.log.Info().Str("request", id).Str("entry", hostID).AnErr("answer", err).Msg("asked the former owner to run an open batch job again")
 	if err == nil {
 		m.recordOwner(id, hostID)
--- a/internal/edge/batchjob/takeover.go
+++ b/internal/edge/batchjob/takeover.go
@@ -49,7 +49,7 @@
 	defer cancel()
 	q.From = m.members.Self().HostID
 	q.SkipOwnerCheck = true
-	_, err := peer.Ask[RunRequest, RunAnswer](ctx, m.peers, owner.Address, MethodRun, q)
+	_, err := peer.Call[RunRequest, RunAnswer](ctx, m.peers, owner.Address, MethodRun, q)
 	if err != nil {
 		m.log.Info().Err(err).Str("request", q.Job).Str("entry", owner.HostID).
 			Msg("entry doesn't run the job that it was known to run")
--- a/internal/edge/configuration/exchange.go
+++ b/internal/edge/configuration/exchange.go
@@ -90,19 +90,19 @@
 type peerExchange struct{ client *peer.Client }
 
 func (e peerExchange) Follow(ctx context.Context, to netip.AddrPort, ask FollowAsk) (FollowAnswer, error) {
-	return peer.Ask[FollowAsk, FollowAnswer](ctx, e.client, to, MethodFollow, ask)
+	return peer.Call[FollowAsk, FollowAnswer](ctx, e.client, to, MethodFollow, ask)
 }
 
 func (e peerExchange) Parts(ctx context.Context, to netip.AddrPort, ask PartsAsk) (PartsAnswer, error) {
-	return peer.Ask[PartsAsk, PartsAnswer](ctx, e.client, to, MethodParts, ask)
+	return peer.Call[PartsAsk, PartsAnswer](ctx, e.client, to, MethodParts, ask)
 }
 
 func (e peerExchange) Offer(ctx context.Context, to netip.AddrPort, offer Offer) (OfferAnswer, error) {
-	return peer.Ask[Offer, OfferAnswer](ctx, e.client, to, MethodOffer, offer)
+	return peer.Call[Offer, OfferAnswer](ctx, e.client, to, MethodOffer, offer)
 }
 
 func (e peerExchange) InForce(ctx context.Context, to netip.AddrPort, ask InForceAsk) (InForceAnswer, error) {
-	return peer.Ask[InForceAsk, InForceAnswer](ctx, e.client, to, MethodInForce, ask)
+	return peer.Call[InForceAsk, InForceAnswer](ctx, e.client, to, MethodInForce, ask)
 }
 
 // Register serves the relay's methods. Every host serves them: which hosts are relays changes with
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -238,7 +238,7 @@
 	for i, server := range candidates {
 		group.Go(func() {
 			sent := time.Now()
-			load, err := peer.Ask[request.Probe, request.Load](ctx, d.client, server.Address, agent.MethodProbe,
+			load, err := peer.Call[request.Probe, request.Load](ctx, d.client, server.Address, agent.MethodProbe,
 				request.Probe{Organisation: c.organisation, PrefixHash: c.prefix})
 			probed[i] = placement.ProbeResult{Server: server, Load: load, Err: err, RoundTrip: time.Since(sent)}
 			if err == nil {
--- a/internal/edge/entry/settle.go
+++ b/internal/edge/entry/settle.go
@@ -34,7 +34,7 @@
 	defer cancel()
 	result := verdict.MayHaveRun
 	for {
-		settled, err := peer.Ask[request.Settle, request.Settled](ctx, d.client, server.Address, agent.MethodSettle, ask)
+		settled, err := peer.Call[request.Settle, request.Settled](ctx, d.client, server.Address, agent.MethodSettle, ask)
 		if err == nil {
 			result = settled.Verdict
 			if result == verdict.Ran {
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -149,7 +149,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	heartbeat := g.buildHeartbeat(time.Now(), call.Member, call.KeepsCopies)
-	answer, err := peer.Ask[Beat, Beat](ctx, g.client, call.Address, MethodHeartbeat, heartbeat)
+	answer, err := peer.Call[Beat, Beat](ctx, g.client, call.Address, MethodHeartbeat, heartbeat)
 	g.withRoster(func(r *roster.Roster) { r.CallEnded(call.Address) })
 	if err != nil {
 		// An entry that doesn't answer is considered silent after some time.
--- a/internal/edge/membership/exchange.go
+++ b/internal/edge/membership/exchange.go
@@ -87,5 +87,5 @@
 
 // Changes implements Exchange.
 func (e peerExchange) Changes(ctx context.Context, to netip.AddrPort, ask ChangesAsk) (ChangesAnswer, error) {
-	return peer.Ask[ChangesAsk, ChangesAnswer](ctx, e.client, to, MethodChanges, ask)
+	return peer.Call[ChangesAsk, ChangesAnswer](ctx, e.client, to, MethodChanges, ask)
 }
--- a/internal/edge/membership/handover.go
+++ b/internal/edge/membership/handover.go
@@ -39,7 +39,7 @@
 func (s peerSource) Hosts(ctx context.Context) ([]platform.Host, error) {
 	failure := ErrNoList
 	for _, address := range s.known {
-		answer, err := peer.Ask[HostsAsk, HostsAnswer](ctx, s.client, address, MethodHosts, HostsAsk{})
+		answer, err := peer.Call[HostsAsk, HostsAnswer](ctx, s.client, address, MethodHosts, HostsAsk{})
 		if err == nil && len(answer.Hosts) > 0 {
 			return answer.Hosts, nil
 		}
--- a/internal/edge/peer/answer.go
+++ b/internal/edge/peer/answer.go
@@ -13,9 +13,9 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// Ask sends a request with message q and returns its answer, a single message. It returns an error that wraps ErrUnsent or
+// Call sends a request with message q and returns its answer, a single message. It returns an error that wraps ErrUnsent or
 // ErrLost if the transport fails, and a *verdict.Refusal if the peer refuses the request.
-func Ask[Q, A any](ctx context.Context, c *Client, to netip.AddrPort, m Method, q Q) (A, error) {
+func Call[Q, A any](ctx context.Context, c *Client, to netip.AddrPort, m Method, q Q) (A, error) {
 	var a A
 	s, err := startRequest(ctx, c, to, m, q)
 	if err != nil {
--- a/internal/edge/peer/bench_test.go
+++ b/internal/edge/peer/bench_test.go
@@ -42,7 +42,7 @@
 	peers := newTestPeers(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := Ask[text, text](b.Context(), peers.client, peers.address, methodEcho, text{Text: "hello"}); err != nil {
+		if _, err := Call[text, text](b.Context(), peers.client, peers.address, methodEcho, text{Text: "hello"}); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -53,7 +53,7 @@
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			if _, err := Ask[text, text](b.Context(), peers.client, peers.address, methodEcho, text{Text: "hello"}); err != nil {
+			if _, err := Call[text, text](b.Context(), peers.client, peers.address, methodEcho, text{Text: "hello"}); err != nil {
 				b.Error(err)
 			}
 		}
@@ -90,7 +90,7 @@
 	connections := 0
 	for b.Loop() {
 		client := newTestClient(b, testSecret)
-		if _, err := Ask[text, text](b.Context(), client, peers.address, methodEcho, text{}); err != nil {
+		if _, err := Call[text, text](b.Context(), client, peers.address, methodEcho, text{}); err != nil {
 			b.Fatal(err)
 		}
 		connections++
--- a/internal/edge/peer/failure_test.go
+++ b/internal/edge/peer/failure_test.go
@@ -129,7 +129,7 @@
 func TestWrongSecret(t *testing.T) {
 	peers := newTestPeers(t)
 	client := newTestClient(t, []byte("another secret"))
-	_, err := Ask[text, text](t.Context(), client, peers.address, methodEcho, text{})
+	_, err := Call[text, text](t.Context(), client, peers.address, methodEcho, text{})
 	if !errors.Is(err, ErrUnsent) || !strings.Contains(err.Error(), ErrHandshake.Error()) {
 		t.Errorf("client with another secret: %v", err)
 	}
@@ -300,7 +300,7 @@
 func callUntilRefused(t *testing.T, peers *testPeers) *verdict.Refusal {
 	t.Helper()
 	for {
-		_, err := Ask[text, text](t.Context(), peers.client, peers.address, methodEcho, text{})
+		_, err := Call[text, text](t.Context(), peers.client, peers.address, methodEcho, text{})
 		if refusal, ok := verdict.As(err); ok {
 			return refusal
 		}
@@ -320,7 +320,7 @@
 	}
 	for range 20 {
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
-		if _, err := Ask[text, text](ctx, peers.client, peers.address, methodEcho, text{}); err != nil {
+		if _, err := Call[text, text](ctx, peers.client, peers.address, methodEcho, text{}); err != nil {
 			t.Fatal(err)
 		}
 		cancel()
@@ -368,19 +368,19 @@
 	peers := newTestPeers(t)
 	l, address := listen(t)
 	_ = l.Close()
-	if _, err := Ask[text, text](t.Context(), peers.client, address, methodEcho, text{}); !errors.Is(err, ErrUnsent) {
+	if _, err := Call[text, text](t.Context(), peers.client, address, methodEcho, text{}); !errors.Is(err, ErrUnsent) {
 		t.Errorf("no listener: %v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := Ask[text, text](ctx, peers.client, peers.address, methodEcho, text{}); !errors.Is(err, ErrUnsent) {
+	if _, err := Call[text, text](ctx, peers.client, peers.address, methodEcho, text{}); !errors.Is(err, ErrUnsent) {
 		t.Errorf("cancelled before the call: %v", err)
 	}
-	_, err := Ask[text, text](t.Context(), peers.client, peers.address, methodEcho, text{Text: strings.Repeat("x", defaultMaxFrame)})
+	_, err := Call[text, text](t.Context(), peers.client, peers.address, methodEcho, text{Text: strings.Repeat("x", defaultMaxFrame)})
 	if refusal, ok := verdict.As(err); !ok || refusal.Verdict != verdict.NotRun {
 		t.Errorf("too large: %v", err)
 	}
-	_, err = Ask[text, text](t.Context(), peers.client, peers.address, "unknown", text{})
+	_, err = Call[text, text](t.Context(), peers.client, peers.address, "unknown", text{})
 	if refusal, ok := verdict.As(err); !ok || refusal.Verdict != verdict.NotRun {
 		t.Errorf("unknown method: %v", err)
 	}
@@ -390,7 +390,7 @@
 func TestIdleConnectionIsClosed(t *testing.T) {
 	peers := newTestPeers(t, WithIdleTimeout(10*time.Millisecond))
 	for range 3 {
-		if _, err := Ask[text, text](t.Context(), peers.client, peers.address, methodEcho, text{}); err != nil {
+		if _, err := Call[text, text](t.Context(), peers.client, peers.address, methodEcho, text{}); err != nil {
 			t.Fatal(err)
 		}
 		for len(peers.server.connections()) > 0 {
--- a/internal/edge/peer/peer_test.go
+++ b/internal/edge/peer/peer_test.go
@@ -129,7 +129,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			peers := newTestPeers(t, test.opts...)
-			got, err := Ask[text, text](t.Context(), peers.client, peers.address, methodEcho, text{Text: "hello"})
+			got, err := Call[text, text](t.Context(), peers.client, peers.address, methodEcho, text{Text: "hello"})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/edge/peer/state_test.go
+++ b/internal/edge/peer/state_test.go
@@ -9,7 +9,7 @@
 
 func TestClientAndServerState(t *testing.T) {
 	peers := newTestPeers(t)
-	if _, err := Ask[text, text](t.Context(), peers.client, peers.address, methodEcho, text{}); err != nil {
+	if _, err := Call[text, text](t.Context(), peers.client, peers.address, methodEcho, text{}); err != nil {
 		t.Fatal(err)
 	}
 	answer, err := Open[text, text](t.Context(), peers.client, peers.address, methodHold, text{})
--- a/internal/edge/peer/tls_test.go
+++ b/internal/edge/peer/tls_test.go
@@ -59,7 +59,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			peers := newTestPeers(t, test.opts...)
 			client := newTestClient(t, test.secret, test.opts...)
-			_, err := Ask[text, text](t.Context(), client, peers.address, methodEcho, text{})
+			_, err := Call[text, text](t.Context(), client, peers.address, methodEcho, text{})
 			if (err != nil) != test.refused {
 				t.Errorf("error %v", err)
 			}
--- a/internal/edge/store/relay.go
+++ b/internal/edge/store/relay.go
@@ -101,7 +101,7 @@
 func (r *Relay) through(ctx context.Context, member gossip.Member, call platform.Call) (platform.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+call.Wait)
 	defer cancel()
-	answer, err := peer.Ask[platform.Call, relayed](ctx, r.client, member.Address, MethodCall, call)
+	answer, err := peer.Call[platform.Call, relayed](ctx, r.client, member.Address, MethodCall, call)
 	switch {
 	case errors.Is(err, peer.ErrUnsent):
 		return platform.Reply{}, errors.Wrapf(product.ErrUnavailable, "entry %s: %v", member.HostID, err)
--- a/internal/edge/trainer/peer.go
+++ b/internal/edge/trainer/peer.go
@@ -185,7 +185,7 @@
 		if i == copyTries {
 			break
 		}
-		_, err = peer.Ask[copyMessage, copied](ctx, p.client, host, MethodCopySample, copyMessage{Job: job, Sample: sample})
+		_, err = peer.Call[copyMessage, copied](ctx, p.client, host, MethodCopySample, copyMessage{Job: job, Sample: sample})
 		if err == nil {
 			return host, nil
 		}
@@ -198,7 +198,7 @@
 	var samples []CopiedSample
 	for len(digests) > 0 {
 		message := fetchMessage{Job: job, Digests: digests}
-		answer, err := peer.Ask[fetchMessage, fetched](ctx, p.client, from, MethodFetchSamples, message)
+		answer, err := peer.Call[fetchMessage, fetched](ctx, p.client, from, MethodFetchSamples, message)
 		if err != nil {
 			return nil, errors.Wrapf(err, "fetch samples of job %s", job)
 		}
--- a/internal/edge/view/follow.go
+++ b/internal/edge/view/follow.go
@@ -106,7 +106,7 @@
 	ctx, cancel := context.WithTimeout(ctx, partTimeout)
 	defer cancel()
 	part, _ := f.view.Part(kind)
-	answer, err := peer.Ask[PartRequest, PartAnswer](ctx, f.client, from, MethodPart, PartRequest{Kind: kind, Known: part.Revision})
+	answer, err := peer.Call[PartRequest, PartAnswer](ctx, f.client, from, MethodPart, PartRequest{Kind: kind, Known: part.Revision})
 	if err != nil {
 		// The next beat tells of the newer revision again.
 		f.log.Debug().Err(err).Str("kind", kind).Stringer("entry", from).Msg("part not fetched")
--- a/internal/program/capacity/connections.go
+++ b/internal/program/capacity/connections.go
@@ -86,7 +86,7 @@
 	failures := make([]error, len(clients))
 	var asks conc.WaitGroup
 	for i, client := range clients {
-		asks.Go(func() { _, failures[i] = peer.Ask[echo, echo](ctx, client, to, methodEcho, echo{Number: i}) })
+		asks.Go(func() { _, failures[i] = peer.Call[echo, echo](ctx, client, to, methodEcho, echo{Number: i}) })
 	}
 	asks.Wait()
 	return firstError(failures)
--- a/internal/program/process/gatherer.go
+++ b/internal/program/process/gatherer.go
@@ -79,7 +79,7 @@
 func (r *runtime) handOver(ctx context.Context, host platform.Host, counts []usage.Count) bool {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
-	_, err := peer.Ask[takeUsage, took](ctx, r.client, host.PeerAddress, methodTakeUsage, takeUsage{Counts: counts})
+	_, err := peer.Call[takeUsage, took](ctx, r.client, host.PeerAddress, methodTakeUsage, takeUsage{Counts: counts})
 	return err == nil
 }
 
@@ -163,7 +163,7 @@
 func (g *gatherer) ask(ctx context.Context, host platform.Host, source *billing.Source) {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
-	answer, err := peer.Ask[billing.GatherAsk, billing.GatherAnswer](ctx, g.runtime.client, host.PeerAddress, methodGatherUsage, source.Ask(g.collector))
+	answer, err := peer.Call[billing.GatherAsk, billing.GatherAnswer](ctx, g.runtime.client, host.PeerAddress, methodGatherUsage, source.Ask(g.collector))
 	if err != nil {
 		g.runtime.log.Debug().Err(err).Str("from", host.ID).Msg("usage not gathered")
 		return
--- a/internal/program/process/joblease.go
+++ b/internal/program/process/joblease.go
@@ -107,7 +107,7 @@
 func askHolder(ctx context.Context, client *peer.Client, to netip.AddrPort, name string) (holderAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, holderTimeout)
 	defer cancel()
-	return peer.Ask[holderAsk, holderAnswer](ctx, client, to, methodDutyHolder, holderAsk{Duty: name})
+	return peer.Call[holderAsk, holderAnswer](ctx, client, to, methodDutyHolder, holderAsk{Duty: name})
 }
 
 // contenders returns the entries that contend for the duty.
--- a/internal/program/process/turnedaway.go
+++ b/internal/program/process/turnedaway.go
@@ -54,7 +54,7 @@
 func (z zone) turnedAwayAt(ctx context.Context, host platform.Host) map[string]float64 {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	answer, err := peer.Ask[turnedAwayAsk, turnedAwayAnswer](ctx, z.runtime.client, host.PeerAddress, methodTurnedAway, turnedAwayAsk{})
+	answer, err := peer.Call[turnedAwayAsk, turnedAwayAnswer](ctx, z.runtime.client, host.PeerAddress, methodTurnedAway, turnedAwayAsk{})
 	if err != nil {
 		return nil
 	}
--- a/internal/program/process/weightswitch.go
+++ b/internal/program/process/weightswitch.go
@@ -147,7 +147,7 @@
 func (s *weightSwitch) hasLoaded(ctx context.Context, host platform.Host, version int) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	load, err := peer.Ask[request.Probe, request.Load](ctx, s.runtime.client, host.PeerAddress, agent.MethodProbe, request.Probe{})
+	load, err := peer.Call[request.Probe, request.Load](ctx, s.runtime.client, host.PeerAddress, agent.MethodProbe, request.Probe{})
 	return err == nil && max(load.Prefetched, load.Version) >= version
 }
 
--- a/internal/program/process/zone.go
+++ b/internal/program/process/zone.go
@@ -79,7 +79,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	server := corefleet.Server{HostID: host.ID, Leaving: host.State == platform.HostLeaving, ReportAge: noReport}
-	load, err := peer.Ask[request.Probe, request.Load](ctx, z.runtime.client, host.PeerAddress, agent.MethodProbe, request.Probe{})
+	load, err := peer.Call[request.Probe, request.Load](ctx, z.runtime.client, host.PeerAddress, agent.MethodProbe, request.Probe{})
 	if err != nil {
 		return server
 	}
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	_, err := peer.Ask[request.Drain, request.Load](ctx, z.runtime.client, host.PeerAddress, agent.MethodLeave, request.Drain{Drain: order.Drain, Fencing: uint64(order.Fencing)})
+	_, err := peer.Call[request.Drain, request.Load](ctx, z.runtime.client, host.PeerAddress, agent.MethodLeave, request.Drain{Drain: order.Drain, Fencing: uint64(order.Fencing)})
 	return errors.Wrap(err, order.HostID)
 }
 
