--- a/internal/edge/agent/agent_test.go
+++ b/internal/edge/agent/agent_test.go
@@ -291,7 +291,7 @@
 
 // send runs a request to its end.
 func (b *bench) send(ctx context.Context, q request.Execute) answer {
-	a, err := peer.Open[request.Execute, request.AnswerEnd](ctx, b.client, b.address, MethodExecute, q)
+	a, err := peer.OpenStream[request.Execute, request.AnswerEnd](ctx, b.client, b.address, MethodExecute, q)
 	if err != nil {
 		return answer{err: err}
 	}
--- a/internal/edge/agent/failure_test.go
+++ b/internal/edge/agent/failure_test.go
@@ -94,7 +94,7 @@
 	entry := newClient(t)
 	lost := make(chan error, 1)
 	go func() {
-		_, err := peer.Open[request.Execute, request.AnswerEnd](t.Context(), entry, b.address, MethodExecute, q)
+		_, err := peer.OpenStream[request.Execute, request.AnswerEnd](t.Context(), entry, b.address, MethodExecute, q)
 		lost <- err
 	}()
 	<-b.server.started
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -254,7 +254,7 @@
 func (d *Dispatcher) try(ctx context.Context, c call, server placement.Server, consume consumer) error {
 	started := time.Now()
 	message := d.fill(ctx, c)
-	answer, err := peer.Open[request.Execute, request.AnswerEnd](ctx, d.client, server.Address, agent.MethodExecute, message)
+	answer, err := peer.OpenStream[request.Execute, request.AnswerEnd](ctx, d.client, server.Address, agent.MethodExecute, message)
 	if err == nil {
 		err = consume(answer)
 	}
--- a/internal/edge/peer/answer.go
+++ b/internal/edge/peer/answer.go
@@ -34,9 +34,9 @@
 	return a, nil
 }
 
-// Open sends a request whose answer is streamed, and returns when the head of the answer has arrived.
+// OpenStream sends a request whose answer is streamed, and returns when the head of the answer has arrived.
 // The answer is cancelled when ctx ends. Otherwise the caller must read it to the end or cancel it.
-func Open[Q, E any](ctx context.Context, c *Client, to netip.AddrPort, m Method, q Q) (*Answer[E], error) {
+func OpenStream[Q, E any](ctx context.Context, c *Client, to netip.AddrPort, m Method, q Q) (*Answer[E], error) {
 	s, err := startRequest(ctx, c, to, m, q)
 	if err != nil {
 		return nil, err
--- a/internal/edge/peer/bench_test.go
+++ b/internal/edge/peer/bench_test.go
@@ -67,7 +67,7 @@
 	before := memoryInUse()
 	var answers []*Answer[text]
 	for b.Loop() {
-		answer, err := Open[text, text](b.Context(), peers.client, peers.address, methodHold, text{})
+		answer, err := OpenStream[text, text](b.Context(), peers.client, peers.address, methodHold, text{})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/edge/peer/failure_test.go
+++ b/internal/edge/peer/failure_test.go
@@ -54,7 +54,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			peers := newTestPeers(t)
 			_, address := newProxy(t, peers.address, test.tamper)
-			answer, err := Open[text, text](t.Context(), peers.client, address, methodStream, text{Text: body})
+			answer, err := OpenStream[text, text](t.Context(), peers.client, address, methodStream, text{Text: body})
 			if err == nil {
 				_, err = readAnswer(answer)
 			}
@@ -93,7 +93,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			peers := newTestPeers(t, WithHeartbeat(20*time.Millisecond, 100*time.Millisecond))
 			p, address := newProxy(t, peers.address, func(f frame) []frame { return []frame{f} })
-			answer, err := Open[text, text](t.Context(), peers.client, address, methodHold, text{})
+			answer, err := OpenStream[text, text](t.Context(), peers.client, address, methodHold, text{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -238,7 +238,7 @@
 	failures := make(chan string, streams)
 	for range streams {
 		readers.Go(func() {
-			answer, err := Open[text, text](t.Context(), peers.client, peers.address, methodHold, text{Text: body})
+			answer, err := OpenStream[text, text](t.Context(), peers.client, peers.address, methodHold, text{Text: body})
 			if err != nil {
 				failures <- err.Error()
 				return
@@ -276,7 +276,7 @@
 func TestDrainWaitsForLongAnswer(t *testing.T) {
 	const closeTimeout = 100 * time.Millisecond
 	peers := newTestPeers(t, func(s *settings) { s.closeTimeout = closeTimeout })
-	answer, err := Open[text, text](t.Context(), peers.client, peers.address, methodHold, text{Text: "whole"})
+	answer, err := OpenStream[text, text](t.Context(), peers.client, peers.address, methodHold, text{Text: "whole"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -314,7 +314,7 @@
 // and blocks all other requests on it.
 func TestSlowReaderDoesNotBlockOtherRequests(t *testing.T) {
 	peers := newTestPeers(t)
-	slow, err := Open[text, text](t.Context(), peers.client, peers.address, methodStream, text{Text: strings.Repeat("z", 8<<20)})
+	slow, err := OpenStream[text, text](t.Context(), peers.client, peers.address, methodStream, text{Text: strings.Repeat("z", 8<<20)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -350,7 +350,7 @@
 			peers := newTestPeers(t)
 			ctx, cancel := context.WithTimeout(t.Context(), test.timeout)
 			defer cancel()
-			answer, err := Open[text, text](ctx, peers.client, peers.address, methodHold, text{})
+			answer, err := OpenStream[text, text](ctx, peers.client, peers.address, methodHold, text{})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/edge/peer/peer_test.go
+++ b/internal/edge/peer/peer_test.go
@@ -137,7 +137,7 @@
 				t.Error(diff)
 			}
 			body := string(make([]byte, 1<<20))
-			answer, err := Open[text, text](t.Context(), peers.client, peers.address, methodStream, text{Text: body})
+			answer, err := OpenStream[text, text](t.Context(), peers.client, peers.address, methodStream, text{Text: body})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/edge/peer/state_test.go
+++ b/internal/edge/peer/state_test.go
@@ -12,7 +12,7 @@
 	if _, err := Call[text, text](t.Context(), peers.client, peers.address, methodEcho, text{}); err != nil {
 		t.Fatal(err)
 	}
-	answer, err := Open[text, text](t.Context(), peers.client, peers.address, methodHold, text{})
+	answer, err := OpenStream[text, text](t.Context(), peers.client, peers.address, methodHold, text{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/trainer/peer.go
+++ b/internal/edge/trainer/peer.go
@@ -136,7 +136,7 @@
 
 // Forward asks the holder of the job's lease and returns its whole answer.
 func (p *PeerForwarder) Forward(ctx context.Context, to netip.AddrPort, forwarded Forwarded) (Reply, error) {
-	answer, err := peer.Open[Forwarded, forwardEnd](ctx, p.client, to, MethodForward, forwarded)
+	answer, err := peer.OpenStream[Forwarded, forwardEnd](ctx, p.client, to, MethodForward, forwarded)
 	if err != nil {
 		return Reply{}, forwardError(err, forwarded.Job)
 	}
