--- a/internal/edge/agent/cuts_test.go
+++ b/internal/edge/agent/cuts_test.go
@@ -125,7 +125,7 @@
 		return verdict.NotRun
 	}
 	settled, err := peer.Call[request.Settle, request.Settled](ctx, c.bench.client, c.bench.address, MethodSettle,
-		request.Settle{ID: id, Process: peer.LostProcess(err)})
+		request.Settle{ID: id, Process: peer.ServerIncarnation(err)})
 	if err != nil {
 		return verdict.MayHaveRun
 	}
--- a/internal/edge/agent/failure_test.go
+++ b/internal/edge/agent/failure_test.go
@@ -101,7 +101,7 @@
 	port := b.holdPort(t)
 	b.kill()
 	err := <-lost
-	process := peer.LostProcess(err)
+	process := peer.ServerIncarnation(err)
 	if process == 0 {
 		t.Fatalf("no process in %v", err)
 	}
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -263,7 +263,7 @@
 		d.finished(c, server, started, false)
 		return nil
 	}
-	ask := request.Settle{ID: message.ID, Process: peer.LostProcess(err)}
+	ask := request.Settle{ID: message.ID, Process: peer.ServerIncarnation(err)}
 	if answer != nil {
 		ask.Process = answer.Process()
 		answer.Cancel()
--- a/internal/edge/peer/lost.go
+++ b/internal/edge/peer/lost.go
@@ -22,9 +22,9 @@
 // Unwrap returns ErrLost.
 func (e *lostError) Unwrap() error { return ErrLost }
 
-// LostProcess returns the incarnation of the process to which the request was sent if err wraps ErrLost, and 0 for other
+// ServerIncarnation returns the incarnation of the process to which the request was sent if err wraps ErrLost, and 0 for other
 // errors. A process with another incarnation at the same address doesn't know the outcome of the request.
-func LostProcess(err error) uint64 {
+func ServerIncarnation(err error) uint64 {
 	var lost *lostError
 	if errors.As(err, &lost) {
 		return lost.serverIncarnation
