--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -265,7 +265,7 @@
 	}
 	ask := request.Settle{ID: message.ID, Process: peer.ServerIncarnation(err)}
 	if answer != nil {
-		ask.Process = answer.Process()
+		ask.Process = answer.ServerIncarnation()
 		answer.Cancel()
 	}
 	err = d.explain(ctx, err, server, ask)
--- a/internal/edge/peer/answer.go
+++ b/internal/edge/peer/answer.go
@@ -102,8 +102,8 @@
 // End returns the end message of the answer. It is valid once Next has returned io.EOF.
 func (a *Answer[E]) End() E { return a.end }
 
-// Process returns the incarnation of the process that sends the answer.
-func (a *Answer[E]) Process() uint64 { return a.stream.conn.serverIncarnation }
+// ServerIncarnation returns the incarnation of the process that sends the answer.
+func (a *Answer[E]) ServerIncarnation() uint64 { return a.stream.conn.serverIncarnation }
 
 // Next returns the next bytes, which the caller may keep and modify. It returns io.EOF only if the answer is
 // complete, that is, if its length and checksum match those in the end frame.
