--- a/internal/edge/agent/agent.go
+++ b/internal/edge/agent/agent.go
@@ -149,7 +149,7 @@
 
 // Register makes the agent's methods known to the process's peer server.
 func (a *Agent) Register(r *peer.Registry) {
-	a.process.Store(r.Process())
+	a.process.Store(r.Incarnation())
 	peer.HandleStream(r, MethodExecute, a.Execute)
 	peer.Handle(r, MethodSettle, a.settle)
 	peer.Handle(r, MethodProbe, a.probe)
--- a/internal/edge/peer/registry.go
+++ b/internal/edge/peer/registry.go
@@ -24,9 +24,9 @@
 	return &Registry{handlers: make(map[Method]handler), incarnation: binary.BigEndian.Uint64(newNonce())}
 }
 
-// Process returns the random incarnation of the process that serves these methods. The server sends it in the handshake,
+// Incarnation returns the random incarnation of the process that serves these methods. The server sends it in the handshake,
 // so that clients can distinguish the process from a restarted one at the same address.
-func (r *Registry) Process() uint64 { return r.incarnation }
+func (r *Registry) Incarnation() uint64 { return r.incarnation }
 
 // Handle registers a method whose answer is a single message.
 func Handle[Q, A any](r *Registry, m Method, h func(ctx context.Context, q Q) (A, error)) {
