--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -33,11 +33,11 @@
 // Handler provides and processes the content of heartbeats.
 type Handler interface {
 	// Beat returns the content of a heartbeat. Gossip adds what concerns the list of entries.
-	Beat(now time.Time, to To) Beat
+	Beat(now time.Time, to To) Heartbeat
 	// Heard processes a heartbeat from another entry.
-	Heard(now time.Time, heartbeat Beat)
+	Heard(now time.Time, heartbeat Heartbeat)
 	// Told is called after the recipient has answered the heartbeat.
-	Told(to Member, heartbeat Beat)
+	Told(to Member, heartbeat Heartbeat)
 	// Silent is called when an entry has become silent, starts to leave, or was restarted.
 	Silent(now time.Time, member Member)
 	// Needed returns the host IDs of the entries that must receive heartbeats directly from this entry.
@@ -58,7 +58,7 @@
 // New starts to exchange heartbeats until ctx ends. It registers a method, so it must be called before the registry's server starts.
 func New(ctx context.Context, self Member, client *peer.Client, registry *peer.Registry, handler Handler, log zerolog.Logger) *Gossip {
 	g := &Gossip{client: client, handler: handler, log: log, roster: roster.New(time.Now(), self)}
-	peer.Handle(registry, MethodHeartbeat, func(_ context.Context, heartbeat Beat) (Beat, error) {
+	peer.Handle(registry, MethodHeartbeat, func(_ context.Context, heartbeat Heartbeat) (Heartbeat, error) {
 		now := time.Now()
 		g.handleHeartbeat(now, heartbeat)
 		return g.buildHeartbeat(now, heartbeat.From, false), nil
@@ -111,7 +111,7 @@
 }
 
 // buildHeartbeat returns a heartbeat for the entry.
-func (g *Gossip) buildHeartbeat(now time.Time, to Member, keepsCopies bool) Beat {
+func (g *Gossip) buildHeartbeat(now time.Time, to Member, keepsCopies bool) Heartbeat {
 	var list []roster.Update
 	g.withRoster(func(r *roster.Roster) { list = r.FullListFor(now, to.Address) })
 	heartbeat := g.handler.Beat(now, To{Member: to, Copies: keepsCopies, Whole: len(list) > 0})
@@ -149,7 +149,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	heartbeat := g.buildHeartbeat(time.Now(), call.Member, call.KeepsCopies)
-	answer, err := peer.Call[Beat, Beat](ctx, g.client, call.Address, MethodHeartbeat, heartbeat)
+	answer, err := peer.Call[Heartbeat, Heartbeat](ctx, g.client, call.Address, MethodHeartbeat, heartbeat)
 	g.withRoster(func(r *roster.Roster) { r.CallEnded(call.Address) })
 	if err != nil {
 		// An entry that doesn't answer is considered silent after some time.
@@ -161,7 +161,7 @@
 
 // handleHeartbeat processes a heartbeat that was received as a call or as an answer. It applies the news first, because the roster passes
 // on only news that is new to it, and it would know the same changes already from the list or from the sender itself.
-func (g *Gossip) handleHeartbeat(now time.Time, heartbeat Beat) {
+func (g *Gossip) handleHeartbeat(now time.Time, heartbeat Heartbeat) {
 	var changes []roster.Change
 	g.withRoster(func(r *roster.Roster) {
 		changes = append(changes, r.ApplyUpdates(now, heartbeat.News)...)
--- a/internal/edge/gossip/message.go
+++ b/internal/edge/gossip/message.go
@@ -17,9 +17,9 @@
 // Member is one run of an entry's process.
 type Member = roster.Member
 
-// Beat is the heartbeat that entries exchange several times a second. State that hasn't changed is left out of it: with 380 entries and
+// Heartbeat is the heartbeat that entries exchange several times a second. State that hasn't changed is left out of it: with 380 entries and
 // heartbeats of some hundred bytes, an entry stays below the limit of 15 KB/s for control traffic.
-type Beat struct {
+type Heartbeat struct {
 	From Member `msgpack:"f"`
 	// Digest is the digest of the sender's list of entries, and News the recent changes to that list. List is the whole list, for a
 	// recipient whose list differs.
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -74,9 +74,9 @@
 }
 
 // Beat returns what this entry tells.
-func (n *news) Beat(now time.Time, to gossip.To) gossip.Beat {
+func (n *news) Beat(now time.Time, to gossip.To) gossip.Heartbeat {
 	jobs, ended := n.gateway.jobs.Jobs(now)
-	beat := gossip.Beat{
+	beat := gossip.Heartbeat{
 		Revisions:  n.gateway.view.Revisions(),
 		Running:    n.gateway.book.Running(),
 		Jobs:       jobs,
@@ -121,7 +121,7 @@
 }
 
 // Told remembers which counts an entry has.
-func (n *news) Told(to gossip.Member, beat gossip.Beat) {
+func (n *news) Told(to gossip.Member, beat gossip.Heartbeat) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	there, ok := n.told[to.Incarnation]
@@ -154,7 +154,7 @@
 }
 
 // Heard takes in what another entry told.
-func (n *news) Heard(now time.Time, beat gossip.Beat) {
+func (n *news) Heard(now time.Time, beat gossip.Heartbeat) {
 	g := n.gateway
 	g.follower.Heard(context.Background(), beat.From, beat.Revisions)
 	for _, count := range beat.Counts {
--- a/internal/program/process/news_test.go
+++ b/internal/program/process/news_test.go
@@ -32,7 +32,7 @@
 	dead.Ran("north", now)
 	dead.Ran("north", now)
 	at := gossip.Member{HostID: "neighbour", Incarnation: 2}
-	beat := gossip.Beat{Counts: dead.counts(now, at)}
+	beat := gossip.Heartbeat{Counts: dead.counts(now, at)}
 	for _, count := range beat.Counts {
 		neighbour.gateway.ledger.Merge(count)
 	}
