--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -73,8 +73,8 @@
 	n.gateway.ledger.Add(cell, usage.Amount{Requests: 1})
 }
 
-// Beat returns what this entry tells.
-func (n *news) Beat(now time.Time, to gossip.To) gossip.Heartbeat {
+// Heartbeat returns what this entry tells.
+func (n *news) Heartbeat(now time.Time, to gossip.To) gossip.Heartbeat {
 	jobs, ended := n.gateway.jobs.Jobs(now)
 	beat := gossip.Heartbeat{
 		Revisions:  n.gateway.view.Revisions(),
