--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -21,8 +21,8 @@
 	callTimeout = time.Second
 )
 
-// To is the recipient of a heartbeat.
-type To struct {
+// Recipient is the recipient of a heartbeat.
+type Recipient struct {
 	Member Member
 	// Copies reports whether the recipient keeps copies of this entry's counts.
 	Copies bool
@@ -33,7 +33,7 @@
 // Handler provides and processes the content of heartbeats.
 type Handler interface {
 	// Heartbeat returns the content of a heartbeat. Gossip adds what concerns the list of entries.
-	Heartbeat(now time.Time, to To) Heartbeat
+	Heartbeat(now time.Time, to Recipient) Heartbeat
 	// Heard processes a heartbeat from another entry.
 	Heard(now time.Time, heartbeat Heartbeat)
 	// Told is called after the recipient has answered the heartbeat.
@@ -114,7 +114,7 @@
 func (g *Gossip) buildHeartbeat(now time.Time, to Member, keepsCopies bool) Heartbeat {
 	var list []roster.Update
 	g.withRoster(func(r *roster.Roster) { list = r.FullListFor(now, to.Address) })
-	heartbeat := g.handler.Heartbeat(now, To{Member: to, Copies: keepsCopies, Whole: len(list) > 0})
+	heartbeat := g.handler.Heartbeat(now, Recipient{Member: to, Copies: keepsCopies, Whole: len(list) > 0})
 	heartbeat.List = list
 	g.withRoster(func(r *roster.Roster) {
 		heartbeat.From = r.Self()
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -74,7 +74,7 @@
 }
 
 // Heartbeat returns what this entry tells.
-func (n *news) Heartbeat(now time.Time, to gossip.To) gossip.Heartbeat {
+func (n *news) Heartbeat(now time.Time, to gossip.Recipient) gossip.Heartbeat {
 	jobs, ended := n.gateway.jobs.Jobs(now)
 	beat := gossip.Heartbeat{
 		Revisions:  n.gateway.view.Revisions(),
