--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -86,7 +86,7 @@
 		Contacts:   n.gateway.follower.Contacts(now),
 		Holder:     n.dutyHolder(now),
 	}
-	if to.Copies {
+	if to.KeepsCopies {
 		beat.Counts = n.counts(now, to.Member)
 	}
 	return beat
