--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -26,8 +26,8 @@
 	Member Member
 	// KeepsCopies reports whether the recipient keeps copies of this entry's counts.
 	KeepsCopies bool
-	// Whole reports whether the recipient's list of entries differs from this entry's.
-	Whole bool
+	// ListDiffers reports whether the recipient's list of entries differs from this entry's.
+	ListDiffers bool
 }
 
 // Handler provides and processes the content of heartbeats.
@@ -114,7 +114,7 @@
 func (g *Gossip) buildHeartbeat(now time.Time, to Member, keepsCopies bool) Heartbeat {
 	var list []roster.Update
 	g.withRoster(func(r *roster.Roster) { list = r.FullListFor(now, to.Address) })
-	heartbeat := g.handler.Heartbeat(now, Recipient{Member: to, KeepsCopies: keepsCopies, Whole: len(list) > 0})
+	heartbeat := g.handler.Heartbeat(now, Recipient{Member: to, KeepsCopies: keepsCopies, ListDiffers: len(list) > 0})
 	heartbeat.List = list
 	g.withRoster(func(r *roster.Roster) {
 		heartbeat.From = r.Self()
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -82,7 +82,7 @@
 		Jobs:       jobs,
 		TokenRates: n.gateway.jobs.TokenRates(),
 		Ended:      ended,
-		Owners:     n.gateway.jobs.Owners(now, to.Whole),
+		Owners:     n.gateway.jobs.Owners(now, to.ListDiffers),
 		Contacts:   n.gateway.follower.Contacts(now),
 		Holder:     n.dutyHolder(now),
 	}
