--- a/internal/edge/gossip/message.go
+++ b/internal/edge/gossip/message.go
@@ -45,11 +45,11 @@
 	// whose list of entries differs.
 	Owners map[string]string `msgpack:"o"`
 	// Holder is the holder of the duties as far as the sender knows.
-	Holder Holder `msgpack:"l"`
+	Holder DutyHolder `msgpack:"l"`
 }
 
-// Holder is the entry that holds the duties, the control tasks that one entry runs for the deployment.
-type Holder struct {
+// DutyHolder is the entry that holds the duties, the control tasks that one entry runs for the deployment.
+type DutyHolder struct {
 	HostID string `msgpack:"h"`
 	// Version is the version of the lease object after the holder's last known renewal, or 0 if no renewal is known.
 	Version uint64 `msgpack:"v"`
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -54,7 +54,7 @@
 	total   map[string]int
 	// told are the counts that each other run of an entry has from this one.
 	told   map[uint64]map[usage.Cell]usage.Amount
-	holder gossip.Holder
+	holder gossip.DutyHolder
 	missed time.Time
 	tidied time.Time
 	// workload tracks the token rates that the jobs of all entries require.
@@ -135,12 +135,12 @@
 }
 
 // dutyHolder returns the holder of the duties as far as it is known.
-func (n *news) dutyHolder(now time.Time) gossip.Holder {
+func (n *news) dutyHolder(now time.Time) gossip.DutyHolder {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if keeper := n.gateway.duties.Load(); keeper != nil {
 		if fence, held := keeper.Held(now); held {
-			n.holder = gossip.Holder{HostID: n.gateway.set.HostID, Version: uint64(fence.Number)}
+			n.holder = gossip.DutyHolder{HostID: n.gateway.set.HostID, Version: uint64(fence.Number)}
 		}
 	}
 	return n.holder
@@ -183,7 +183,7 @@
 }
 
 // hearHolder takes in who holds the duties.
-func (n *news) hearHolder(holder gossip.Holder) {
+func (n *news) hearHolder(holder gossip.DutyHolder) {
 	n.mu.Lock()
 	newer := holder.Version > n.holder.Version
 	if newer {
--- a/internal/program/process/news_test.go
+++ b/internal/program/process/news_test.go
@@ -48,7 +48,7 @@
 	if copies := neighbour.counts(now, other); len(copies) != 0 {
 		t.Errorf("copies go on to others than the holder: %v", copies)
 	}
-	neighbour.hearHolder(gossip.Holder{HostID: "holder", Version: 7})
+	neighbour.hearHolder(gossip.DutyHolder{HostID: "holder", Version: 7})
 	for _, count := range neighbour.counts(now, gossip.Member{HostID: "holder", Incarnation: 3}) {
 		holder.gateway.ledger.Merge(count)
 	}
@@ -80,7 +80,7 @@
 // Who holds the duties goes from entry to entry, and old word of it may come after newer.
 func TestTheNewestHolderCounts(t *testing.T) {
 	n := newTestNews(1)
-	for _, holder := range []gossip.Holder{{HostID: "a", Version: 5}, {HostID: "b", Version: 9}, {HostID: "a", Version: 6}} {
+	for _, holder := range []gossip.DutyHolder{{HostID: "a", Version: 5}, {HostID: "b", Version: 9}, {HostID: "a", Version: 6}} {
 		n.hearHolder(holder)
 	}
 	if diff := cmp.Diff([]string{"b"}, n.Needed()); diff != "" {
