--- a/internal/edge/gossip/message.go
+++ b/internal/edge/gossip/message.go
@@ -44,8 +44,8 @@
 	// Owners maps batch jobs to the entries that run them: the owners that the sender learned recently, or all owners for a recipient
 	// whose list of entries differs.
 	Owners map[string]string `msgpack:"o"`
-	// Holder is the holder of the duties as far as the sender knows.
-	Holder DutyHolder `msgpack:"l"`
+	// DutyHolder is the holder of the duties as far as the sender knows.
+	DutyHolder DutyHolder `msgpack:"l"`
 }
 
 // DutyHolder is the entry that holds the duties, the control tasks that one entry runs for the deployment.
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -84,7 +84,7 @@
 		Ended:      ended,
 		Owners:     n.gateway.jobs.Owners(now, to.ListDiffers),
 		Contacts:   n.gateway.follower.Contacts(now),
-		Holder:     n.dutyHolder(now),
+		DutyHolder:     n.dutyHolder(now),
 	}
 	if to.KeepsCopies {
 		beat.Counts = n.counts(now, to.Member)
@@ -162,7 +162,7 @@
 	}
 	g.jobs.ApplyGossip(beat.From, beat.Jobs, beat.Ended, beat.Owners)
 	g.follower.HeardContacts(now, beat.Contacts)
-	n.hearHolder(beat.Holder)
+	n.hearHolder(beat.DutyHolder)
 	n.observeTokenRates(now, beat.TokenRates)
 	n.note(beat.From.HostID, runningThere{at: now, servers: beat.Running})
 	n.tidy(now)
