--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -36,8 +36,8 @@
 	Heartbeat(now time.Time, to Recipient) Heartbeat
 	// Heard processes a heartbeat from another entry.
 	Heard(now time.Time, heartbeat Heartbeat)
-	// Told is called after the recipient has answered the heartbeat.
-	Told(to Member, heartbeat Heartbeat)
+	// HeartbeatDelivered is called after the recipient has answered the heartbeat.
+	HeartbeatDelivered(to Member, heartbeat Heartbeat)
 	// Silent is called when an entry has become silent, starts to leave, or was restarted.
 	Silent(now time.Time, member Member)
 	// Needed returns the host IDs of the entries that must receive heartbeats directly from this entry.
@@ -155,7 +155,7 @@
 		// An entry that doesn't answer is considered silent after some time.
 		return
 	}
-	g.handler.Told(answer.From, heartbeat)
+	g.handler.HeartbeatDelivered(answer.From, heartbeat)
 	g.handleHeartbeat(time.Now(), answer)
 }
 
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -120,8 +120,8 @@
 	return slices.DeleteFunc(counts, func(c usage.Count) bool { return there[c.Cell] == c.Amount })
 }
 
-// Told remembers which counts an entry has.
-func (n *news) Told(to gossip.Member, beat gossip.Heartbeat) {
+// HeartbeatDelivered remembers which counts an entry has.
+func (n *news) HeartbeatDelivered(to gossip.Member, beat gossip.Heartbeat) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	there, ok := n.told[to.Incarnation]
--- a/internal/program/process/news_test.go
+++ b/internal/program/process/news_test.go
@@ -36,7 +36,7 @@
 	for _, count := range beat.Counts {
 		neighbour.gateway.ledger.Merge(count)
 	}
-	dead.Told(at, beat)
+	dead.HeartbeatDelivered(at, beat)
 	if again := dead.counts(now, at); len(again) != 0 {
 		t.Errorf("told again: %v", again)
 	}
