--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -40,8 +40,8 @@
 	HeartbeatDelivered(to Member, heartbeat Heartbeat)
 	// Silent is called when an entry has become silent, starts to leave, or was restarted.
 	Silent(now time.Time, member Member)
-	// Needed returns the host IDs of the entries that must receive heartbeats directly from this entry.
-	Needed() []string
+	// DirectRecipients returns the host IDs of the entries that must receive heartbeats directly from this entry.
+	DirectRecipients() []string
 }
 
 // Gossip maintains the list of the other entries and exchanges heartbeats with them. It is safe for concurrent use.
@@ -137,7 +137,7 @@
 // directAddresses returns the addresses of the entries that must receive heartbeats directly from this entry.
 func (g *Gossip) directAddresses() []netip.AddrPort {
 	var addresses []netip.AddrPort
-	for _, host := range g.handler.Needed() {
+	for _, host := range g.handler.DirectRecipients() {
 		if member, ok := g.Find(time.Now(), host); ok {
 			addresses = append(addresses, member.Address)
 		}
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -146,8 +146,8 @@
 	return n.holder
 }
 
-// Needed returns the holder of the duties, which must hear the counts of all.
-func (n *news) Needed() []string {
+// DirectRecipients returns the holder of the duties, which must hear the counts of all.
+func (n *news) DirectRecipients() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return []string{n.holder.HostID}
--- a/internal/program/process/news_test.go
+++ b/internal/program/process/news_test.go
@@ -83,7 +83,7 @@
 	for _, holder := range []gossip.DutyHolder{{HostID: "a", Version: 5}, {HostID: "b", Version: 9}, {HostID: "a", Version: 6}} {
 		n.hearHolder(holder)
 	}
-	if diff := cmp.Diff([]string{"b"}, n.Needed()); diff != "" {
+	if diff := cmp.Diff([]string{"b"}, n.DirectRecipients()); diff != "" {
 		t.Error(diff)
 	}
 }
