--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -34,8 +34,8 @@
 type Handler interface {
 	// Heartbeat returns the content of a heartbeat. Gossip adds what concerns the list of entries.
 	Heartbeat(now time.Time, to Recipient) Heartbeat
-	// Heard processes a heartbeat from another entry.
-	Heard(now time.Time, heartbeat Heartbeat)
+	// HeartbeatReceived processes a heartbeat from another entry.
+	HeartbeatReceived(now time.Time, heartbeat Heartbeat)
 	// HeartbeatDelivered is called after the recipient has answered the heartbeat.
 	HeartbeatDelivered(to Member, heartbeat Heartbeat)
 	// Silent is called when an entry has become silent, starts to leave, or was restarted.
@@ -173,7 +173,7 @@
 	for _, change := range changes {
 		g.reportChange(now, change)
 	}
-	g.handler.Heard(now, heartbeat)
+	g.handler.HeartbeatReceived(now, heartbeat)
 }
 
 // reportChange logs a change, and tells the handler if a run of an entry is over.
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -153,8 +153,8 @@
 	return []string{n.holder.HostID}
 }
 
-// Heard takes in what another entry told.
-func (n *news) Heard(now time.Time, beat gossip.Heartbeat) {
+// HeartbeatReceived takes in what another entry told.
+func (n *news) HeartbeatReceived(now time.Time, beat gossip.Heartbeat) {
 	g := n.gateway
 	g.follower.Heard(context.Background(), beat.From, beat.Revisions)
 	for _, count := range beat.Counts {
