--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -38,8 +38,8 @@
 	HeartbeatReceived(now time.Time, heartbeat Heartbeat)
 	// HeartbeatDelivered is called after the recipient has answered the heartbeat.
 	HeartbeatDelivered(to Member, heartbeat Heartbeat)
-	// Silent is called when an entry has become silent, starts to leave, or was restarted.
-	Silent(now time.Time, member Member)
+	// MemberGone is called when an entry has become silent, starts to leave, or was restarted.
+	MemberGone(now time.Time, member Member)
 	// DirectRecipients returns the host IDs of the entries that must receive heartbeats directly from this entry.
 	DirectRecipients() []string
 }
@@ -189,7 +189,7 @@
 	if change.EndsPrevious() {
 		gone := change.Previous
 		gone.Leaving = change.Current.Leaving
-		g.handler.Silent(now, gone)
+		g.handler.MemberGone(now, gone)
 	}
 }
 
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -249,8 +249,8 @@
 	n.gateway.ledger.Forget(func(c usage.Count) bool { return c.Cell.Window < before })
 }
 
-// Silent takes in that an entry isn't heard of any more.
-func (n *news) Silent(now time.Time, member gossip.Member) {
+// MemberGone takes in that an entry isn't heard of any more.
+func (n *news) MemberGone(now time.Time, member gossip.Member) {
 	n.note(member.HostID, runningThere{})
 	if member.Leaving {
 		return
