--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -78,8 +78,8 @@
 // records that it must never run, so that NotRun stays true if the request arrives later.
 type Settle struct {
 	ID ID `msgpack:"id"`
-	// Process is the incarnation of the agent process to which the request was sent, from peer.LostProcess or
-	// Answer.Process. Another process at the same address has an empty record and can't claim NotRun.
+	// Process is the incarnation of the agent process to which the request was sent, from peer.ServerIncarnation or
+	// Answer.ServerIncarnation. Another process at the same address has an empty record and can't claim NotRun.
 	Process uint64 `msgpack:"pr"`
 }
 
--- a/internal/edge/gossip/message.go
+++ b/internal/edge/gossip/message.go
@@ -17,7 +17,7 @@
 // Member is one run of an entry's process.
 type Member = roster.Member
 
-// Heartbeat is the heartbeat that entries exchange several times a second. State that hasn't changed is left out of it: with 380 entries and
+// Heartbeat is the message that entries exchange several times a second. State that hasn't changed is left out of it: with 380 entries and
 // heartbeats of some hundred bytes, an entry stays below the limit of 15 KB/s for control traffic.
 type Heartbeat struct {
 	From Member `msgpack:"f"`
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -84,7 +84,7 @@
 		Ended:      ended,
 		Owners:     n.gateway.jobs.Owners(now, to.ListDiffers),
 		Contacts:   n.gateway.follower.Contacts(now),
-		DutyHolder:     n.dutyHolder(now),
+		DutyHolder: n.dutyHolder(now),
 	}
 	if to.KeepsCopies {
 		beat.Counts = n.counts(now, to.Member)
