--- a/internal/edge/peer/peer.go
+++ b/internal/edge/peer/peer.go
@@ -1,6 +1,6 @@
 // Package peer implements the RPC protocol between the system's own processes. Messages are length-prefixed
-// msgpack frames over TCP. Each pair of processes shares one multiplexed connection, which is opened on first
-// use and closed when idle.
+// msgpack frames over TCP. A client keeps one multiplexed connection to each server, which it opens on first
+// use and closes when idle.
 //
 // In the handshake both sides prove that they know the shared secret. Each frame carries the ID of its
 // connection and a stream ID that is never reused on that connection, and the end frame of an answer carries
@@ -45,7 +45,7 @@
 	ErrHandshake = errors.New("peer did not prove the shared secret")
 	// ErrProtocol is returned if the peer sent a frame that the protocol does not allow.
 	ErrProtocol = errors.New("protocol violation")
-	// ErrFrozen is returned if this process read nothing from the connection for longer than the heartbeat timeout.
+	// ErrFrozen is returned if this process was suspended and therefore did not read for longer than the heartbeat timeout.
 	ErrFrozen = errors.New("process was frozen")
 	// ErrTooLarge is returned if a frame exceeds the maximum size.
 	ErrTooLarge = errors.New("frame is too large")
