--- a/internal/edge/gateway/batch.go
+++ b/internal/edge/gateway/batch.go
@@ -11,15 +11,15 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// maxReadWait bounds how long a read of results is held back, whatever the trainer asks.
+// maxReadWait bounds how long a read of results may wait for new results, whatever wait the trainer asks for.
 const maxReadWait = 5 * time.Second
 
-// submit accepts a batch job.
-func (g *Gateway) submit(c fiber.Ctx, a asked) error {
+// submitJob accepts a batch job. A nil error means that the job is stored.
+func (g *Gateway) submitJob(c fiber.Ctx, r callerRequest) error {
 	if c.Method() != fiber.MethodPost {
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonBadRequest, 0, "batch jobs are submitted by POST")
 	}
-	if a.caller.RequestID == "" {
+	if r.caller.RequestID == "" {
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonBadRequest, 0, "a batch job needs the id of its request")
 	}
 	submission, err := platform.ReadSubmission(c.Request().Body())
@@ -27,40 +27,40 @@
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonBadRequest, 0, "%v", err)
 	}
 	job := &batch.Job{
-		ID:           a.caller.RequestID,
-		Organisation: a.organisation.Name,
-		Accepted:     a.arrived.Round(0),
+		ID:           r.caller.RequestID,
+		Organisation: r.organisation.Name,
+		Accepted:     r.arrived.Round(0),
 		Terms: batch.Terms{
-			Pool:           a.pool(),
+			Pool:           r.choosePool(),
 			Host:           string(c.Request().Host()),
-			MaxAttempts:    a.route.MaxAttempts,
-			ItemTimeout:    a.route.ItemTimeout,
-			ResultDeadline: a.route.ResultDeadline,
-			SingleVersion:  a.route.SingleVersion,
+			MaxAttempts:    r.route.MaxAttempts,
+			ItemTimeout:    r.route.ItemTimeout,
+			ResultDeadline: r.route.ResultDeadline,
+			SingleVersion:  r.route.SingleVersion,
 		},
 		Submission: submission,
 	}
 	if err := g.deps.Jobs.Submit(c.Context(), job); err != nil {
 		return err
 	}
-	platform.EchoRequestID(&c.Response().Header, a.caller.RequestID)
-	g.deps.Metrics.answered(a.route.Kind, time.Since(a.arrived))
+	platform.EchoRequestID(&c.Response().Header, r.caller.RequestID)
+	g.deps.Metrics.observeLatency(r.route.Kind, time.Since(r.arrived))
 	return c.SendStatus(fiber.StatusAccepted)
 }
 
-// batch answers a call on an accepted job.
+// handleBatchCall answers a call on an accepted job.
 //
-// Guard: the routes don't decide whether a job exists. Its route may have been dropped after its acceptance, or not be known here yet, and its
-// trainer would be told that the job isn't there.
-func (g *Gateway) batch(c fiber.Ctx, a asked, call platform.BatchCall) error {
-	organisation, ok := a.table.Organisation(a.caller.Key)
+// The call is not matched against the routes: the job's route may have been removed since the job was accepted, or may not be known here
+// yet, and the trainer would be told that the job does not exist.
+func (g *Gateway) handleBatchCall(c fiber.Ctx, r callerRequest, call platform.BatchCall) error {
+	organisation, ok := r.table.Organisation(r.caller.Key)
 	if !ok {
-		return unknownKey()
+		return unknownKeyRefusal()
 	}
-	platform.EchoRequestID(&c.Response().Header, a.caller.RequestID)
+	platform.EchoRequestID(&c.Response().Header, r.caller.RequestID)
 	switch call.Operation {
 	case platform.BatchRead:
-		return g.readResults(c, a, call, organisation.Name)
+		return g.readResults(c, r, call, organisation.Name)
 	case platform.BatchItem:
 		body, err := g.deps.Jobs.Body(c.Context(), call.Job, organisation.Name, call.Item)
 		if err != nil {
@@ -75,11 +75,11 @@
 	}
 }
 
-// maxTextBytes bounds the text of one answer of results; quotation and names take the rest.
+// maxTextBytes bounds the result texts in one answer; the rest of MaxResultBytes is for JSON quoting and field names.
 const maxTextBytes = platform.MaxResultBytes * 9 / 10
 
-func (g *Gateway) readResults(c fiber.Ctx, a asked, call platform.BatchCall, organisation string) error {
-	wait := min(a.caller.Wait, maxReadWait)
+func (g *Gateway) readResults(c fiber.Ctx, r callerRequest, call platform.BatchCall, organisation string) error {
+	wait := min(r.caller.Wait, maxReadWait)
 	total, results, err := g.deps.Jobs.Results(c.Context(), call.Job, organisation, call.From, wait, maxTextBytes)
 	if err != nil {
 		return err
--- a/internal/edge/gateway/forward.go
+++ b/internal/edge/gateway/forward.go
@@ -16,62 +16,62 @@
 )
 
 const (
-	// hedgePart is the part of the latency objective after which a second server is asked, if the request may run twice:
-	// what takes longer is one in some hundred, whose answer is lost or whose server is slow.
-	hedgePart = 0.5
-	// leastHedge keeps a route with a short objective from asking two servers each time.
-	leastHedge = 20 * time.Millisecond
+	// hedgeFraction is the fraction of the route's latency objective after which an idempotent request is also sent to a second
+	// server. One request in a few hundred takes longer, because its answer was lost or its server is slow.
+	hedgeFraction = 0.5
+	// minHedgeDelay keeps routes with a short latency objective from sending every request to two servers.
+	minHedgeDelay = 20 * time.Millisecond
 )
 
-// forward sends the request to a server and returns the whole answer or a refusal.
-func (g *Gateway) forward(c fiber.Ctx, a asked) error {
+// forward sends the request to a backend server and passes on its answer once all of it has arrived. The error is a refusal.
+func (g *Gateway) forward(c fiber.Ctx, r callerRequest) error {
 	ctx, cancel := context.WithCancel(c.Context())
 	defer cancel()
 	defer callerconn.Watch(c.RequestCtx().Conn(), cancel)()
-	best, tally, err := g.deps.Calls.Send(ctx, g.request(c.Request(), a))
-	g.logForward(a, tally, best, err)
+	final, tally, err := g.deps.Calls.Send(ctx, g.serverRequest(c.Request(), r))
+	g.logOutcome(r, tally, final, err)
 	if err != nil {
-		c.Locals(logged{}, true)
+		c.Locals(refusalLogged{}, true)
 		return err
 	}
-	g.deps.Metrics.answered(a.route.Kind, time.Since(a.arrived))
-	platform.CopyAnswer(c.Response(), &best.Header, best.Body)
+	g.deps.Metrics.observeLatency(r.route.Kind, time.Since(r.arrived))
+	platform.CopyAnswer(c.Response(), &final.Header, final.Body)
 	if g.leaving.Load() {
 		c.Set(fiber.HeaderConnection, "close")
 	}
 	return nil
 }
 
-// request returns a caller's request as it goes to the servers.
-func (g *Gateway) request(from *fasthttp.Request, a asked) *call.Request {
-	pool := a.pool()
+// serverRequest returns the caller's request in the form in which it is sent to backend servers.
+func (g *Gateway) serverRequest(from *fasthttp.Request, r callerRequest) *call.Request {
+	pool := r.choosePool()
 	return &call.Request{
-		ID:   a.caller.RequestID,
+		ID:   r.caller.RequestID,
 		Pool: func() (string, bool) { return pool, true },
 		Build: func(to *fasthttp.Request, server backend.Server) {
-			platform.FromCaller(to, from, platform.Hop{Server: server, Organisation: a.organisation.Name, Remaining: time.Until(a.end)})
+			platform.FromCaller(to, from, platform.Hop{Server: server, Organisation: r.organisation.Name, Remaining: time.Until(r.deadline)})
 		},
-		End:         a.end,
-		Repeatable:  a.route.Kind == routing.KindIdempotent,
-		MaxAttempts: a.route.MaxAttempts,
-		Hedge:       max(leastHedge, time.Duration(float64(a.route.LatencyObjective)*hedgePart)),
+		End:         r.deadline,
+		Repeatable:  r.route.Kind == routing.KindIdempotent,
+		MaxAttempts: r.route.MaxAttempts,
+		Hedge:       max(minHedgeDelay, time.Duration(float64(r.route.LatencyObjective)*hedgeFraction)),
 		Ran: func(sent time.Time) {
-			if a.organisation.Name != "" {
-				g.deps.Usage.Ran(a.organisation.Name, sent)
+			if r.organisation.Name != "" {
+				g.deps.Usage.Ran(r.organisation.Name, sent)
 			}
 		},
 	}
 }
 
-// logged marks requests whose refusal stands in the log already, with what decided it.
-type logged struct{}
+// refusalLogged is the key of a request's local value that says that logOutcome has logged its refusal.
+type refusalLogged struct{}
 
-// logForward writes the one line that says what became of a request and what decided it.
-func (g *Gateway) logForward(a asked, tally call.Tally, best *call.Attempt, err error) {
-	line := g.deps.Log.Info().Str("request", a.caller.RequestID).Str("route", a.route.Name).Str("organisation", a.organisation.Name).
-		Uint64("configuration", a.table.Version).Int("sent", tally.Sent).Int("notRun", tally.NotRun).Dur("took", time.Since(a.arrived))
-	if best != nil {
-		line = line.Str("server", best.Server.ID).Int("serverStatus", best.Answer.Status)
+// logOutcome writes the one line that says how a request ended, and the route, the configuration and the attempts that led to it.
+func (g *Gateway) logOutcome(r callerRequest, tally call.Tally, final *call.Attempt, err error) {
+	line := g.deps.Log.Info().Str("request", r.caller.RequestID).Str("route", r.route.Name).Str("organisation", r.organisation.Name).
+		Uint64("configuration", r.table.Version).Int("sent", tally.Sent).Int("notRun", tally.NotRun).Dur("took", time.Since(r.arrived))
+	if final != nil {
+		line = line.Str("server", final.Server.ID).Int("serverStatus", final.Answer.Status)
 	}
 	if err == nil {
 		line.Msg("request answered")
--- a/internal/edge/gateway/gateway.go
+++ b/internal/edge/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway serves callers and trainers of pools that the entry calls directly: it finds the route and the organisation,
-// sends the request to a backend server, and tells the truth about what became of it.
+// Package gateway serves the HTTP requests of callers and trainers in a gateway process, which calls the backend servers itself. It finds
+// the route and the organisation of a request, sends it to a backend server, and passes on the answer, or a refusal that says whether the
+// request may have run.
 package gateway
 
 import (
@@ -25,28 +26,29 @@
 )
 
 const (
-	// headerBytes bounds the header of a request; the operators' limit is 16 KiB, and a request line comes on top.
-	headerBytes = 20 << 10
-	// readTimeout bounds the time in which a request comes. Half a request holds its connection for as long.
+	// maxHeaderBytes bounds the request line and the header of a request together. The operators allow 16 KiB of header, without
+	// the request line.
+	maxHeaderBytes = 20 << 10
+	// readTimeout bounds the time to read a request. A request that stays incomplete occupies its connection for as long.
 	readTimeout = 15 * time.Second
-	// idleTimeout is how long an idle connection is kept: above the operators' limit, so that a caller never meets a
-	// connection that is being closed.
+	// idleTimeout is how long an idle connection is kept open. It is above the operators' limit, so that a caller never sends
+	// a request on a connection that the gateway is closing.
 	idleTimeout = time.Minute
-	// unknownRetry is when to come back to a host that knows no configuration yet.
-	unknownRetry = 300 * time.Millisecond
-	// keepAliveGrace is how long connections may stay open at the end of the process.
-	keepAliveGrace = time.Second
-	// drainPoll is how often a drain looks for running requests.
-	drainPoll = 20 * time.Millisecond
+	// noConfigurationRetryAfter is when a caller should come back to a host that has received no configuration yet.
+	noConfigurationRetryAfter = 300 * time.Millisecond
+	// shutdownTimeout is how long connections may stay open after the gateway's context has ended.
+	shutdownTimeout = time.Second
+	// drainPollInterval is how often Drain checks for running requests.
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// Usage counts requests that began to run.
+// Usage counts the requests that are charged to organisations.
 type Usage interface {
-	// Ran counts one request of the organisation that began to run at the time.
+	// Ran counts one request of the organisation that was sent to a backend server at the time and ran or may have run.
 	Ran(organisation string, at time.Time)
 }
 
-// Deps is what a gateway stands on.
+// Deps are the dependencies of a gateway.
 type Deps struct {
 	View    *view.View
 	Calls   *call.Sender
@@ -56,12 +58,14 @@
 	Log     zerolog.Logger
 }
 
-// Gateway is the callers' HTTP side of one entry.
+// Gateway is the HTTP server for callers and trainers of one gateway process.
 type Gateway struct {
-	deps    Deps
-	app     *fiber.App
-	work    conc.WaitGroup
+	deps Deps
+	app  *fiber.App
+	wg   conc.WaitGroup
+	// running counts the requests that are being served.
 	running atomic.Int64
+	// leaving is set once callers are to open their next connection at another host.
 	leaving atomic.Bool
 }
 
@@ -69,31 +73,33 @@
 func New(ctx context.Context, l net.Listener, bodyLimitBytes int, deps Deps) *Gateway {
 	g := &Gateway{deps: deps}
 	g.app = fiber.New(fiber.Config{
-		// Without copies, a string kept past its handler would become part of another caller's request.
+		// Without copies, the library would overwrite a string that is used after its handler with another caller's request.
 		Immutable:      true,
 		BodyLimit:      bodyLimitBytes,
-		ReadBufferSize: headerBytes,
+		ReadBufferSize: maxHeaderBytes,
 		ReadTimeout:    readTimeout,
 		IdleTimeout:    idleTimeout,
-		ErrorHandler:   g.onError,
+		ErrorHandler:   g.handleError,
 	})
 	g.app.Use(g.serve)
 	g.app.Server().NoDefaultContentType = true
 	g.app.Server().NoDefaultServerHeader = true
 	g.app.Server().NoDefaultDate = true
-	callerconn.Serve(ctx, &g.work, g.app, callerconn.Listener{Listener: l}, keepAliveGrace, deps.Log)
+	callerconn.Serve(ctx, &g.wg, g.app, callerconn.Listener{Listener: l}, shutdownTimeout, deps.Log)
 	return g
 }
 
-// asked is one request of a caller with what is known of it.
-type asked struct {
-	caller       platform.Caller
-	table        *routing.Table
-	route        routing.Route
+// callerRequest is what the gateway knows about one request of a caller.
+type callerRequest struct {
+	caller platform.Caller
+	// table is the routing table of the configuration that applied when the request arrived.
+	table *routing.Table
+	route routing.Route
+	// organisation is the zero value if the route needs no key.
 	organisation routing.Organisation
 	arrived      time.Time
-	// end is when the answer must be out.
-	end time.Time
+	// deadline is when the answer must have been sent.
+	deadline time.Time
 }
 
 // serve answers one request of any kind.
@@ -103,69 +109,71 @@
 	if g.leaving.Load() {
 		c.Set(fiber.HeaderConnection, "close")
 	}
-	a := asked{caller: platform.ReadCaller(&c.Request().Header), arrived: time.Now()}
-	if a.table = g.deps.View.Now().Table; a.table == nil {
-		return verdict.Refuse(verdict.NotRun, verdict.ReasonIsolated, unknownRetry, "no configuration is known here yet")
+	r := callerRequest{caller: platform.ReadCaller(&c.Request().Header), arrived: time.Now()}
+	if r.table = g.deps.View.Now().Table; r.table == nil {
+		return verdict.Refuse(verdict.NotRun, verdict.ReasonIsolated, noConfigurationRetryAfter, "no configuration is known here yet")
 	}
 	path := string(c.Request().URI().PathOriginal())
 	if call, ok := platform.ReadBatchCall(c.Method(), path, c.Request().URI().QueryArgs()); ok {
-		return g.batch(c, a, call)
+		return g.handleBatchCall(c, r, call)
 	}
-	route, ok := a.table.Match(string(c.Request().Host()), path)
+	route, ok := r.table.Match(string(c.Request().Host()), path)
 	if !ok {
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonNotFound, 0, "no route")
 	}
-	a.route = route
-	if a.table.NeedsKey(route) {
-		if a.organisation, ok = a.table.Organisation(a.caller.Key); !ok {
-			return unknownKey()
+	r.route = route
+	if r.table.NeedsKey(route) {
+		if r.organisation, ok = r.table.Organisation(r.caller.Key); !ok {
+			return unknownKeyRefusal()
 		}
 	}
-	a.end = a.arrived.Add(a.allowed())
+	r.deadline = r.arrived.Add(r.timeout())
 	if route.Kind == routing.KindBatch {
-		return g.submit(c, a)
+		return g.submitJob(c, r)
 	}
-	return g.forward(c, a)
+	return g.forward(c, r)
 }
 
-// allowed is the time that a request may take: the caller's patience, or the route's timeout where that is shorter.
-func (a asked) allowed() time.Duration {
-	allowed := a.route.Timeout
-	if a.caller.Remaining > 0 && (allowed <= 0 || a.caller.Remaining < allowed) {
-		allowed = a.caller.Remaining
+// timeout returns how long the request may take: the shorter of the time for which the caller will wait and the route's timeout.
+func (r callerRequest) timeout() time.Duration {
+	timeout := r.route.Timeout
+	if r.caller.Remaining > 0 && (timeout <= 0 || r.caller.Remaining < timeout) {
+		timeout = r.caller.Remaining
 	}
-	if allowed <= 0 {
+	if timeout <= 0 {
 		return defaultTimeout
 	}
-	return allowed
+	return timeout
 }
 
-// defaultTimeout bounds requests of a route without a timeout whose caller doesn't say how long it waits.
+// defaultTimeout applies if the route has no timeout and the caller doesn't say how long it will wait.
 const defaultTimeout = time.Minute
 
-func (a asked) pool() string { return a.route.Pool(rand.Float64()) }
+// choosePool returns one of the route's pools, at random by their weights.
+func (r callerRequest) choosePool() string { return r.route.Pool(rand.Float64()) }
 
-func unknownKey() error {
+func unknownKeyRefusal() error {
 	return verdict.Refuse(verdict.NotRun, verdict.ReasonUnknownKey, 0, "the key is not known")
 }
 
-// onError turns every error of a handler into a refusal with its verdict.
-func (g *Gateway) onError(c fiber.Ctx, err error) error {
+// handleError answers a request whose handler returned an error. Every error is answered as a refusal that says whether the request may
+// have run.
+func (g *Gateway) handleError(c fiber.Ctx, err error) error {
 	refused := refusal.Of(err)
 	if refused.Reason == verdict.ReasonTooLarge {
 		callerconn.Linger(c.RequestCtx().Conn())
 	}
 	status := platform.Status(refused)
-	if known, ok := c.Locals(logged{}).(bool); !ok || !known {
+	if logged, ok := c.Locals(refusalLogged{}).(bool); !ok || !logged {
 		g.logRefusal(c, refused, status)
 	}
-	g.deps.Metrics.refused(refused)
+	g.deps.Metrics.countRefusal(refused)
 	platform.EchoRequestID(&c.Response().Header, platform.ReadCaller(&c.Request().Header).RequestID)
 	platform.SetRetryAfter(&c.Response().Header, refused.RetryAfter)
 	return c.Status(status).JSON(refused)
 }
 
-// logRefusal writes the line of a request that was refused before it was sent anywhere.
+// logRefusal logs a refusal that logOutcome has not logged, because the request was not forwarded to a backend server.
 func (g *Gateway) logRefusal(c fiber.Ctx, refusal *verdict.Refusal, status int) {
 	line := g.deps.Log.Info()
 	if table := g.deps.View.Now().Table; table != nil {
@@ -177,26 +185,27 @@
 		Dur("retryAfter", refusal.RetryAfter).Msg("request refused")
 }
 
-// Leave tells callers from now on to open their next connection elsewhere.
+// Leave makes every further answer close its connection, so that callers open their next one at another host.
 func (g *Gateway) Leave() { g.leaving.Store(true) }
 
-// Drain closes the listener and waits for running requests, up to ctx.
+// Drain closes the listener and waits until no request is running or ctx ends.
 func (g *Gateway) Drain(ctx context.Context) error {
 	err := g.app.ShutdownWithContext(ctx)
 	for g.running.Load() > 0 && ctx.Err() == nil {
-		ticker.Sleep(ctx, drainPoll)
+		ticker.Sleep(ctx, drainPollInterval)
 	}
 	return err
 }
 
-// Wait returns once all goroutines have ended, after the context has.
-func (g *Gateway) Wait() { g.work.Wait() }
+// Wait returns once all goroutines have ended, which happens after the context has ended.
+func (g *Gateway) Wait() { g.wg.Wait() }
 
-// State is the dump of a gateway.
+// State is what /debug/state shows of a gateway.
 type State struct {
+	// Running is the number of requests that are being served.
 	Running int64 `json:"running"`
 	Leaving bool  `json:"leaving"`
 }
 
-// State returns the dump.
+// State returns the gateway's State.
 func (g *Gateway) State() any { return State{Running: g.running.Load(), Leaving: g.leaving.Load()} }
