--- a/internal/edge/call/attempt.go
+++ b/internal/edge/call/attempt.go
@@ -14,79 +14,79 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// maxAnswerBytes bounds an answer that is held whole before any of it is passed on.
+// maxAnswerBytes bounds how much is read of an answer, which is held in memory as a whole before any of it is passed on.
 const maxAnswerBytes = 64 << 20
 
-// attempt sends the request to a server once and reads the whole answer.
-func (s *Sender) attempt(ctx context.Context, req *fasthttp.Request, server backend.Server, request *Request) *Attempt {
-	done := &Attempt{Server: server, Sent: time.Now(), Outcome: verdict.MayHaveRun}
-	defer s.book.Release(server.ID)
-	s.exchange(ctx, req, done, request.ID)
-	s.learn(ctx, done)
-	if done.Outcome != verdict.NotRun && request.Ran != nil {
-		request.Ran(done.Sent)
+// sendOnce sends the request to a server once and reads the whole answer.
+func (s *Sender) sendOnce(ctx context.Context, req *fasthttp.Request, server backend.Server, request *Request) *Attempt {
+	attempt := &Attempt{Server: server, SentAt: time.Now(), Outcome: verdict.MayHaveRun}
+	defer s.balancer.Release(server.ID)
+	s.roundTrip(ctx, req, attempt, request.ID)
+	s.updateBalancer(ctx, attempt)
+	if attempt.Outcome != verdict.NotRun && request.Ran != nil {
+		request.Ran(attempt.SentAt)
 	}
-	if done.Outcome != verdict.Ran && ctx.Err() == nil {
-		s.log.Info().Str("request", request.ID).Str("server", server.ID).Stringer("verdict", done.Outcome).
-			Int("status", done.Answer.Status).AnErr("cause", done.Cause).Dur("took", time.Since(done.Sent)).Msg("attempt without answer")
+	if attempt.Outcome != verdict.Ran && ctx.Err() == nil {
+		s.log.Info().Str("request", request.ID).Str("server", server.ID).Stringer("verdict", attempt.Outcome).
+			Int("status", attempt.Answer.Status).AnErr("cause", attempt.Cause).Dur("took", time.Since(attempt.SentAt)).Msg("attempt without answer")
 	}
-	return done
+	return attempt
 }
 
-// exchange carries the request over and checks that the answer is a server's own answer to it.
-func (s *Sender) exchange(ctx context.Context, req *fasthttp.Request, done *Attempt, id string) {
+// roundTrip sends the request, reads the answer, and checks that a server produced the answer and that it is for this request.
+func (s *Sender) roundTrip(ctx context.Context, req *fasthttp.Request, attempt *Attempt, id string) {
 	stream, err := s.servers.Open(ctx, req)
 	if err != nil {
-		done.Cause = err
+		attempt.Cause = err
 		if errors.Is(err, exchange.ErrNotSent) {
-			done.Outcome = verdict.NotRun
+			attempt.Outcome = verdict.NotRun
 		}
 		return
 	}
 	defer func() {
-		// The outcome is known by now; a failing close changes nothing about it.
+		// The outcome of the attempt is known by now, and a failing close doesn't change it.
 		_ = stream.Close()
 	}()
-	done.Answer = platform.ReadAnswer(stream.Header())
-	if done.Answer.RequestID != id {
-		done.Cause = errors.Errorf("the answer is for request %.40q", done.Answer.RequestID)
+	attempt.Answer = platform.ReadAnswer(stream.Header())
+	if attempt.Answer.RequestID != id {
+		attempt.Cause = errors.Errorf("the answer is for request %.40q", attempt.Answer.RequestID)
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(stream, maxAnswerBytes))
 	if err != nil {
-		done.Cause = err
+		attempt.Cause = err
 		return
 	}
 	switch {
-	case done.Answer.NotRun:
-		done.Outcome = verdict.NotRun
-		done.Cause = errors.Errorf("status %d", done.Answer.Status)
-	case !done.Answer.Signed() || done.Answer.Coded:
-		done.Cause = errors.Errorf("status %d without a server's signature", done.Answer.Status)
+	case attempt.Answer.NotRun:
+		attempt.Outcome = verdict.NotRun
+		attempt.Cause = errors.Errorf("status %d", attempt.Answer.Status)
+	case !attempt.Answer.Signed() || attempt.Answer.Coded:
+		attempt.Cause = errors.Errorf("status %d without a server's signature", attempt.Answer.Status)
 	default:
-		done.Outcome = verdict.Ran
-		done.Body = body
-		stream.Header().CopyTo(&done.Header)
+		attempt.Outcome = verdict.Ran
+		attempt.Body = body
+		stream.Header().CopyTo(&attempt.Header)
 	}
 }
 
-// learn tells the book what an attempt showed of its server.
-func (s *Sender) learn(ctx context.Context, done *Attempt) {
-	now, id := time.Now(), done.Server.ID
-	if done.Answer.Load >= 0 && done.Answer.Status != 0 {
-		s.book.RecordLoad(now, id, done.Answer.Load)
+// updateBalancer reports to the balancer what an attempt showed of its server: its load, its latency, or its failure.
+func (s *Sender) updateBalancer(ctx context.Context, attempt *Attempt) {
+	now, id := time.Now(), attempt.Server.ID
+	if attempt.Answer.Load >= 0 && attempt.Answer.Status != 0 {
+		s.balancer.RecordLoad(now, id, attempt.Answer.Load)
 	}
 	switch {
-	case done.Outcome == verdict.Ran && done.Answer.Status < fasthttp.StatusInternalServerError:
-		s.book.RecordLatency(now, id, now.Sub(done.Sent))
-	case done.Outcome == verdict.NotRun && done.Answer.Status != 0:
-		s.book.RecordRefusal(now, id)
+	case attempt.Outcome == verdict.Ran && attempt.Answer.Status < fasthttp.StatusInternalServerError:
+		s.balancer.RecordLatency(now, id, now.Sub(attempt.SentAt))
+	case attempt.Outcome == verdict.NotRun && attempt.Answer.Status != 0:
+		s.balancer.RecordRefusal(now, id)
 	case ctx.Err() != nil:
-		// Nobody waits any more; it says nothing about the server.
-	case done.Answer.Status == 0:
-		s.book.RecordConnectionFailure(now, id)
-		s.book.RecordFailure(now, id)
+		// The attempt was cancelled or its deadline passed, which says nothing about the server.
+	case attempt.Answer.Status == 0:
+		s.balancer.RecordConnectionFailure(now, id)
+		s.balancer.RecordFailure(now, id)
 	default:
-		s.book.RecordFailure(now, id)
+		s.balancer.RecordFailure(now, id)
 	}
 }
--- a/internal/edge/call/call.go
+++ b/internal/edge/call/call.go
@@ -1,5 +1,6 @@
-// Package call sends a request to the backend servers of a pool until one has answered it, it may not be sent again, or its time is over. It
-// serves callers' requests and the reward calls of batch jobs; which server is asked is decided by core/backend.
+// Package call sends a request to the backend servers of a pool, one attempt after another, until a server has answered it, it may not be
+// sent again, or its deadline has passed. It serves callers' requests and the reward calls of batch jobs. The package core/backend chooses
+// the servers.
 package call
 
 import (
@@ -15,66 +16,69 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// Request is a request with what may be done with it.
+// Request is a request to a pool, and the rules for its retries.
 type Request struct {
-	// ID names the request; an answer that bears another id is not its answer.
+	// ID identifies the request; an answer that carries another id is not accepted.
 	ID string
-	// Pool returns the pool that serves the request at this moment; false if there is none.
+	// Pool returns the pool that currently serves the request; false if no route serves it. It is called for each attempt.
 	Pool func() (string, bool)
-	// Build fills in the request for a server. It is never called by two goroutines at a time.
+	// Build fills in the HTTP request for a server. It is never called concurrently.
 	Build func(to *fasthttp.Request, server backend.Server)
-	// End is when the answer must be out.
+	// End is the deadline of the answer.
 	End time.Time
-	// Repeatable requests may run more than once, at up to MaxAttempts servers.
+	// Repeatable requests may run more than once, in up to MaxAttempts attempts. Others are only sent again if no attempt can have run.
 	Repeatable  bool
 	MaxAttempts int
-	// Hedge is the time without an answer after which a repeatable request is sent to a second server.
+	// Hedge is the time without an answer after which a repeatable request is also sent to a second server.
 	Hedge time.Duration
-	// First is the server of the first attempt, which Book.Acquire has counted; nil has one chosen.
+	// First is the server of the first attempt, if the caller of Send has acquired it already; nil makes Send acquire one.
 	First *backend.Server
-	// Ran is called for each attempt that may have run, with the time at which it was sent; nil if nobody counts.
+	// Ran is called for each attempt that ran or may have run, with the time at which it was sent; it may be nil.
 	Ran func(sent time.Time)
 }
 
-// Attempt is one send of a request to a server, and what came of it.
+// Attempt is one attempt to send a request to a server, with its result.
 type Attempt struct {
 	Server backend.Server
-	Sent   time.Time
+	SentAt time.Time
+	// Answer is what the gateway itself reads from the answer's header. Its Status is 0 if no header was received.
 	Answer platform.Answer
+	// Header and Body are the server's answer, set if Outcome is Ran.
 	Header fasthttp.ResponseHeader
 	Body   []byte
-	// Outcome is Ran for a whole answer of the server.
+	// Outcome is Ran if the server's whole answer was received.
 	Outcome verdict.Verdict
-	// Cause says why there is no answer.
+	// Cause says why no answer can be passed on; nil if Outcome is Ran.
 	Cause error
 }
 
-// Tally counts the attempts at a request.
+// Tally counts the attempts of a request.
 type Tally struct {
-	// Sent counts those that may have run, NotRun those that have not.
+	// Sent counts the attempts that ran or may have run, and those that are not finished; NotRun counts those that did not run.
 	Sent, NotRun int
-	// Failed counts those that the server answered with 500.
+	// Failed counts the attempts that the server answered with status 500.
 	Failed int
 }
 
 // Sender sends requests to backend servers. It is safe for concurrent use.
 type Sender struct {
-	book    *backend.Balancer
-	servers *exchange.Client
-	log     zerolog.Logger
+	balancer *backend.Balancer
+	servers  *exchange.Client
+	log      zerolog.Logger
 }
 
-// NewSender returns a sender over the connections of the client that records the outcomes of attempts in the book.
-func NewSender(book *backend.Balancer, servers *exchange.Client, log zerolog.Logger) *Sender {
-	return &Sender{book: book, servers: servers, log: log}
+// NewSender returns a sender that takes its servers from the balancer, reports the results of attempts to it, and calls the servers through
+// the client.
+func NewSender(balancer *backend.Balancer, servers *exchange.Client, log zerolog.Logger) *Sender {
+	return &Sender{balancer: balancer, servers: servers, log: log}
 }
 
-// Send sends the request and returns the attempt that ended it, nil if there was none, with a refusal unless it holds the server's answer. No
-// attempt uses the request any more once it returns.
+// Send sends the request and returns the attempt that ended it, or nil if no attempt was made. The error is nil if that attempt holds the
+// server's answer, and a refusal otherwise. Send returns only after all attempts have stopped using the request.
 func (s *Sender) Send(ctx context.Context, request *Request) (*Attempt, Tally, error) {
 	ctx, cancel := context.WithDeadline(ctx, request.End)
 	defer cancel()
-	t := &tries{sender: s, request: request, tried: map[string]bool{}}
-	attempt, err := t.run(ctx)
-	return attempt, t.Tally, err
+	r := &retrier{sender: s, request: request, tried: map[string]bool{}}
+	attempt, err := r.run(ctx)
+	return attempt, r.Tally, err
 }
--- a/internal/edge/call/tries.go
+++ b/internal/edge/call/tries.go
@@ -12,150 +12,157 @@
 )
 
 const (
-	// refusedTries is how many servers are tried beyond the request's attempts while each says that it has not run the request.
-	refusedTries = 3
-	// fullRetry is when to come back to a pool without a free place: some calls have ended by then.
-	fullRetry = 60 * time.Millisecond
+	// maxNotRunRetries is how often a request is sent again after attempts that did not run it; those don't count towards MaxAttempts.
+	maxNotRunRetries = 3
+	// poolRetryAfter is when a caller should come back to a pool without a free slot: some calls have ended by then.
+	poolRetryAfter = 60 * time.Millisecond
 )
 
-// tries are the attempts at one request.
-type tries struct {
+// retrier makes the attempts of one request.
+type retrier struct {
 	Tally
 
 	sender  *Sender
 	request *Request
-	tried   map[string]bool
-	open    int
-	results chan *Attempt
-	work    conc.WaitGroup
+	// tried holds the ids of the servers to which the request was sent.
+	tried map[string]bool
+	// inFlight counts the attempts whose result has not been received.
+	inFlight int
+	results  chan *Attempt
+	wg       conc.WaitGroup
 }
 
-// run sends the request until a server answered, it may not be sent again, or its time is over.
-func (t *tries) run(ctx context.Context) (*Attempt, error) {
+// run sends the request until a server has answered, it may not be sent again, or ctx has ended.
+func (r *retrier) run(ctx context.Context) (*Attempt, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	t.results = make(chan *Attempt, t.most())
-	defer t.work.Wait()
+	r.results = make(chan *Attempt, r.maxAttempts())
+	defer r.wg.Wait()
 	defer cancel()
-	if !t.startFirst(ctx) {
-		return nil, t.noServer(nil)
+	if !r.sendFirst(ctx) {
+		return nil, r.noServerRefusal(nil)
 	}
-	hedge := time.NewTimer(t.request.Hedge)
+	hedge := time.NewTimer(r.request.Hedge)
 	defer hedge.Stop()
 	for {
 		select {
-		case done := <-t.results:
-			t.open--
-			final, err := t.judge(ctx, done)
+		case attempt := <-r.results:
+			r.inFlight--
+			final, err := r.evaluate(ctx, attempt)
 			if final || err != nil {
-				return done, err
+				return attempt, err
 			}
-			if t.open == 0 && !t.start(ctx) {
-				return t.exhausted(ctx, done)
+			if r.inFlight == 0 && !r.sendNext(ctx) {
+				return r.resultWithoutRetry(ctx, attempt)
 			}
 		case <-hedge.C:
-			if t.mayRepeat() {
-				t.start(ctx)
+			if r.mayRunAgain() {
+				r.sendNext(ctx)
 			}
 		}
 	}
 }
 
-// most is how many attempts there can be.
-func (t *tries) most() int { return max(1, t.request.MaxAttempts) + refusedTries + 1 }
+// maxAttempts returns the largest possible number of attempts, those that did not run included.
+func (r *retrier) maxAttempts() int { return max(1, r.request.MaxAttempts) + maxNotRunRetries + 1 }
 
-// mayRepeat says whether the request may be sent once more although it may have run.
-func (t *tries) mayRepeat() bool {
-	return t.request.Repeatable && t.Sent < max(1, t.request.MaxAttempts)
+// mayRunAgain reports whether the request may be sent once more although earlier attempts may have run or are not finished.
+func (r *retrier) mayRunAgain() bool {
+	return r.request.Repeatable && r.Sent < max(1, r.request.MaxAttempts)
 }
 
-func (t *tries) startFirst(ctx context.Context) bool {
-	if t.request.First == nil {
-		return t.start(ctx)
+// sendFirst makes the first attempt; false if there is no server for it.
+func (r *retrier) sendFirst(ctx context.Context) bool {
+	if r.request.First == nil {
+		return r.sendNext(ctx)
 	}
-	t.sendTo(ctx, *t.request.First)
+	r.sendTo(ctx, *r.request.First)
 	return true
 }
 
-// start sends the request to another server; false if it may not or there is none.
-func (t *tries) start(ctx context.Context) bool {
-	if t.NotRun > refusedTries || t.Sent > 0 && !t.mayRepeat() || ctx.Err() != nil {
+// sendNext sends the request to a server that it was not sent to before; false if it may not be sent again or there is no such server.
+func (r *retrier) sendNext(ctx context.Context) bool {
+	if r.NotRun > maxNotRunRetries || r.Sent > 0 && !r.mayRunAgain() || ctx.Err() != nil {
 		return false
 	}
-	pool, ok := t.request.Pool()
+	pool, ok := r.request.Pool()
 	if !ok {
 		return false
 	}
-	server, ok := t.sender.book.Acquire(time.Now(), backend.Requirements{Pool: pool, Exclude: t.tried})
+	server, ok := r.sender.balancer.Acquire(time.Now(), backend.Requirements{Pool: pool, Exclude: r.tried})
 	if !ok {
 		return false
 	}
-	t.sendTo(ctx, server)
+	r.sendTo(ctx, server)
 	return true
 }
 
-// sendTo sends the request to a server that counts it already.
+// sendTo sends the request to a server that has been acquired for it.
 //
-// Attempts at a time would read the same request side by side, so each one's is built here, one after the other.
-func (t *tries) sendTo(ctx context.Context, server backend.Server) {
-	t.tried[server.ID] = true
-	t.Sent++
-	t.open++
+// The HTTP request of each attempt is built here and not in the attempt's goroutine: concurrent attempts would read the same source request
+// at the same time.
+func (r *retrier) sendTo(ctx context.Context, server backend.Server) {
+	r.tried[server.ID] = true
+	r.Sent++
+	r.inFlight++
 	req := fasthttp.AcquireRequest()
-	t.request.Build(req, server)
-	t.work.Go(func() {
+	r.request.Build(req, server)
+	r.wg.Go(func() {
 		defer fasthttp.ReleaseRequest(req)
-		t.results <- t.sender.attempt(ctx, req, server, t.request)
+		r.results <- r.sender.sendOnce(ctx, req, server, r.request)
 	})
 }
 
-// judge says whether an attempt ends the request.
-func (t *tries) judge(ctx context.Context, done *Attempt) (bool, error) {
-	if done.Outcome == verdict.Ran && done.Answer.Status == fasthttp.StatusInternalServerError {
-		t.Failed++
+// evaluate counts a finished attempt and reports whether it ends the request; the error is the refusal to answer with, if any.
+func (r *retrier) evaluate(ctx context.Context, attempt *Attempt) (bool, error) {
+	if attempt.Outcome == verdict.Ran && attempt.Answer.Status == fasthttp.StatusInternalServerError {
+		r.Failed++
 	}
 	switch {
-	case done.Outcome == verdict.NotRun:
-		t.Sent--
-		t.NotRun++
+	case attempt.Outcome == verdict.NotRun:
+		r.Sent--
+		r.NotRun++
 		return false, nil
-	case done.Outcome == verdict.Ran && (done.Answer.Status < fasthttp.StatusInternalServerError || !t.mayRepeat()):
+	case attempt.Outcome == verdict.Ran && (attempt.Answer.Status < fasthttp.StatusInternalServerError || !r.mayRunAgain()):
 		return true, nil
 	case ctx.Err() != nil:
-		return true, t.expired(done)
+		return true, r.deadlineRefusal(attempt)
 	default:
 		return false, nil
 	}
 }
 
-// exhausted ends a request that can't be sent any more.
-func (t *tries) exhausted(ctx context.Context, last *Attempt) (*Attempt, error) {
+// resultWithoutRetry returns the result of a request that can't be sent again after its last attempt.
+func (r *retrier) resultWithoutRetry(ctx context.Context, last *Attempt) (*Attempt, error) {
 	switch {
 	case last.Outcome == verdict.Ran:
 		return last, nil
-	case t.Sent > 0:
+	case r.Sent > 0:
 		return last, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerLost, 0, "server %s: %v", last.Server.ID, last.Cause)
 	case ctx.Err() != nil:
-		return last, t.expired(last)
+		return last, r.deadlineRefusal(last)
 	default:
-		return last, t.noServer(last)
+		return last, r.noServerRefusal(last)
 	}
 }
 
-func (t *tries) noServer(last *Attempt) error {
-	pool, ok := t.request.Pool()
+// noServerRefusal refuses a request for which no server is left; last is nil if no attempt was made.
+func (r *retrier) noServerRefusal(last *Attempt) error {
+	pool, ok := r.request.Pool()
 	switch {
 	case !ok:
-		return verdict.Refuse(verdict.NotRun, verdict.ReasonNotFound, fullRetry, "request %s has no route", t.request.ID)
+		return verdict.Refuse(verdict.NotRun, verdict.ReasonNotFound, poolRetryAfter, "request %s has no route", r.request.ID)
 	case last == nil:
-		return verdict.Refuse(verdict.NotRun, verdict.ReasonNoServer, fullRetry, "pool %s has no server", pool)
+		return verdict.Refuse(verdict.NotRun, verdict.ReasonNoServer, poolRetryAfter, "pool %s has no server", pool)
 	default:
-		return verdict.Refuse(verdict.NotRun, verdict.ReasonOverloaded, fullRetry, "pool %s has no free place; server %s: %v", pool, last.Server.ID, last.Cause)
+		return verdict.Refuse(verdict.NotRun, verdict.ReasonOverloaded, poolRetryAfter,
+			"pool %s has no free place; server %s: %v", pool, last.Server.ID, last.Cause)
 	}
 }
 
-func (t *tries) expired(last *Attempt) error {
+// deadlineRefusal refuses a request whose deadline passed, or whose caller hung up, before a server answered.
+func (r *retrier) deadlineRefusal(last *Attempt) error {
 	outcome := verdict.NotRun
-	if t.Sent > 0 {
+	if r.Sent > 0 {
 		outcome = verdict.MayHaveRun
 	}
 	return verdict.Refuse(outcome, verdict.ReasonDeadlinePassed, 0, "the time is over; server %s: %v", last.Server.ID, last.Cause)
