--- a/internal/edge/backendserver/engine.go
+++ b/internal/edge/backendserver/engine.go
@@ -13,63 +13,64 @@
 	"github.com/valyala/fasthttp"
 )
 
-// dataField starts the line of a server-sent event that carries its data.
-const dataField = "data:"
+// dataPrefix starts the line of a server-sent event that carries its data.
+const dataPrefix = "data:"
 
 // maxEventBytes bounds one line of an engine's stream.
 const maxEventBytes = 1 << 20
 
 // Engine is the client of one model engine. It is safe for concurrent use.
 type Engine struct {
-	caller
+	baseClient
 }
 
 // NewEngine returns a client of the engine at the URL.
-func NewEngine(base string, opts ...Option) *Engine {
-	return &Engine{caller: newCaller(base, opts)}
+func NewEngine(baseURL string, opts ...Option) *Engine {
+	return &Engine{baseClient: newBaseClient(baseURL, opts)}
 }
 
-// Generate streams tokens to each, which may end the stream by an error. It returns nil only after
-// the engine's closing event agreed with the number of tokens: a stream that was cut is ErrLost.
-func (e *Engine) Generate(ctx context.Context, ask GenerateRequest, each func(Token) error) error {
+// Generate calls onToken with each generated token; an error of onToken ends the stream and is
+// returned. Generate returns nil only if the stream ended with the engine's closing event and all
+// tokens that the event counts have arrived. The error for a stream that broke off is ErrLost.
+func (e *Engine) Generate(ctx context.Context, request GenerateRequest, onToken func(Token) error) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	if err := e.prepare(req, http.MethodPost, PathGenerate, ask); err != nil {
+	if err := e.prepare(req, http.MethodPost, PathGenerate, request); err != nil {
 		return err
 	}
 	stream, err := e.http.Open(ctx, req)
 	if err != nil {
-		return errors.Wrap(err, ask.SampleID)
+		return errors.Wrap(err, request.SampleID)
 	}
 	defer func() { _ = stream.Close() }()
 	if err := statusError(PathGenerate, stream.Status()); err != nil {
-		return errors.Wrap(err, ask.SampleID)
+		return errors.Wrap(err, request.SampleID)
 	}
-	if err := readEvents(stream, each); err != nil {
-		return errors.Wrap(err, ask.SampleID)
+	if err := readEvents(stream, onToken); err != nil {
+		return errors.Wrap(err, request.SampleID)
 	}
 	return nil
 }
 
-// readEvents hands on tokens until the closing event.
-func readEvents(stream io.Reader, each func(Token) error) error {
+// readEvents calls onToken with each token until the closing event.
+func readEvents(stream io.Reader, onToken func(Token) error) error {
 	lines := bufio.NewScanner(stream)
 	lines.Buffer(nil, maxEventBytes)
 	received := 0
 	for lines.Scan() {
-		data, ok := strings.CutPrefix(lines.Text(), dataField)
+		data, ok := strings.CutPrefix(lines.Text(), dataPrefix)
 		if !ok {
 			continue
 		}
 		var event Event
 		if err := json.Unmarshal([]byte(data), &event); err != nil {
-			return errors.Wrapf(ErrLost, "event: %v", err)
+			return errors.Wrapf(ErrLost, "decode event: %v", err)
 		}
 		if event.Done {
-			return closing(stream, event, received)
+			return finishStream(stream, event, received)
 		}
 		received++
-		if err := each(Token{Text: event.Text, Version: event.Version}); err != nil {
+		if err := onToken(Token{Text: event.Text, Version: event.Version}); err != nil {
 			return err
 		}
 	}
@@ -79,8 +80,9 @@
 	return errors.Wrap(ErrLost, "stream ended without its closing event")
 }
 
-// closing reads the stream to its end, so that its connection can be used again.
-func closing(stream io.Reader, event Event, received int) error {
+// finishStream checks the closing event against the number of tokens received, and reads the stream
+// to its end, so that its connection can be reused.
+func finishStream(stream io.Reader, event Event, received int) error {
 	if event.Tokens != received {
 		return errors.Wrapf(ErrLost, "engine sent %d tokens, %d arrived", event.Tokens, received)
 	}
@@ -88,27 +90,28 @@
 	return err
 }
 
-// Load returns the engine's lagging report.
+// Load returns the engine's report of its load, which lags behind its actual load.
 func (e *Engine) Load(ctx context.Context) (EngineLoad, error) {
 	var load EngineLoad
-	err := e.ask(ctx, http.MethodGet, PathLoad, nil, &load)
+	err := e.callJSON(ctx, http.MethodGet, PathLoad, nil, &load)
 	return load, err
 }
 
-// Order gives a weight order; ErrFenced says that a newer holder has given one.
+// Order sends a weight order. The error is ErrFenced if the engine has seen an order of a newer
+// lease holder.
 func (e *Engine) Order(ctx context.Context, order WeightOrder) error {
-	return e.ask(ctx, http.MethodPost, PathOrders, order, nil)
+	return e.callJSON(ctx, http.MethodPost, PathOrders, order, nil)
 }
 
-// Cancel ends the generation of the sample; cancelling an unknown sample is no error.
+// Cancel ends the generation of the sample; an unknown sample is not an error.
 func (e *Engine) Cancel(ctx context.Context, sampleID string) error {
-	return e.ask(ctx, http.MethodPost, PathCancel, CancelRequest{SampleID: sampleID}, nil)
+	return e.callJSON(ctx, http.MethodPost, PathCancel, CancelRequest{SampleID: sampleID}, nil)
 }
 
-// CacheEvents returns the events after the sequence number that the engine has published so far.
+// CacheEvents returns the cache events published so far with a sequence number above after.
 func (e *Engine) CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error) {
 	var list CacheEventList
 	target := PathCacheEvents + "?" + QueryAfter + "=" + strconv.FormatUint(after, 10)
-	err := e.ask(ctx, http.MethodGet, target, nil, &list)
+	err := e.callJSON(ctx, http.MethodGet, target, nil, &list)
 	return list.Events, err
 }
--- a/internal/edge/backendserver/engine_test.go
+++ b/internal/edge/backendserver/engine_test.go
@@ -17,7 +17,7 @@
 )
 
 func TestMain(m *testing.M) {
-	// The library keeps one goroutine a process that formats the date header.
+	// The HTTP library starts one goroutine per process that formats the Date header and never ends.
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
 }
 
@@ -32,13 +32,13 @@
 
 func startEngine(t *testing.T, opts ...engine.Option) (*engine.Server, *backendserver.Engine) {
 	t.Helper()
-	quick := []engine.Option{
+	noDelays := []engine.Option{
 		engine.WithTokenTime(time.Microsecond, 0),
 		engine.WithPrefillTime(0),
 		engine.WithLoadTime(0),
 		engine.WithLoadLag(0),
 	}
-	server, err := engine.New(context.Background(), listen(t), append(quick, opts...)...)
+	server, err := engine.New(context.Background(), listen(t), append(noDelays, opts...)...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,28 +50,31 @@
 	return server, client
 }
 
-func collect(ctx context.Context, client *backendserver.Engine, ask backendserver.GenerateRequest) ([]backendserver.Token, error) {
+// generate returns the tokens that arrived, also if the stream broke off.
+func generate(
+	ctx context.Context, client *backendserver.Engine, request backendserver.GenerateRequest,
+) ([]backendserver.Token, error) {
 	var tokens []backendserver.Token
-	err := client.Generate(ctx, ask, func(token backendserver.Token) error {
+	err := client.Generate(ctx, request, func(token backendserver.Token) error {
 		tokens = append(tokens, token)
 		return nil
 	})
 	return tokens, err
 }
 
-var ask = backendserver.GenerateRequest{SampleID: "s1", Prompt: "draft a fee line", MaxTokens: 20, Seed: 3}
+var sampleRequest = backendserver.GenerateRequest{SampleID: "s1", Prompt: "draft a fee line", MaxTokens: 20, Seed: 3}
 
-// A trainer gets a sample whose second half is another text: the engine crashed after some tokens
-// and the generation was resumed elsewhere. A resumed generation has to end like an undisturbed
-// one, and a stream that was cut must not be taken for a whole one.
+// Guards against a sample whose second half doesn't continue its first: the engine crashed after some
+// tokens, and another one resumed the generation. A resumed generation must produce the same text as
+// an uninterrupted one, and a stream that broke off must not pass for a complete one.
 func TestCutGenerationIsLostAndResumesToTheSameText(t *testing.T) {
 	server, client := startEngine(t)
-	whole, err := collect(t.Context(), client, ask)
+	whole, err := generate(t.Context(), client, sampleRequest)
 	if err != nil {
 		t.Fatal(err)
 	}
 	server.SetFaults(engine.Faults{CutAfterTokens: 4})
-	part, err := collect(t.Context(), client, ask)
+	part, err := generate(t.Context(), client, sampleRequest)
 	if !errors.Is(err, backendserver.ErrLost) {
 		t.Fatalf("cut stream: got %v", err)
 	}
@@ -79,9 +82,9 @@
 		t.Error(diff)
 	}
 	server.SetFaults(engine.Faults{})
-	resumed := ask
+	resumed := sampleRequest
 	resumed.Resume = part
-	rest, err := collect(t.Context(), client, resumed)
+	rest, err := generate(t.Context(), client, resumed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,12 +93,12 @@
 	}
 }
 
-func TestSwitchDuringAStreamChangesTheVersionOfLaterTokens(t *testing.T) {
+func TestSwitchDuringStreamChangesVersionOfLaterTokens(t *testing.T) {
 	_, client := startEngine(t)
 	order := backendserver.WeightOrder{Kind: backendserver.OrderSwitch, Model: "draftmodel", Version: 2, Fencing: 5}
-	long := ask
+	long := sampleRequest
 	long.MaxTokens = 1_000_000
-	switched := errors.New("a token of the new version came")
+	switched := errors.New("received a token of the new version")
 	seen := 0
 	err := client.Generate(t.Context(), long, func(token backendserver.Token) error {
 		seen++
@@ -154,41 +157,41 @@
 	server.SetFaults(engine.Faults{Stalled: true})
 	var group conc.WaitGroup
 	group.Go(func() {
-		if _, err := collect(t.Context(), client, ask); !errors.Is(err, backendserver.ErrLost) {
+		if _, err := generate(t.Context(), client, sampleRequest); !errors.Is(err, backendserver.ErrLost) {
 			t.Errorf("cancelled generation: got %v", err)
 		}
 	})
-	waitFor(t, func() bool { return server.State().Started[ask.SampleID] == 1 })
-	if _, err := collect(t.Context(), client, ask); !errors.Is(err, backendserver.ErrBusy) {
+	waitFor(t, func() bool { return server.State().Started[sampleRequest.SampleID] == 1 })
+	if _, err := generate(t.Context(), client, sampleRequest); !errors.Is(err, backendserver.ErrBusy) {
 		t.Errorf("full engine: got %v", err)
 	}
-	if err := client.Cancel(t.Context(), ask.SampleID); err != nil {
+	if err := client.Cancel(t.Context(), sampleRequest.SampleID); err != nil {
 		t.Error(err)
 	}
 	group.Wait()
 	waitFor(t, func() bool { return server.State().Running == 0 })
 }
 
-// A caller hangs up in the middle of a long generation. The engine has to get its slot back at its
-// next token; otherwise abandoned streams fill the engine.
+// Guards against an engine whose slots are filled by abandoned streams: a caller hangs up during a long
+// generation. The engine must free the slot at its next token.
 func TestAbandonedStreamFreesItsSlot(t *testing.T) {
 	server, client := startEngine(t)
-	ended := errors.New("caller is gone")
-	long := ask
+	hungUp := errors.New("the caller hung up")
+	long := sampleRequest
 	long.MaxTokens = 1_000_000
-	err := client.Generate(t.Context(), long, func(backendserver.Token) error { return ended })
-	if !errors.Is(err, ended) {
+	err := client.Generate(t.Context(), long, func(backendserver.Token) error { return hungUp })
+	if !errors.Is(err, hungUp) {
 		t.Fatalf("got %v", err)
 	}
 	waitFor(t, func() bool { return server.State().Running == 0 })
 }
 
-func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
+func TestCacheEventsHaveGapsWhereEventsAreLost(t *testing.T) {
 	server, client := startEngine(t, engine.WithCache(1, 0))
 	for _, prompt := range []string{"a", "b", "b"} {
-		next := ask
-		next.Prompt = prompt
-		if _, err := collect(t.Context(), client, next); err != nil {
+		request := sampleRequest
+		request.Prompt = prompt
+		if _, err := generate(t.Context(), client, request); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -215,16 +218,16 @@
 	}
 }
 
-// waitFor polls a stand-in's state; it fails the test after ten seconds.
-func waitFor(t *testing.T, done func() bool) {
+// waitFor polls until the condition holds, and fails the test after ten seconds.
+func waitFor(t *testing.T, condition func() bool) {
 	t.Helper()
 	deadline := time.After(10 * time.Second)
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
-	for !done() {
+	for !condition() {
 		select {
 		case <-deadline:
-			t.Fatal("state not reached")
+			t.Fatal("the condition does not hold after ten seconds")
 		case <-tick.C:
 		}
 	}
--- a/internal/edge/backendserver/enginefault_test.go
+++ b/internal/edge/backendserver/enginefault_test.go
@@ -12,21 +12,21 @@
 	"github.com/oleandershelf/oleandershelf/internal/standin/engine"
 )
 
-// An engine crashes under running streams. Each caller has to learn that its answer is not whole,
-// and calls to the dead engine must fail rather than wait.
-func TestCrashCutsStreamsAndCalls(t *testing.T) {
+// Guards against callers that take a partial answer for a complete one, or wait without end, when an
+// engine crashes while it streams. Calls to the crashed engine must fail and not wait.
+func TestCrashBreaksStreamsAndCalls(t *testing.T) {
 	server, client := startEngine(t)
 	server.SetFaults(engine.Faults{Stalled: true})
 	var group conc.WaitGroup
 	for range 3 {
 		group.Go(func() {
-			if _, err := collect(t.Context(), client, ask); !errors.Is(err, backendserver.ErrLost) {
+			if _, err := generate(t.Context(), client, sampleRequest); !errors.Is(err, backendserver.ErrLost) {
 				t.Errorf("running stream: got %v", err)
 			}
 		})
 	}
 	waitFor(t, func() bool { return server.State().Running == 3 })
-	// Still stalled: a stream that goes on for a moment could end whole before its connection is cut.
+	// The engine stays stalled: a stream that continued could complete before its connection is cut.
 	server.SetFaults(engine.Faults{Crashed: true, Stalled: true})
 	server.CutConnections()
 	group.Wait()
@@ -40,7 +40,7 @@
 	server.SetFaults(engine.Faults{Stalled: true})
 	var group conc.WaitGroup
 	group.Go(func() {
-		if _, err := collect(t.Context(), client, ask); !errors.Is(err, backendserver.ErrLost) {
+		if _, err := generate(t.Context(), client, sampleRequest); !errors.Is(err, backendserver.ErrLost) {
 			t.Errorf("got %v", err)
 		}
 	})
@@ -49,31 +49,31 @@
 	if err != nil || load.Running != 0 || load.Version != engine.DefaultVersion {
 		t.Errorf("got %+v, %v", load, err)
 	}
-	if err := client.Cancel(t.Context(), ask.SampleID); err != nil {
+	if err := client.Cancel(t.Context(), sampleRequest.SampleID); err != nil {
 		t.Error(err)
 	}
 	group.Wait()
 }
 
-// A bulk request that waited longest must not start before an interactive one. The engine's cache
-// events tell the order in which the requests were started.
+// Guards against a bulk request that starts before an interactive one because it has waited longer. The
+// order of the engine's cache events is the order in which the requests started.
 func TestWaitingRequestsStartByPriority(t *testing.T) {
 	server, client := startEngine(t, engine.WithSlots(1, 8), engine.WithCache(8, 0))
 	server.SetFaults(engine.Faults{Stalled: true})
-	generate := func(prompt string, priority int) func() {
+	generateOne := func(prompt string, priority int) func() {
 		return func() {
 			request := backendserver.GenerateRequest{Prompt: prompt, MaxTokens: 1, Priority: priority}
-			if _, err := collect(t.Context(), client, request); err != nil {
+			if _, err := generate(t.Context(), client, request); err != nil {
 				t.Errorf("%s: %v", prompt, err)
 			}
 		}
 	}
 	var group conc.WaitGroup
-	group.Go(generate("running", 0))
+	group.Go(generateOne("running", 0))
 	waitFor(t, func() bool { return server.State().Running == 1 })
-	group.Go(generate("bulk", 2))
+	group.Go(generateOne("bulk", 2))
 	waitFor(t, func() bool { return server.State().Queued == 1 })
-	group.Go(generate("interactive", 0))
+	group.Go(generateOne("interactive", 0))
 	waitFor(t, func() bool { return server.State().Queued == 2 })
 	server.SetFaults(engine.Faults{})
 	group.Wait()
--- a/internal/edge/backendserver/errors.go
+++ b/internal/edge/backendserver/errors.go
@@ -11,19 +11,19 @@
 
 // Errors of calls to backend servers.
 var (
-	// ErrNotSent: no byte of the call left this host, so it can't have run.
+	// ErrNotSent: no byte of the request was sent, so the call can't have run.
 	ErrNotSent = exchange.ErrNotSent
-	// ErrLost: the call was sent and its answer did not come whole; it may have run.
+	// ErrLost: the request was sent, but its whole answer was not received; the call may have run.
 	ErrLost = exchange.ErrLost
-	// ErrFenced: the server knows a newer fencing number than the order's.
+	// ErrFenced: the server has seen a newer fencing number than the order's.
 	ErrFenced = errors.New("fencing number is old")
 	// ErrBusy: the server refused the call before running it.
 	ErrBusy = errors.New("server takes no more work")
-	// ErrSwapFailed: the server kept its weights.
+	// ErrSwapFailed: the server could not switch to the ordered weights and keeps the old ones.
 	ErrSwapFailed = errors.New("weight swap failed")
 )
 
-// StatusError is an answer with a status that the call does not expect.
+// StatusError is the error of a call whose answer has an unexpected status.
 type StatusError struct {
 	Path   string
 	Status int
@@ -34,6 +34,7 @@
 	return fmt.Sprintf("%s answered status %d", e.Path, e.Status)
 }
 
+// statusError returns the error for the status of an answer, nil for 200.
 func statusError(path string, status int) error {
 	switch status {
 	case http.StatusOK:
--- a/internal/edge/backendserver/service.go
+++ b/internal/edge/backendserver/service.go
@@ -11,35 +11,35 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/exchange"
 )
 
-// userAgent keeps the library's default from being taken for the caller's.
+// userAgent replaces the HTTP library's default user agent, which the server could take for the caller's.
 const userAgent = "oleandershelf"
 
-// Service is the client of one backend server whose answers are handed on as they are. It follows
-// no redirects and sends every call once. It is safe for concurrent use.
+// Service is the client of one backend server whose answers are passed on unchanged. It follows no
+// redirects and sends every call only once. It is safe for concurrent use.
 type Service struct {
-	caller
+	baseClient
 }
 
 // NewService returns a client of the server at the URL.
-func NewService(base string, opts ...Option) *Service {
-	return &Service{caller: newCaller(base, opts)}
+func NewService(baseURL string, opts ...Option) *Service {
+	return &Service{baseClient: newBaseClient(baseURL, opts)}
 }
 
-// Answer is an answer whose body is still to be read; Body must be closed.
+// Answer is an answer whose body has not been read yet. Body must be closed.
 type Answer struct {
 	Status int
 	Header []request.HeaderField
 	Body   *exchange.Stream
 }
 
-// Call sends the call and returns once the head of the answer came. Its error is ErrNotSent if the
-// call can't have run, and ErrLost if it may have.
+// Call sends a request and returns once the header of the answer has arrived. The error is
+// ErrNotSent if the call can't have run, and ErrLost if it may have run.
 func (s *Service) Call(
 	ctx context.Context, method, path, query string, header []request.HeaderField, body []byte,
 ) (*Answer, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	target := s.base + path
+	target := s.baseURL + path
 	if query != "" {
 		target += "?" + query
 	}
@@ -56,15 +56,15 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "%s %s", method, path)
 	}
-	return &Answer{Status: stream.Status(), Header: fields(stream.Header()), Body: stream}, nil
+	return &Answer{Status: stream.Status(), Header: copyHeader(stream.Header()), Body: stream}, nil
 }
 
-// fields copies the header: the library reuses its buffers. What concerns only the connection
-// between this host and the server stays out.
-func fields(from *fasthttp.ResponseHeader) []request.HeaderField {
+// copyHeader copies the header, because the library reuses its buffers. It leaves out the fields
+// that concern only the connection between this host and the server.
+func copyHeader(from *fasthttp.ResponseHeader) []request.HeaderField {
 	var header []request.HeaderField
 	for name, value := range from.All() {
-		if connectionField(string(name)) {
+		if isHopByHop(string(name)) {
 			continue
 		}
 		header = append(header, request.HeaderField{Name: string(name), Value: string(value)})
@@ -72,7 +72,7 @@
 	return header
 }
 
-func connectionField(name string) bool {
+func isHopByHop(name string) bool {
 	switch strings.ToLower(name) {
 	case "connection", "keep-alive", "transfer-encoding", "upgrade", "trailer", "proxy-connection":
 		return true
--- a/internal/edge/backendserver/service_test.go
+++ b/internal/edge/backendserver/service_test.go
@@ -33,7 +33,8 @@
 	return server, client
 }
 
-func book(ctx context.Context, client *backendserver.Service, id string) (string, error) {
+// createBooking returns the body of the answer.
+func createBooking(ctx context.Context, client *backendserver.Service, id string) (string, error) {
 	body := []byte(fmt.Sprintf(`{"id":%q}`, id))
 	answer, err := client.Call(ctx, http.MethodPost, service.PathBookings, "", nil, body)
 	if err != nil {
@@ -44,7 +45,7 @@
 	return string(raw), err
 }
 
-func TestServiceReceivesWhatWasCalled(t *testing.T) {
+func TestServiceReceivesTheCallUnchanged(t *testing.T) {
 	server, client := startService(t)
 	header := []request.HeaderField{{Name: "X-Stable", Value: "one"}, {Name: "X-Stable", Value: "two"}}
 	answer, err := client.Call(t.Context(), http.MethodPatch, "/a%2Fb/../c", "q=1&q=2", header, []byte("body"))
@@ -69,25 +70,25 @@
 	}
 }
 
-// Two families stand at the gate for one pony: the service ran a booking, its answer was lost, and
-// something below the caller sent the booking again. The client must send once, and say that the
-// call may have run.
+// Guards against a booking that runs twice: the service ran it, its answer was lost, and the HTTP client
+// sent it again by itself. The client must send a call only once, and report that it may have run.
 func TestBookingWhoseAnswerIsLostRunsOnce(t *testing.T) {
 	server, client := startService(t)
-	if _, err := book(t.Context(), client, "warm-up"); err != nil {
+	if _, err := createBooking(t.Context(), client, "warm-up"); err != nil {
 		t.Fatal(err)
 	}
 	server.SetFaults(service.Faults{CutAfterRun: 1})
-	if _, err := book(t.Context(), client, "b1"); !errors.Is(err, backendserver.ErrLost) {
+	if _, err := createBooking(t.Context(), client, "b1"); !errors.Is(err, backendserver.ErrLost) {
 		t.Errorf("got %v, want %v", err, backendserver.ErrLost)
 	}
 	if runs := server.State().Runs["b1"]; runs != 1 {
-		t.Errorf("the booking ran %d times", runs)
+		t.Errorf("the booking ran %d times, want 1", runs)
 	}
 }
 
-// A redirect that is followed could run a call at a host that nobody chose, with the caller's body.
-func TestRedirectIsHandedOn(t *testing.T) {
+// Guards against a call that runs, with the caller's body, at a host that was not chosen for it, because
+// the client followed a redirect.
+func TestRedirectIsPassedOn(t *testing.T) {
 	server, client := startService(t)
 	server.SetFaults(service.Faults{FailStatus: http.StatusTemporaryRedirect})
 	answer, err := client.Call(t.Context(), http.MethodGet, "/x", "", nil, nil)
@@ -100,8 +101,8 @@
 	}
 }
 
-// A caller reads another caller's answer: buffers of the HTTP library were kept past their
-// request and filled by the next one. Many callers at once must each get their own id back.
+// Guards against a caller that receives another caller's answer: buffers of the HTTP library were used
+// after their request had ended, when the next request had overwritten them.
 func TestConcurrentCallersGetTheirOwnAnswers(t *testing.T) {
 	_, client := startService(t)
 	var group conc.WaitGroup
@@ -110,7 +111,7 @@
 			for call := range 50 {
 				id := fmt.Sprintf("caller-%d-call-%d", caller, call)
 				want := fmt.Sprintf(`{"id":%q,"runs":1}`, id)
-				if got, err := book(t.Context(), client, id); err != nil || got != want {
+				if got, err := createBooking(t.Context(), client, id); err != nil || got != want {
 					t.Errorf("got %s, %v, want %s", got, err, want)
 				}
 			}
@@ -124,7 +125,7 @@
 	server.SetFaults(service.Faults{DelayMilliseconds: 60_000})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	if _, err := book(ctx, client, "b1"); !errors.Is(err, backendserver.ErrLost) {
+	if _, err := createBooking(ctx, client, "b1"); !errors.Is(err, backendserver.ErrLost) {
 		t.Errorf("got %v, want %v", err, backendserver.ErrLost)
 	}
 }
@@ -137,12 +138,12 @@
 	defer server.Close()
 	client := backendserver.NewScorer(server.URL())
 	defer client.Close()
-	asks := []backendserver.ScoreRequest{{SampleID: "a", Text: "x"}, {SampleID: "b", Text: "y"}}
+	requests := []backendserver.ScoreRequest{{SampleID: "a", Text: "x"}, {SampleID: "b", Text: "y"}}
 	want := []backendserver.Score{
-		{SampleID: "a", Value: scorer.ScoreOf(asks[0])},
-		{SampleID: "b", Value: scorer.ScoreOf(asks[1])},
+		{SampleID: "a", Value: scorer.ScoreOf(requests[0])},
+		{SampleID: "b", Value: scorer.ScoreOf(requests[1])},
 	}
-	got, err := client.Score(t.Context(), asks)
+	got, err := client.Score(t.Context(), requests)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +152,7 @@
 	}
 }
 
-func TestWeightStoreLimitsItsRate(t *testing.T) {
+func TestWeightStoreLimitsTheRate(t *testing.T) {
 	server, err := weightstore.New(context.Background(), listen(t), weightstore.WithRate(1), weightstore.WithWeightBytes(100))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/edge/backendserver/weightstore.go
+++ b/internal/edge/backendserver/weightstore.go
@@ -12,16 +12,16 @@
 
 // WeightStore is the client of the rate-limited weight store. It is safe for concurrent use.
 type WeightStore struct {
-	caller
+	baseClient
 }
 
 // NewWeightStore returns a client of the weight store at the URL.
-func NewWeightStore(base string, opts ...Option) *WeightStore {
-	return &WeightStore{caller: newCaller(base, opts)}
+func NewWeightStore(baseURL string, opts ...Option) *WeightStore {
+	return &WeightStore{baseClient: newBaseClient(baseURL, opts)}
 }
 
-// Fetch copies the weights to the writer and returns their length in bytes. ErrBusy says that the
-// store's rate is used up.
+// Fetch copies the named weights to the writer and returns how many bytes it has copied. The error
+// is ErrBusy if the store's rate limit is exceeded.
 func (w *WeightStore) Fetch(ctx context.Context, name string, to io.Writer) (int64, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/edge/backendserver/wire.go
+++ b/internal/edge/backendserver/wire.go
@@ -1,5 +1,5 @@
-// Package backendserver holds the HTTP clients of the backend servers (model engines, plain
-// services, scoring services and the weight store) and the wire types that both sides share.
+// Package backendserver holds the HTTP clients for the backend servers (model engines, plain
+// services, scoring services and the weight store) and the JSON types that both sides share.
 package backendserver
 
 import (
@@ -19,7 +19,8 @@
 	PathWeights     = "/weights"
 )
 
-// QueryAfter names the sequence number after which cache events are asked for.
+// QueryAfter is the query parameter that holds the sequence number after which cache events are
+// requested.
 const QueryAfter = "after"
 
 // Token is one generated token with the weight version that produced it.
@@ -28,13 +29,13 @@
 	Version int    `json:"version"`
 }
 
-// GenerateRequest asks an engine for the tokens that follow the prompt and the resumed tokens.
+// GenerateRequest asks an engine for the tokens that follow the prompt and the tokens of Resume.
 type GenerateRequest struct {
 	SampleID string `json:"sampleId"`
 	Prompt   string `json:"prompt"`
-	// Resume are tokens that were generated before; they are not sent again.
+	// Resume are the tokens that were generated before; the engine doesn't send them again.
 	Resume []Token `json:"resume,omitempty"`
-	// MaxTokens bounds the whole length, resumed tokens included.
+	// MaxTokens bounds the length of the sample, the tokens of Resume included.
 	MaxTokens int `json:"maxTokens"`
 	// Priority orders waiting requests; a lower number goes first.
 	Priority int   `json:"priority,omitempty"`
@@ -50,18 +51,18 @@
 	Tokens  int    `json:"tokens,omitempty"`
 }
 
-// EngineLoad is an engine's own report; it lags behind the engine.
+// EngineLoad is an engine's report of its load, which lags behind its actual load.
 type EngineLoad struct {
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
 	Slots   int `json:"slots"`
 	// Version is the weight version in use.
 	Version int `json:"version"`
-	// Prefetched are the weight versions that a switch can go to at once.
+	// Prefetched are the weight versions that are loaded, so that the engine can switch to them at once.
 	Prefetched []int `json:"prefetched,omitempty"`
-	// TokenTime is the time of one token at the present batch.
+	// TokenTime is the time to generate one token at the current batch size.
 	TokenTime time.Duration `json:"tokenTimeNanoseconds"`
-	// Measured is when the report was true.
+	// Measured is when the load was as reported.
 	Measured time.Time `json:"measured"`
 }
 
@@ -70,9 +71,9 @@
 
 // The kinds of weight orders.
 const (
-	// OrderPrefetch loads weights beside those in use.
+	// OrderPrefetch makes the engine load weights in addition to those in use.
 	OrderPrefetch OrderKind = "prefetch"
-	// OrderSwitch makes later tokens come from the version, loading it first where needed.
+	// OrderSwitch makes the engine generate all later tokens with the version, which it loads first if necessary.
 	OrderSwitch OrderKind = "switch"
 )
 
@@ -81,9 +82,10 @@
 	Kind    OrderKind `json:"kind"`
 	Model   string    `json:"model"`
 	Version int       `json:"version"`
-	// Weights names the weights in the weight store.
+	// Weights is the name of the weights in the weight store.
 	Weights string `json:"weights"`
-	// Fencing is the version of the lease under which the order is given; some engines ignore it.
+	// Fencing is the order's fencing number, the version of the lease under which it is given. Some
+	// engines ignore it.
 	Fencing platform.Version `json:"fencing"`
 }
 
@@ -92,7 +94,7 @@
 	SampleID string `json:"sampleId"`
 }
 
-// CacheEventKind is what happened to a cached prefix.
+// CacheEventKind says what happened to a cached prompt prefix.
 type CacheEventKind string
 
 // The kinds of cache events.
@@ -101,12 +103,12 @@
 	CacheEvicted CacheEventKind = "evicted"
 )
 
-// CacheEvent says that an engine stored or evicted a prompt prefix. Sequence numbers have gaps
-// where events were lost.
+// CacheEvent says that an engine cached or evicted a prompt prefix. Lost events leave gaps in the
+// sequence numbers.
 type CacheEvent struct {
 	Sequence uint64         `json:"sequence"`
 	Kind     CacheEventKind `json:"kind"`
-	// Prefix is the hash of the prompt prefix, as PrefixHash makes it.
+	// Prefix is the PrefixHash of the prompt.
 	Prefix uint64 `json:"prefix"`
 }
 
