--- a/internal/edge/exchange/client.go
+++ b/internal/edge/exchange/client.go
@@ -1,6 +1,6 @@
-// Package exchange carries HTTP calls over pooled connections with fasthttp's codec. Unlike
-// fasthttp's own client it ends a call with its context, never sends a request twice, and says of
-// every failure whether the request can have reached the server.
+// Package exchange makes HTTP calls over pooled connections with fasthttp's codec. Unlike fasthttp's
+// own client it ends a call when its context ends, never sends a request twice, and reports for
+// every failure whether the request may have reached the server.
 package exchange
 
 import (
@@ -15,27 +15,27 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Errors of a call. One of them is in the chain of every error that a Client returns.
+// Errors of a call. Every error that a Client returns wraps one of them.
 var (
-	// ErrNotSent: no byte of the request left this host, so it can't have run.
+	// ErrNotSent: no byte of the request was sent, so it can't have run.
 	ErrNotSent = errors.New("request not sent")
-	// ErrLost: the request was sent at least in part and its answer did not come whole.
+	// ErrLost: the request was sent at least in part, and its whole answer was not received.
 	ErrLost = errors.New("answer lost")
 )
 
 // Defaults of a client.
 const (
-	// DefaultDialTimeout is above one retransmission of a lost SYN, which takes a second.
+	// DefaultDialTimeout leaves time for one retransmission of a lost SYN, which comes after a second.
 	DefaultDialTimeout = 2 * time.Second
 	// DefaultIdleTimeout is below the 60 s after which common servers close idle connections.
 	DefaultIdleTimeout = 20 * time.Second
-	// DefaultMaxBody bounds an answer that is read whole.
+	// DefaultMaxBody is the largest body, in bytes, of an answer that Do reads.
 	DefaultMaxBody = 64 << 20
-	// DefaultMaxIdle is the number of idle connections that are kept for one server.
+	// DefaultMaxIdle is the number of idle connections that are kept per server.
 	DefaultMaxIdle = 64
 )
 
-// Client calls servers. It is safe for concurrent use.
+// Client makes HTTP calls and keeps idle connections for later ones. It is safe for concurrent use.
 type Client struct {
 	dialTimeout time.Duration
 	idleTimeout time.Duration
@@ -45,34 +45,35 @@
 
 	mutex  sync.Mutex
 	closed bool
-	idle   map[string][]*connection
+	// idle holds the idle connections by connection.key; the last one of a key was used last.
+	idle map[string][]*connection
 }
 
-// Option changes a client under construction.
+// Option configures a client.
 type Option func(*Client)
 
-// WithDialTimeout bounds the set-up of a connection.
+// WithDialTimeout bounds the time to open a connection, the TLS handshake included.
 func WithDialTimeout(timeout time.Duration) Option {
 	return func(c *Client) { c.dialTimeout = timeout }
 }
 
-// WithIdleTimeout is how long an unused connection is kept.
+// WithIdleTimeout sets how long an idle connection may be reused.
 func WithIdleTimeout(timeout time.Duration) Option {
 	return func(c *Client) { c.idleTimeout = timeout }
 }
 
-// WithKeepAlive sets the probes on open connections. A connection that a partition has cut falls silent without an end, and a
-// call that waits on it for long would wait for ever.
+// WithKeepAlive sets the TCP keep-alive probes on open connections. A connection that a network partition interrupts is not closed, and
+// without probes a call that may take long would wait on it forever.
 func WithKeepAlive(config net.KeepAliveConfig) Option {
 	return func(c *Client) { c.dialer.KeepAliveConfig = config }
 }
 
-// WithMaxBody bounds, in bytes, an answer that is read whole.
+// WithMaxBody sets the largest body, in bytes, of an answer that Do reads.
 func WithMaxBody(limit int) Option {
 	return func(c *Client) { c.maxBody = limit }
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client that has no connections yet.
 func NewClient(opts ...Option) *Client {
 	client := &Client{
 		dialTimeout: DefaultDialTimeout,
@@ -87,30 +88,30 @@
 	return client
 }
 
-// Do sends the request and reads the whole answer. Redirects are not followed.
+// Do sends the request and reads the whole answer. It doesn't follow redirects.
 func (c *Client) Do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) error {
 	resp.StreamBody = false
-	call, err := c.start(ctx, req, resp)
+	trip, err := c.start(ctx, req, resp)
 	if err != nil {
 		return err
 	}
-	call.finish(true)
+	trip.finish(true)
 	return nil
 }
 
-// Open sends the request and returns once the head of the answer came. The stream must be closed.
+// Open sends the request and returns once the header of the answer has arrived. The stream must be closed.
 func (c *Client) Open(ctx context.Context, req *fasthttp.Request) (*Stream, error) {
 	resp := fasthttp.AcquireResponse()
 	resp.StreamBody = true
-	call, err := c.start(ctx, req, resp)
+	trip, err := c.start(ctx, req, resp)
 	if err != nil {
 		fasthttp.ReleaseResponse(resp)
 		return nil, err
 	}
-	return &Stream{call: call, resp: resp, body: resp.BodyStream()}, nil
+	return &Stream{trip: trip, resp: resp, body: resp.BodyStream()}, nil
 }
 
-// Close closes the idle connections; calls under way end with their contexts.
+// Close closes the idle connections; calls that are running end with their contexts.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -123,58 +124,59 @@
 	}
 }
 
-// call is one request on its connection.
-type call struct {
+// roundTrip is one request and its answer on a connection.
+type roundTrip struct {
 	client *Client
 	conn   *connection
-	// stop ends the watch over the context; it returns false if the context ended first.
+	// stop stops the context from aborting the connection; it returns false if the context ended first.
 	stop func() bool
 	ctx  context.Context
-	keep bool
+	// reusable is set if both sides keep the connection open after the answer.
+	reusable bool
 }
 
-// start sends the request and reads the answer, of a stream only the head.
-func (c *Client) start(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) (*call, error) {
+// start sends the request and reads the answer, or only its header if resp.StreamBody is set.
+func (c *Client) start(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) (*roundTrip, error) {
 	conn, err := c.acquire(ctx, req)
 	if err != nil {
 		return nil, errors.Wrapf(ErrNotSent, "%v", err)
 	}
-	one := &call{client: c, conn: conn, ctx: ctx}
-	one.stop = context.AfterFunc(ctx, conn.abort)
+	trip := &roundTrip{client: c, conn: conn, ctx: ctx}
+	trip.stop = context.AfterFunc(ctx, conn.abort)
 	if err := conn.send(req); err != nil {
-		one.finish(false)
-		if conn.sent == 0 {
-			return nil, errors.Wrapf(ErrNotSent, "%v", one.cause(err))
+		trip.finish(false)
+		if conn.bytesSent == 0 {
+			return nil, errors.Wrapf(ErrNotSent, "%v", trip.cause(err))
 		}
-		return nil, errors.Wrapf(ErrLost, "sending: %v", one.cause(err))
+		return nil, errors.Wrapf(ErrLost, "sending: %v", trip.cause(err))
 	}
 	resp.SkipBody = req.Header.IsHead()
 	if err := resp.ReadLimitBody(conn.reader, c.maxBody); err != nil {
-		one.finish(false)
-		return nil, errors.Wrapf(ErrLost, "reading: %v", one.cause(err))
+		trip.finish(false)
+		return nil, errors.Wrapf(ErrLost, "reading: %v", trip.cause(err))
 	}
-	one.keep = !req.ConnectionClose() && !resp.ConnectionClose()
-	return one, nil
+	trip.reusable = !req.ConnectionClose() && !resp.ConnectionClose()
+	return trip, nil
 }
 
-// finish returns the connection to the pool if the whole answer was read, and closes it otherwise.
-func (a *call) finish(whole bool) {
-	if a.stop() && whole && a.keep {
-		a.client.release(a.conn)
+// finish returns the connection to the pool if the whole answer was read and the connection can be reused, and closes it otherwise.
+func (t *roundTrip) finish(complete bool) {
+	if t.stop() && complete && t.reusable {
+		t.client.release(t.conn)
 		return
 	}
-	a.conn.close()
+	t.conn.close()
 }
 
-// cause prefers the context's error to the broken deadline that it led to.
-func (a *call) cause(err error) error {
-	if a.ctx.Err() != nil {
-		return a.ctx.Err()
+// cause returns the context's error if the context has ended: err then only says that the connection was aborted.
+func (t *roundTrip) cause(err error) error {
+	if t.ctx.Err() != nil {
+		return t.ctx.Err()
 	}
 	return err
 }
 
-// acquire returns an idle connection that is still open, or dials one.
+// acquire returns an idle connection that is still open, or dials a new trip.
 func (c *Client) acquire(ctx context.Context, req *fasthttp.Request) (*connection, error) {
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
@@ -193,7 +195,7 @@
 	}
 }
 
-// target returns the address with its port, and whether the connection is to be encrypted.
+// target returns the server's address with its port, and whether the connection uses TLS.
 func target(req *fasthttp.Request) (string, bool) {
 	uri := req.URI()
 	address := string(uri.Host())
@@ -221,17 +223,18 @@
 		if splitErr != nil {
 			host = address
 		}
-		session := tls.Client(raw, &tls.Config{ServerName: host, MinVersion: tls.VersionTLS12})
-		if err := session.HandshakeContext(ctx); err != nil {
+		tlsConn := tls.Client(raw, &tls.Config{ServerName: host, MinVersion: tls.VersionTLS12})
+		if err := tlsConn.HandshakeContext(ctx); err != nil {
 			return nil, errors.Wrapf(errors.Wrapf(err, "handshake %s", address), "close: %v", raw.Close())
 		}
-		socket = session
+		socket = tlsConn
 	}
 	conn := &connection{key: key, raw: raw, socket: socket}
 	conn.reader = bufio.NewReader(socket)
 	return conn, nil
 }
 
+// takeIdle removes the connection from the pool that was used last for the key; nil if there is none.
 func (c *Client) takeIdle(key string) *connection {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -245,8 +248,9 @@
 	return conn
 }
 
+// release returns a connection to the pool, or closes it if the pool is full or the client is closed.
 func (c *Client) release(conn *connection) {
-	conn.since = time.Now()
+	conn.idleSince = time.Now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.closed || len(c.idle[conn.key]) >= c.maxIdle {
--- a/internal/edge/exchange/client_test.go
+++ b/internal/edge/exchange/client_test.go
@@ -21,8 +21,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// peer is a raw HTTP/1.1 server whose behaviour on each connection is the test's.
-func peer(t *testing.T, serve func(conn net.Conn, reader *bufio.Reader)) string {
+// startServer starts a TCP server that runs serve on each connection, and returns its address.
+func startServer(t *testing.T, serve func(conn net.Conn, reader *bufio.Reader)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,6 +48,7 @@
 	return listener.Addr().String()
 }
 
+// readRequest reports whether a whole request arrived.
 func readRequest(reader *bufio.Reader) bool {
 	var req fasthttp.Request
 	return req.Read(reader) == nil
@@ -60,6 +61,7 @@
 	}
 }
 
+// do makes a call and drops the answer.
 func do(ctx context.Context, client *exchange.Client, address string) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -71,9 +73,8 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// A caller books a ride and is told "lost" although the booking never left the host, or, worse,
-// is told "not sent" and books again although the first call ran. Each way in which a call can
-// fail has to be put on the right side.
+// Guards against failures that are reported wrongly: a caller that is told "lost" although nothing was sent
+// fails needlessly, and one that is told "not sent" although the call ran makes it a second time.
 func TestFailureSaysWhetherTheCallWasSent(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -99,7 +100,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			address := peer(t, func(conn net.Conn, reader *bufio.Reader) { c.serve(t, conn, reader) })
+			address := startServer(t, func(conn net.Conn, reader *bufio.Reader) { c.serve(t, conn, reader) })
 			client := exchange.NewClient()
 			defer client.Close()
 			if err := do(t.Context(), client, address); !errors.Is(err, c.want) {
@@ -127,13 +128,13 @@
 	}
 }
 
-// A booking fails as "may have run" in a quiet hour although nobody booked. The server had closed
-// the idle connection just before; the client wrote the call to it and got a reset, from which it
-// could not tell whether the call ran. The client has to see the close before it sends.
+// Guards against calls that fail as "may have run" although they did not run: the server had just closed the
+// idle connection, and the client sent the call on it and got a reset, from which it can't tell whether
+// the call ran. The client must notice the close before it sends.
 func TestIdleConnectionClosedByServerIsNotUsed(t *testing.T) {
 	var served atomic.Int32
 	closed := make(chan struct{}, 2)
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader) {
+	address := startServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		if readRequest(reader) {
 			served.Add(1)
 			write(t, conn, okAnswer)
@@ -154,14 +155,13 @@
 	}
 }
 
-// The server closes the kept-alive connection at the very moment at which the request is sent:
-// it reads the request and closes without an answer. Whether the call ran is unknown, and a second
-// send by the client would run it twice.
-func TestKeptConnectionClosedUnderTheRequestIsLostAndNotRetried(t *testing.T) {
-	var seen atomic.Int32
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader) {
+// Guards against a call that runs twice: the server reads the request on a keep-alive connection and closes it
+// without an answer. Whether the call ran is unknown, so the client must not send it again.
+func TestKeepAliveConnectionClosedDuringRequestIsLostAndNotRetried(t *testing.T) {
+	var received atomic.Int32
+	address := startServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		for readRequest(reader) {
-			if seen.Add(1) > 1 {
+			if received.Add(1) > 1 {
 				return
 			}
 			write(t, conn, okAnswer)
@@ -175,18 +175,19 @@
 	if err := do(t.Context(), client, address); !errors.Is(err, exchange.ErrLost) {
 		t.Errorf("got %v, want %v", err, exchange.ErrLost)
 	}
-	if got := seen.Load(); got != 2 {
-		t.Errorf("the server saw %d requests, want 2", got)
+	if got := received.Load(); got != 2 {
+		t.Errorf("the server received %d requests, want 2", got)
 	}
 }
 
-// A caller cancels while the server is silent. The call must end with the context, as lost, and
-// the half-used connection must not serve the next call, which would get the first one's answer.
+// Guards against a call that outlives its context, and against a call that receives the answer of an earlier
+// one: a caller cancels before the server answers. The call must end as lost, and its connection must
+// not be reused.
 func TestCancelledCallEndsAndItsConnectionIsNotReused(t *testing.T) {
 	release := make(chan struct{})
 	arrived := make(chan struct{}, 1)
 	var count atomic.Int32
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader) {
+	address := startServer(t, func(conn net.Conn, reader *bufio.Reader) {
 		for readRequest(reader) {
 			if count.Add(1) == 1 {
 				arrived <- struct{}{}
@@ -215,7 +216,7 @@
 	}
 }
 
-func TestStreamReadsChunksAndTellsACut(t *testing.T) {
+func TestStreamReadsChunksAndReportsTruncation(t *testing.T) {
 	cases := []struct {
 		name string
 		end  string
@@ -226,7 +227,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			address := peer(t, func(conn net.Conn, reader *bufio.Reader) {
+			address := startServer(t, func(conn net.Conn, reader *bufio.Reader) {
 				readRequest(reader)
 				write(t, conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n"+c.end)
 			})
@@ -251,14 +252,14 @@
 	}
 }
 
-// A caller reads another caller's answer: a faulty server sent two answers to one request, and
-// the second one waited in the connection's buffer for whoever used the connection next.
+// Guards against a caller that receives another caller's answer: a faulty server sent two answers to one
+// request, and the second one stayed in the connection's buffer until the next call on the connection.
 func TestSurplusAnswerIsNotGivenToTheNextCall(t *testing.T) {
 	var connections atomic.Int32
-	address := peer(t, func(conn net.Conn, reader *bufio.Reader) {
-		number := connections.Add(1)
+	address := startServer(t, func(conn net.Conn, reader *bufio.Reader) {
+		index := connections.Add(1)
 		for readRequest(reader) {
-			if number == 1 {
+			if index == 1 {
 				write(t, conn, okAnswer+"HTTP/1.1 500 Crossed\r\nContent-Length: 0\r\n\r\n")
 				continue
 			}
--- a/internal/edge/exchange/connection.go
+++ b/internal/edge/exchange/connection.go
@@ -9,27 +9,29 @@
 	"github.com/valyala/fasthttp"
 )
 
-// connection is one kept-alive connection; it carries one call at a time.
+// connection is one HTTP/1.1 keep-alive connection; it carries one call at a time.
 type connection struct {
-	key    string
+	// key is the scheme and the address with its port.
+	key string
+	// raw is the TCP connection. socket is the connection for reads and writes: a TLS connection over raw, or raw itself.
 	raw    net.Conn
 	socket net.Conn
 	reader *bufio.Reader
-	// sent counts the bytes of the current request that were handed to the kernel.
-	sent  int
-	since time.Time
+	// bytesSent counts the bytes of the current request that were written to the socket.
+	bytesSent int
+	idleSince time.Time
 }
 
-// Write counts what leaves this host, so that a failure before the first byte is told from a later one.
+// Write counts the bytes that it writes, so that a request that failed before its first byte can be told from one that was sent in part.
 func (c *connection) Write(data []byte) (int, error) {
 	n, err := c.socket.Write(data)
-	c.sent += n
+	c.bytesSent += n
 	return n, err
 }
 
 // send writes the whole request.
 func (c *connection) send(req *fasthttp.Request) error {
-	c.sent = 0
+	c.bytesSent = 0
 	writer := bufio.NewWriter(c)
 	if err := req.Write(writer); err != nil {
 		return err
@@ -39,40 +41,42 @@
 
 // abort makes all pending and later reads and writes fail.
 func (c *connection) abort() {
-	// A socket that is closed already needs no deadline.
+	// SetDeadline fails only if the socket is closed already.
 	_ = c.socket.SetDeadline(time.Unix(1, 0))
 }
 
-// usable reports whether an idle connection is young and still open.
+// usable reports whether an idle connection is within the idle timeout, still open, and without
+// unread data.
 //
-// A server closes idle connections at any time. A request written to such a connection is
-// answered by a reset, and whether it ran is then unknown; a call that may not be repeated would
-// fail for nothing. Looking for a pending end of file first leaves only the moment between the
-// look and the write. An idle connection has nothing to read: what is pending or buffered is an
-// answer to no request, which the next call would take for its own.
+// A server may close an idle connection at any time. A request that is written to a closed
+// connection is answered with a reset, after which it is unknown whether the request ran, and a
+// call that may not be repeated would fail needlessly. Checking for a pending end of file first
+// leaves only the short time between the check and the write. An idle connection has nothing to
+// read: pending or buffered data belongs to no request, and the next call would take it for its
+// answer.
 func (c *connection) usable(idleTimeout time.Duration) bool {
-	if time.Since(c.since) > idleTimeout || c.reader.Buffered() > 0 {
+	if time.Since(c.idleSince) > idleTimeout || c.reader.Buffered() > 0 {
 		return false
 	}
-	socket, ok := c.raw.(syscall.Conn)
+	raw, ok := c.raw.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	control, err := socket.SyscallConn()
+	control, err := raw.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noneUnread := false
 	err = control.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, receiveErr := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = receiveErr == syscall.EAGAIN
+		var buffer [1]byte
+		_, _, receiveErr := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		noneUnread = receiveErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noneUnread
 }
 
 func (c *connection) close() {
-	// The call's outcome is known by now; a failing close changes nothing about it.
+	// The outcome of the call is known by now, and a failing close doesn't change it.
 	_ = c.socket.Close()
 }
--- a/internal/edge/exchange/stream.go
+++ b/internal/edge/exchange/stream.go
@@ -7,15 +7,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Stream is an answer whose body is read as it comes. It has one reader.
+// Stream is an answer whose body is read as it arrives. It is not safe for concurrent use.
 type Stream struct {
-	call  *call
-	resp  *fasthttp.Response
-	body  io.Reader
-	whole bool
+	trip *roundTrip
+	// resp and body are nil after Close; body is also nil if the answer has no body.
+	resp *fasthttp.Response
+	body io.Reader
+	// complete is set once the body was read to its end.
+	complete bool
 }
 
-// Status returns the status of the answer.
+// Status returns the HTTP status of the answer.
 func (s *Stream) Status() int {
 	return s.resp.StatusCode()
 }
@@ -25,13 +27,13 @@
 	return &s.resp.Header
 }
 
-// Read returns io.EOF only after the body came whole; a body that was cut short ends with ErrLost.
+// Read returns io.EOF only after the whole body; a body that broke off ends with ErrLost.
 func (s *Stream) Read(data []byte) (int, error) {
 	if s.resp == nil {
 		return 0, errors.WithStack(io.ErrClosedPipe)
 	}
 	if s.body == nil {
-		s.whole = true
+		s.complete = true
 		return 0, io.EOF
 	}
 	n, err := s.body.Read(data)
@@ -39,21 +41,21 @@
 	case err == nil:
 		return n, nil
 	case errors.Is(err, io.EOF):
-		s.whole = true
+		s.complete = true
 		return n, io.EOF
 	default:
-		return n, errors.Wrapf(ErrLost, "%v", s.call.cause(err))
+		return n, errors.Wrapf(ErrLost, "%v", s.trip.cause(err))
 	}
 }
 
-// Close gives the connection back if the body was read to its end, and closes it otherwise, by
-// which the server learns that nobody reads on.
+// Close returns the connection to the pool if the body was read to its end. Otherwise it closes the
+// connection, so that the server learns that nobody reads the rest.
 func (s *Stream) Close() error {
 	if s.resp == nil {
 		return nil
 	}
-	s.call.finish(s.whole)
-	// The library reuses the response and its body reader from here on.
+	s.trip.finish(s.complete)
+	// From here on the library may reuse the response and its body reader.
 	fasthttp.ReleaseResponse(s.resp)
 	s.resp, s.body = nil, nil
 	return nil
