--- a/internal/edge/callerconn/hangup.go
+++ b/internal/edge/callerconn/hangup.go
@@ -1,5 +1,5 @@
-// Package callerconn serves callers' connections and watches them: whether the caller is still there, and that a refusal reaches one who is
-// still sending.
+// Package callerconn serves callers' HTTP connections. It cancels requests whose caller hangs up, and makes sure that a refusal reaches a
+// caller that is still sending its request.
 package callerconn
 
 import (
@@ -12,11 +12,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Watch cancels the request when its caller closes the connection, and returns the function that
-// ends the watch.
+// Watch calls cancel when the caller closes the connection. It returns a function that ends the watch, which must be called before the
+// connection's next request is read.
 //
-// Guard: the HTTP library doesn't notice a caller that hangs up while its request waits, so the request would
-// go on to use a server for nobody. A one-byte peek sees the end of the connection without taking bytes of a next request.
+// The HTTP library doesn't notice that a caller hangs up while its request is being served, so the request would keep a server busy
+// although nobody receives the answer. A peek of one byte detects the end of the connection without consuming a pipelined request.
 func Watch(conn net.Conn, cancel context.CancelFunc) (stop func()) {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
@@ -26,33 +26,34 @@
 	if err != nil {
 		return func() {}
 	}
-	// The bound on reading the request is still set and would end the peek.
+	// The deadline for reading the request is still set and would end the peek.
 	_ = conn.SetReadDeadline(time.Time{})
-	var watch conc.WaitGroup
-	watch.Go(func() {
-		if peekEnd(control) {
+	var wg conc.WaitGroup
+	wg.Go(func() {
+		if waitForClose(control) {
 			cancel()
 		}
 	})
 	return func() {
-		// The deadline in the past wakes the peek; the cleared one lets the next request be read.
+		// A deadline in the past ends the peek; it is then cleared for the next request.
 		_ = conn.SetReadDeadline(time.Unix(1, 0))
-		watch.Wait()
+		wg.Wait()
 		_ = conn.SetReadDeadline(time.Time{})
 	}
 }
 
-// peekEnd waits until the connection has ended (true), or has more bytes or was woken (false).
-func peekEnd(control syscall.RawConn) bool {
-	ended := false
+// waitForClose waits until the connection is closed, and then returns true. It returns false if data arrives or the read deadline passes
+// before.
+func waitForClose(control syscall.RawConn) bool {
+	closed := false
 	var buffer [1]byte
 	err := control.Read(func(fd uintptr) bool {
 		n, _, err := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		if err == unix.EAGAIN || err == unix.EINTR {
 			return false
 		}
-		ended = err != nil || n == 0
+		closed = err != nil || n == 0
 		return true
 	})
-	return err == nil && ended
+	return err == nil && closed
 }
--- a/internal/edge/callerconn/linger.go
+++ b/internal/edge/callerconn/linger.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// lingerTime and lingerBytes bound what is still read of a refused request. A caller that sends on for longer
-	// than two seconds, or more than 64 MiB, is cut off.
-	lingerTime  = 2 * time.Second
-	lingerBytes = 64 << 20
+	// maxLingerTime and maxLingerBytes bound how much of a refused request is still read. A caller that continues to send for longer than
+	// two seconds, or sends more than 64 MiB, has its connection closed.
+	maxLingerTime  = 2 * time.Second
+	maxLingerBytes = 64 << 20
 )
 
-// Listener accepts connections that can be told to linger.
+// Listener accepts TCP connections on which Linger has an effect.
 type Listener struct{ net.Listener }
 
-// Accept returns the next connection.
+// Accept returns the next connection; one that isn't TCP is an error.
 func (l Listener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -32,27 +32,27 @@
 	return &lingeringConn{TCPConn: tcp}, nil
 }
 
-// lingeringConn is a caller's connection whose Close can wait for what the caller is still sending.
+// lingeringConn is a caller's connection that Close can close in the way that is known as a lingering close.
 //
-// Guard: a request that is refused before its body was read leaves bytes unread. Closing the connection then resets it,
-// and the caller sees a broken connection in place of the refusal, and can't know that nothing ran. So the
-// answer's end is sent first, and the rest of the body is read and dropped.
+// A request that is refused before its body was read leaves unread bytes. Closing the connection would then reset it, and the caller would
+// see a broken connection instead of the refusal and could not know that nothing ran. So Close first closes the sending side, which ends
+// the answer, and then reads and discards the rest of the body.
 type lingeringConn struct {
 	*net.TCPConn
-	lingers atomic.Bool
+	linger atomic.Bool
 }
 
-// Linger makes Close drop the rest of what the caller sends.
+// Linger makes Close read and discard what the caller is still sending. It has no effect on a connection that no Listener has accepted.
 func Linger(conn net.Conn) {
 	if c, ok := conn.(*lingeringConn); ok {
-		c.lingers.Store(true)
+		c.linger.Store(true)
 	}
 }
 
-// Close closes the connection.
+// Close closes the connection, with a lingering close if Linger was called.
 func (c *lingeringConn) Close() error {
-	if c.lingers.Swap(false) && c.CloseWrite() == nil && c.SetReadDeadline(time.Now().Add(lingerTime)) == nil {
-		_, _ = io.CopyN(io.Discard, c.TCPConn, lingerBytes)
+	if c.linger.Swap(false) && c.CloseWrite() == nil && c.SetReadDeadline(time.Now().Add(maxLingerTime)) == nil {
+		_, _ = io.CopyN(io.Discard, c.TCPConn, maxLingerBytes)
 	}
 	return c.TCPConn.Close()
 }
--- a/internal/edge/callerconn/serve.go
+++ b/internal/edge/callerconn/serve.go
@@ -10,18 +10,18 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Serve serves app on l, on goroutines of work, until ctx ends. Connections that are still open then have grace to end.
-func Serve(ctx context.Context, work *conc.WaitGroup, app *fiber.App, l net.Listener, grace time.Duration, log zerolog.Logger) {
-	work.Go(func() {
+// Serve starts goroutines of wg that serve app on l until ctx ends, and then wait up to shutdownTimeout for connections that are still open.
+func Serve(ctx context.Context, wg *conc.WaitGroup, app *fiber.App, l net.Listener, shutdownTimeout time.Duration, log zerolog.Logger) {
+	wg.Go(func() {
 		if err := app.Listener(l, fiber.ListenConfig{DisableStartupMessage: true}); err != nil {
 			log.Error().Err(err).Msg("caller listener ended")
 		}
 	})
-	work.Go(func() {
+	wg.Go(func() {
 		<-ctx.Done()
-		_ = app.ShutdownWithTimeout(grace)
-		// Guard: a shutdown that comes before the server accepts connections does nothing, and the process would
-		// never end; without its listener the server ends when it begins.
+		_ = app.ShutdownWithTimeout(shutdownTimeout)
+		// A shutdown has no effect before the server has begun to accept connections, and the process would never end. With its
+		// listener closed, the server ends as soon as it begins.
 		_ = l.Close()
 	})
 }
--- a/internal/edge/gateway/gateway.go
+++ b/internal/edge/gateway/gateway.go
@@ -36,7 +36,7 @@
 	idleTimeout = time.Minute
 	// noConfigurationRetryAfter is when a caller should come back to a host that has received no configuration yet.
 	noConfigurationRetryAfter = 300 * time.Millisecond
-	// shutdownTimeout is how long connections may stay open after the gateway's context has ended.
+	// shutdownTimeout is how long the gateway waits for open connections after its context has ended.
 	shutdownTimeout = time.Second
 	// drainPollInterval is how often Drain checks for running requests.
 	drainPollInterval = 20 * time.Millisecond
