--- a/internal/edge/refusal/refusal.go
+++ b/internal/edge/refusal/refusal.go
@@ -1,5 +1,6 @@
-// Package refusal says how the product's own HTTP interface tells a refusal: the core names a reason and a verdict, and
-// the status follows from them here alone. What the users' platform wants instead is said by the package platform.
+// Package refusal maps refusals to the status codes of the product's own HTTP interface. The core gives a refusal its reason and its
+// verdict, and only this package derives the status from them. The status codes of the users' platform, which differ, are in the
+// package platform at the root of the module.
 package refusal
 
 import (
@@ -11,10 +12,10 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// statusCallerGone is for callers that hung up; nobody receives it.
+// statusCallerGone stands for callers that hung up; nobody receives it.
 const statusCallerGone = 499
 
-// statuses holds the status of each reason but ReasonServerLost, whose status tells the verdict.
+// statuses holds the status of each reason except ReasonServerLost, whose status depends on the verdict.
 var statuses = map[verdict.Reason]int{
 	verdict.ReasonBadRequest:          http.StatusBadRequest,
 	verdict.ReasonUnknownKey:          http.StatusUnauthorized,
@@ -54,7 +55,8 @@
 	verdict.ReasonDeadlinePassed:      http.StatusGatewayTimeout,
 }
 
-// Status returns the status of a refusal. A reason that is not known here, as one of a newer process, is told by the verdict.
+// Status returns the status of a refusal. If the reason is unknown here, for example because it comes from a newer process, the status
+// depends on the verdict alone.
 func Status(r *verdict.Refusal) int {
 	if status, ok := statuses[r.Reason]; ok {
 		return status
@@ -65,28 +67,28 @@
 	return http.StatusBadGateway
 }
 
-// Of returns the refusal for a handler's error, also for those with which the HTTP library refuses by itself, before any
-// handler has passed the request on.
+// Of returns the refusal for an error with which a request ended: one of a handler, or one with which the HTTP library rejects a request
+// before any handler has passed it on.
 func Of(err error) *verdict.Refusal {
-	var library *fiber.Error
-	if !errors.As(err, &library) {
+	var fiberErr *fiber.Error
+	if !errors.As(err, &fiberErr) {
 		return verdict.From(err)
 	}
 	reason := verdict.ReasonBadRequest
-	switch library.Code {
+	switch fiberErr.Code {
 	case http.StatusRequestEntityTooLarge:
 		reason = verdict.ReasonTooLarge
 	case http.StatusNotFound:
 		reason = verdict.ReasonNotFound
 	}
-	return verdict.Refuse(verdict.NotRun, reason, 0, "%s", library.Message)
+	return verdict.Refuse(verdict.NotRun, reason, 0, "%s", fiberErr.Message)
 }
 
-// StatusOf returns the status for a handler's error: the HTTP library's own refusals keep the library's.
+// StatusOf returns the status for an error with which a request ended. Errors of the HTTP library keep their own status.
 func StatusOf(err error) int {
-	var library *fiber.Error
-	if errors.As(err, &library) {
-		return library.Code
+	var fiberErr *fiber.Error
+	if errors.As(err, &fiberErr) {
+		return fiberErr.Code
 	}
 	return Status(verdict.From(err))
 }
--- a/internal/edge/refusal/refusal_test.go
+++ b/internal/edge/refusal/refusal_test.go
@@ -17,7 +17,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// wantStatuses is the table of docs/REFERENCE.md in numbers.
+// wantStatuses is the table of reasons and statuses in docs/REFERENCE.md.
 var wantStatuses = map[verdict.Reason]int{
 	verdict.ReasonBadRequest:          400,
 	verdict.ReasonTooLarge:            413,
@@ -57,41 +57,41 @@
 	verdict.ReasonDefect:              500,
 }
 
-// Callers and their libraries decide by the status whether to send again. It follows from the reason alone, but for a lost
-// server: there 503 says that nothing was sent, and 502 that the request may have run.
+// Guards against a status that misleads callers, who decide by it whether to send a request again. The status follows from the reason
+// alone, except for a lost server and for unknown reasons: there 503 says that the request did not run, and 502 that it may have run.
 func TestStatus(t *testing.T) {
 	outcomes := []verdict.Verdict{verdict.NotRun, verdict.MayHaveRun, verdict.Ran}
 	for reason, want := range wantStatuses {
 		for _, outcome := range outcomes {
-			if have := Status(verdict.Refuse(outcome, reason, 0, "")); have != want {
-				t.Errorf("%s (%s): status %d, want %d", reason, outcome, have, want)
+			if got := Status(verdict.Refuse(outcome, reason, 0, "")); got != want {
+				t.Errorf("%s (%s): status %d, want %d", reason, outcome, got, want)
 			}
 		}
 	}
 	for _, reason := range []verdict.Reason{verdict.ReasonServerLost, "reasonOfANewerProcess"} {
 		for i, want := range []int{503, 502, 502} {
-			if have := Status(verdict.Refuse(outcomes[i], reason, 0, "")); have != want {
-				t.Errorf("%s (%s): status %d, want %d", reason, outcomes[i], have, want)
+			if got := Status(verdict.Refuse(outcomes[i], reason, 0, "")); got != want {
+				t.Errorf("%s (%s): status %d, want %d", reason, outcomes[i], got, want)
 			}
 		}
 	}
 }
 
-// A reason that is added to the core without a status would be told as one that nobody knows.
+// Guards against a reason that is added to the core without a status, and is then answered like an unknown one.
 func TestEachReasonHasAStatus(t *testing.T) {
-	want := reasons(t)
-	have := []string{string(verdict.ReasonServerLost)}
+	want := coreReasons(t)
+	got := []string{string(verdict.ReasonServerLost)}
 	for reason := range statuses {
-		have = append(have, string(reason))
+		got = append(got, string(reason))
 	}
-	slices.Sort(have)
-	if diff := cmp.Diff(want, have); diff != "" {
+	slices.Sort(got)
+	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("reasons (-core +table):\n%s", diff)
 	}
 }
 
-// reasons reads the core's reasons from its source, sorted.
-func reasons(t *testing.T) []string {
+// coreReasons returns the reasons that the source of the core declares, sorted.
+func coreReasons(t *testing.T) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), "../../core/verdict/refusal.go", nil, 0)
 	if err != nil {
@@ -114,8 +114,8 @@
 	return found
 }
 
-// The HTTP library refuses some requests before any handler sees them. The caller must learn that nothing ran, and
-// the library's own status.
+// Guards against requests that the HTTP library rejects before any handler sees them, and that are answered as if they may have run. They
+// must also keep the library's status.
 func TestLibraryErrors(t *testing.T) {
 	for _, test := range []struct {
 		err    error
