--- a/internal/edge/batchjob/reward.go
+++ b/internal/edge/batchjob/reward.go
@@ -117,7 +117,7 @@
 		Build: func(to *fasthttp.Request, server backend.Server) {
 			platform.FromReward(to, reward, platform.Hop{Server: server, Remaining: time.Until(end)})
 		},
-		End:         end,
+		Deadline:    end,
 		Repeatable:  true,
 		MaxAttempts: max(1, route.MaxAttempts-failures),
 		Hedge:       time.Duration(rewardHedgeFraction * float64(objective)),
--- a/internal/edge/call/call.go
+++ b/internal/edge/call/call.go
@@ -24,8 +24,8 @@
 	Pool func() (string, bool)
 	// Build fills in the HTTP request for a server. It is never called concurrently.
 	Build func(to *fasthttp.Request, server backend.Server)
-	// End is the deadline of the answer.
-	End time.Time
+	// Deadline is the deadline of the answer.
+	Deadline time.Time
 	// Repeatable requests may run more than once, in up to MaxAttempts attempts. Others are only sent again if no attempt can have run.
 	Repeatable  bool
 	MaxAttempts int
@@ -76,7 +76,7 @@
 // Send sends the request and returns the attempt that ended it, or nil if no attempt was made. The error is nil if that attempt holds the
 // server's answer, and a refusal otherwise. Send returns only after all attempts have stopped using the request.
 func (s *Sender) Send(ctx context.Context, request *Request) (*Attempt, Tally, error) {
-	ctx, cancel := context.WithDeadline(ctx, request.End)
+	ctx, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
 	r := &retrier{sender: s, request: request, tried: map[string]bool{}}
 	attempt, err := r.run(ctx)
--- a/internal/edge/gateway/forward.go
+++ b/internal/edge/gateway/forward.go
@@ -51,7 +51,7 @@
 		Build: func(to *fasthttp.Request, server backend.Server) {
 			platform.FromCaller(to, from, platform.Hop{Server: server, Organisation: r.organisation.Name, Remaining: time.Until(r.deadline)})
 		},
-		End:         r.deadline,
+		Deadline:    r.deadline,
 		Repeatable:  r.route.Kind == routing.KindIdempotent,
 		MaxAttempts: r.route.MaxAttempts,
 		Hedge:       max(minHedgeDelay, time.Duration(float64(r.route.LatencyObjective)*hedgeFraction)),
