--- a/internal/edge/batchjob/reward.go
+++ b/internal/edge/batchjob/reward.go
@@ -118,7 +118,7 @@
 			platform.FromReward(to, reward, platform.Hop{Server: server, Remaining: time.Until(end)})
 		},
 		Deadline:    end,
-		Repeatable:  true,
+		Idempotent:  true,
 		MaxAttempts: max(1, route.MaxAttempts-failures),
 		Hedge:       time.Duration(rewardHedgeFraction * float64(objective)),
 		First:       &first,
--- a/internal/edge/call/call.go
+++ b/internal/edge/call/call.go
@@ -26,8 +26,8 @@
 	Build func(to *fasthttp.Request, server backend.Server)
 	// Deadline is the deadline of the answer.
 	Deadline time.Time
-	// Repeatable requests may run more than once, in up to MaxAttempts attempts. Others are only sent again if no attempt can have run.
-	Repeatable  bool
+	// Idempotent requests may run more than once, in up to MaxAttempts attempts. Others are only sent again if no attempt can have run.
+	Idempotent  bool
 	MaxAttempts int
 	// Hedge is the time without an answer after which a repeatable request is also sent to a second server.
 	Hedge time.Duration
--- a/internal/edge/call/tries.go
+++ b/internal/edge/call/tries.go
@@ -67,7 +67,7 @@
 
 // mayRunAgain reports whether the request may be sent once more although earlier attempts may have run or are not finished.
 func (r *retrier) mayRunAgain() bool {
-	return r.request.Repeatable && r.Sent < max(1, r.request.MaxAttempts)
+	return r.request.Idempotent && r.Sent < max(1, r.request.MaxAttempts)
 }
 
 // sendFirst makes the first attempt; false if there is no server for it.
--- a/internal/edge/gateway/forward.go
+++ b/internal/edge/gateway/forward.go
@@ -52,7 +52,7 @@
 			platform.FromCaller(to, from, platform.Hop{Server: server, Organisation: r.organisation.Name, Remaining: time.Until(r.deadline)})
 		},
 		Deadline:    r.deadline,
-		Repeatable:  r.route.Kind == routing.KindIdempotent,
+		Idempotent:  r.route.Kind == routing.KindIdempotent,
 		MaxAttempts: r.route.MaxAttempts,
 		Hedge:       max(minHedgeDelay, time.Duration(float64(r.route.LatencyObjective)*hedgeFraction)),
 		Ran: func(sent time.Time) {
