--- a/internal/edge/batchjob/reward.go
+++ b/internal/edge/batchjob/reward.go
@@ -120,7 +120,7 @@
 		Deadline:    end,
 		Idempotent:  true,
 		MaxAttempts: max(1, route.MaxAttempts-failures),
-		Hedge:       time.Duration(rewardHedgeFraction * float64(objective)),
+		HedgeDelay:  time.Duration(rewardHedgeFraction * float64(objective)),
 		First:       &first,
 	}
 }
--- a/internal/edge/call/call.go
+++ b/internal/edge/call/call.go
@@ -29,8 +29,8 @@
 	// Idempotent requests may run more than once, in up to MaxAttempts attempts. Others are only sent again if no attempt can have run.
 	Idempotent  bool
 	MaxAttempts int
-	// Hedge is the time without an answer after which a repeatable request is also sent to a second server.
-	Hedge time.Duration
+	// HedgeDelay is the time without an answer after which a repeatable request is also sent to a second server.
+	HedgeDelay time.Duration
 	// First is the server of the first attempt, if the caller of Send has acquired it already; nil makes Send acquire one.
 	First *backend.Server
 	// Ran is called for each attempt that ran or may have run, with the time at which it was sent; it may be nil.
--- a/internal/edge/call/tries.go
+++ b/internal/edge/call/tries.go
@@ -41,7 +41,7 @@
 	if !r.sendFirst(ctx) {
 		return nil, r.noServerRefusal(nil)
 	}
-	hedge := time.NewTimer(r.request.Hedge)
+	hedge := time.NewTimer(r.request.HedgeDelay)
 	defer hedge.Stop()
 	for {
 		select {
--- a/internal/edge/gateway/forward.go
+++ b/internal/edge/gateway/forward.go
@@ -54,7 +54,7 @@
 		Deadline:    r.deadline,
 		Idempotent:  r.route.Kind == routing.KindIdempotent,
 		MaxAttempts: r.route.MaxAttempts,
-		Hedge:       max(minHedgeDelay, time.Duration(float64(r.route.LatencyObjective)*hedgeFraction)),
+		HedgeDelay:  max(minHedgeDelay, time.Duration(float64(r.route.LatencyObjective)*hedgeFraction)),
 		Ran: func(sent time.Time) {
 			if r.organisation.Name != "" {
 				g.deps.Usage.Ran(r.organisation.Name, sent)
