--- a/internal/edge/batchjob/reward.go
+++ b/internal/edge/batchjob/reward.go
@@ -121,7 +121,7 @@
 		Idempotent:  true,
 		MaxAttempts: max(1, route.MaxAttempts-failures),
 		HedgeDelay:  time.Duration(rewardHedgeFraction * float64(objective)),
-		First:       &first,
+		FirstServer: &first,
 	}
 }
 
--- a/internal/edge/call/call.go
+++ b/internal/edge/call/call.go
@@ -31,8 +31,8 @@
 	MaxAttempts int
 	// HedgeDelay is the time without an answer after which a repeatable request is also sent to a second server.
 	HedgeDelay time.Duration
-	// First is the server of the first attempt, if the caller of Send has acquired it already; nil makes Send acquire one.
-	First *backend.Server
+	// FirstServer is the server of the first attempt, if the caller of Send has acquired it already; nil makes Send acquire one.
+	FirstServer *backend.Server
 	// Ran is called for each attempt that ran or may have run, with the time at which it was sent; it may be nil.
 	Ran func(sent time.Time)
 }
--- a/internal/edge/call/tries.go
+++ b/internal/edge/call/tries.go
@@ -72,10 +72,10 @@
 
 // sendFirst makes the first attempt; false if there is no server for it.
 func (r *retrier) sendFirst(ctx context.Context) bool {
-	if r.request.First == nil {
+	if r.request.FirstServer == nil {
 		return r.sendNext(ctx)
 	}
-	r.sendTo(ctx, *r.request.First)
+	r.sendTo(ctx, *r.request.FirstServer)
 	return true
 }
 
