--- a/internal/edge/call/attempt.go
+++ b/internal/edge/call/attempt.go
@@ -23,8 +23,8 @@
 	defer s.balancer.Release(server.ID)
 	s.roundTrip(ctx, req, attempt, request.ID)
 	s.updateBalancer(ctx, attempt)
-	if attempt.Outcome != verdict.NotRun && request.Ran != nil {
-		request.Ran(attempt.SentAt)
+	if attempt.Outcome != verdict.NotRun && request.OnRun != nil {
+		request.OnRun(attempt.SentAt)
 	}
 	if attempt.Outcome != verdict.Ran && ctx.Err() == nil {
 		s.log.Info().Str("request", request.ID).Str("server", server.ID).Stringer("verdict", attempt.Outcome).
--- a/internal/edge/call/call.go
+++ b/internal/edge/call/call.go
@@ -33,8 +33,8 @@
 	HedgeDelay time.Duration
 	// FirstServer is the server of the first attempt, if the caller of Send has acquired it already; nil makes Send acquire one.
 	FirstServer *backend.Server
-	// Ran is called for each attempt that ran or may have run, with the time at which it was sent; it may be nil.
-	Ran func(sent time.Time)
+	// OnRun is called for each attempt that ran or may have run, with the time at which it was sent; it may be nil.
+	OnRun func(sent time.Time)
 }
 
 // Attempt is one attempt to send a request to a server, with its result.
--- a/internal/edge/gateway/forward.go
+++ b/internal/edge/gateway/forward.go
@@ -55,7 +55,7 @@
 		Idempotent:  r.route.Kind == routing.KindIdempotent,
 		MaxAttempts: r.route.MaxAttempts,
 		HedgeDelay:  max(minHedgeDelay, time.Duration(float64(r.route.LatencyObjective)*hedgeFraction)),
-		Ran: func(sent time.Time) {
+		OnRun: func(sent time.Time) {
 			if r.organisation.Name != "" {
 				g.deps.Usage.Ran(r.organisation.Name, sent)
 			}
