--- a/internal/edge/gateway/forward.go
+++ b/internal/edge/gateway/forward.go
@@ -57,7 +57,7 @@
 		HedgeDelay:  max(minHedgeDelay, time.Duration(float64(r.route.LatencyObjective)*hedgeFraction)),
 		OnRun: func(sent time.Time) {
 			if r.organisation.Name != "" {
-				g.deps.Usage.Ran(r.organisation.Name, sent)
+				g.deps.Usage.CountRequest(r.organisation.Name, sent)
 			}
 		},
 	}
--- a/internal/edge/gateway/gateway.go
+++ b/internal/edge/gateway/gateway.go
@@ -44,8 +44,8 @@
 
 // Usage counts the requests that are charged to organisations.
 type Usage interface {
-	// Ran counts one request of the organisation that was sent to a backend server at the time and ran or may have run.
-	Ran(organisation string, at time.Time)
+	// CountRequest counts one request of the organisation that was sent to a backend server at the time and ran or may have run.
+	CountRequest(organisation string, at time.Time)
 }
 
 // Deps are the dependencies of a gateway.
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -67,8 +67,8 @@
 	servers map[string]int
 }
 
-// Ran counts a request that began to run.
-func (n *news) Ran(organisation string, at time.Time) {
+// CountRequest counts a request that began to run.
+func (n *news) CountRequest(organisation string, at time.Time) {
 	cell := usage.Cell{Agent: n.incarnation, Organisation: organisation, Window: usage.WindowStart(at, n.gateway.set.UsageWindow)}
 	n.gateway.ledger.Add(cell, usage.Amount{Requests: 1})
 }
--- a/internal/program/process/news_test.go
+++ b/internal/program/process/news_test.go
@@ -29,8 +29,8 @@
 func TestCountsReachTheHolderThroughANeighbour(t *testing.T) {
 	now := time.Now()
 	dead, neighbour, holder := newTestNews(1), newTestNews(2), newTestNews(3)
-	dead.Ran("north", now)
-	dead.Ran("north", now)
+	dead.CountRequest("north", now)
+	dead.CountRequest("north", now)
 	at := gossip.Member{HostID: "neighbour", Incarnation: 2}
 	beat := gossip.Heartbeat{Counts: dead.counts(now, at)}
 	for _, count := range beat.Counts {
@@ -40,7 +40,7 @@
 	if again := dead.counts(now, at); len(again) != 0 {
 		t.Errorf("told again: %v", again)
 	}
-	dead.Ran("north", now)
+	dead.CountRequest("north", now)
 	if grown := dead.counts(now, at); len(grown) != 1 || grown[0].Amount.Requests != 3 {
 		t.Errorf("after another request: %v", grown)
 	}
@@ -63,7 +63,7 @@
 func TestCountsOutliveARestartOfAll(t *testing.T) {
 	now := time.Now()
 	runs := []*news{newTestNews(1), newTestNews(2), newTestNews(3), newTestNews(4)}
-	runs[0].Ran("north", now)
+	runs[0].CountRequest("north", now)
 	for i, next := range runs[1:] {
 		before := runs[i]
 		before.living = func(time.Time) map[uint64]bool { return map[uint64]bool{uint64(i + 2): true} }
