--- a/internal/edge/callerconn/hangup.go
+++ b/internal/edge/callerconn/hangup.go
@@ -12,12 +12,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Watch calls cancel when the caller closes the connection. It returns a function that ends the watch, which must be called before the
+// CancelOnHangup calls cancel when the caller closes the connection. It returns a function that ends the watch, which must be called before the
 // connection's next request is read.
 //
 // The HTTP library doesn't notice that a caller hangs up while its request is being served, so the request would keep a server busy
 // although nobody receives the answer. A peek of one byte detects the end of the connection without consuming a pipelined request.
-func Watch(conn net.Conn, cancel context.CancelFunc) (stop func()) {
+func CancelOnHangup(conn net.Conn, cancel context.CancelFunc) (stop func()) {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
 		return func() {}
--- a/internal/edge/entry/generate.go
+++ b/internal/edge/entry/generate.go
@@ -74,7 +74,7 @@
 	}
 	ctx, cancel := context.WithDeadline(c.Context(), end)
 	defer cancel()
-	defer callerconn.Watch(c.RequestCtx().Conn(), cancel)()
+	defer callerconn.CancelOnHangup(c.RequestCtx().Conn(), cancel)()
 	err = e.admitted(ctx, generation, func() error { return e.deps.Dispatcher.run(ctx, generation, g.consume) })
 	if err != nil {
 		return err
@@ -118,7 +118,7 @@
 func (e *Entry) stream(c fiber.Ctx, generation call, g *generation, end time.Time) error {
 	// The request's own context ends with this handler, before the stream does.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(c.Context()), end)
-	stopWatch := callerconn.Watch(c.RequestCtx().Conn(), cancel)
+	stopWatch := callerconn.CancelOnHangup(c.RequestCtx().Conn(), cancel)
 	events := newEventQueue()
 	g.onToken = events.token
 	e.background(func() {
--- a/internal/edge/entry/service.go
+++ b/internal/edge/entry/service.go
@@ -64,7 +64,7 @@
 	}
 	key := c.Get(headerIdempotencyKey)
 	if !needsRecord(plain, key) {
-		defer callerconn.Watch(c.RequestCtx().Conn(), cancel)()
+		defer callerconn.CancelOnHangup(c.RequestCtx().Conn(), cancel)()
 	}
 	answer, err := e.once(ctx, plain, message, key)
 	if err != nil {
--- a/internal/edge/gateway/forward.go
+++ b/internal/edge/gateway/forward.go
@@ -27,7 +27,7 @@
 func (g *Gateway) forward(c fiber.Ctx, r callerRequest) error {
 	ctx, cancel := context.WithCancel(c.Context())
 	defer cancel()
-	defer callerconn.Watch(c.RequestCtx().Conn(), cancel)()
+	defer callerconn.CancelOnHangup(c.RequestCtx().Conn(), cancel)()
 	final, tally, err := g.deps.Calls.Send(ctx, g.serverRequest(c.Request(), r))
 	g.logOutcome(r, tally, final, err)
 	if err != nil {
