--- a/internal/edge/entry/refuse.go
+++ b/internal/edge/entry/refuse.go
@@ -17,7 +17,7 @@
 
 // onError turns every error of a handler into a refusal with its verdict.
 func (e *Entry) onError(c fiber.Ctx, err error) error {
-	refused := refusal.Of(err)
+	refused := refusal.FromError(err)
 	e.metrics.refused(refused)
 	if refused.Reason == verdict.ReasonTooLarge {
 		callerconn.Linger(c.RequestCtx().Conn())
--- a/internal/edge/gateway/forward.go
+++ b/internal/edge/gateway/forward.go
@@ -77,7 +77,7 @@
 		line.Msg("request answered")
 		return
 	}
-	refused := refusal.Of(err)
+	refused := refusal.FromError(err)
 	line.Stringer("verdict", refused.Verdict).Str("reason", string(refused.Reason)).Str("detail", refused.Detail).
 		Dur("retryAfter", refused.RetryAfter).Int("status", platform.Status(refused)).Msg("request refused")
 }
--- a/internal/edge/gateway/gateway.go
+++ b/internal/edge/gateway/gateway.go
@@ -159,7 +159,7 @@
 // handleError answers a request whose handler returned an error. Every error is answered as a refusal that says whether the request may
 // have run.
 func (g *Gateway) handleError(c fiber.Ctx, err error) error {
-	refused := refusal.Of(err)
+	refused := refusal.FromError(err)
 	if refused.Reason == verdict.ReasonTooLarge {
 		callerconn.Linger(c.RequestCtx().Conn())
 	}
--- a/internal/edge/refusal/refusal.go
+++ b/internal/edge/refusal/refusal.go
@@ -67,9 +67,9 @@
 	return http.StatusBadGateway
 }
 
-// Of returns the refusal for an error with which a request ended: one of a handler, or one with which the HTTP library rejects a request
+// FromError returns the refusal for an error with which a request ended: one of a handler, or one with which the HTTP library rejects a request
 // before any handler has passed it on.
-func Of(err error) *verdict.Refusal {
+func FromError(err error) *verdict.Refusal {
 	var fiberErr *fiber.Error
 	if !errors.As(err, &fiberErr) {
 		return verdict.From(err)
--- a/internal/edge/refusal/refusal_test.go
+++ b/internal/edge/refusal/refusal_test.go
@@ -127,12 +127,12 @@
 		{fiber.ErrMethodNotAllowed, http.StatusMethodNotAllowed, verdict.ReasonBadRequest},
 		{fiber.ErrRequestHeaderFieldsTooLarge, http.StatusRequestHeaderFieldsTooLarge, verdict.ReasonBadRequest},
 	} {
-		refused := Of(test.err)
+		refused := FromError(test.err)
 		if refused.Verdict != verdict.NotRun || refused.Reason != test.reason || StatusOf(test.err) != test.status {
 			t.Errorf("%v: %v, status %d", test.err, refused, StatusOf(test.err))
 		}
 	}
-	if lost := errors.New("lost"); Of(lost).Verdict != verdict.MayHaveRun || StatusOf(lost) != http.StatusBadGateway {
-		t.Errorf("unknown error: %v, status %d", Of(lost), StatusOf(lost))
+	if lost := errors.New("lost"); FromError(lost).Verdict != verdict.MayHaveRun || StatusOf(lost) != http.StatusBadGateway {
+		t.Errorf("unknown error: %v, status %d", FromError(lost), StatusOf(lost))
 	}
 }
