--- a/internal/edge/entry/refuse.go
+++ b/internal/edge/entry/refuse.go
@@ -23,7 +23,7 @@
 		callerconn.Linger(c.RequestCtx().Conn())
 	}
 	c.Set(fiber.HeaderRetryAfter, strconv.Itoa(refused.RetryAfterSeconds()))
-	return c.Status(refusal.StatusOf(err)).JSON(refused)
+	return c.Status(refusal.StatusFromError(err)).JSON(refused)
 }
 
 // refuseMethods answers requests of a method that the HTTP library doesn't know: its own answer has no verdict.
--- a/internal/edge/refusal/refusal.go
+++ b/internal/edge/refusal/refusal.go
@@ -84,8 +84,8 @@
 	return verdict.Refuse(verdict.NotRun, reason, 0, "%s", fiberErr.Message)
 }
 
-// StatusOf returns the status for an error with which a request ended. Errors of the HTTP library keep their own status.
-func StatusOf(err error) int {
+// StatusFromError returns the status for an error with which a request ended. Errors of the HTTP library keep their own status.
+func StatusFromError(err error) int {
 	var fiberErr *fiber.Error
 	if errors.As(err, &fiberErr) {
 		return fiberErr.Code
--- a/internal/edge/refusal/refusal_test.go
+++ b/internal/edge/refusal/refusal_test.go
@@ -128,11 +128,11 @@
 		{fiber.ErrRequestHeaderFieldsTooLarge, http.StatusRequestHeaderFieldsTooLarge, verdict.ReasonBadRequest},
 	} {
 		refused := FromError(test.err)
-		if refused.Verdict != verdict.NotRun || refused.Reason != test.reason || StatusOf(test.err) != test.status {
-			t.Errorf("%v: %v, status %d", test.err, refused, StatusOf(test.err))
+		if refused.Verdict != verdict.NotRun || refused.Reason != test.reason || StatusFromError(test.err) != test.status {
+			t.Errorf("%v: %v, status %d", test.err, refused, StatusFromError(test.err))
 		}
 	}
-	if lost := errors.New("lost"); FromError(lost).Verdict != verdict.MayHaveRun || StatusOf(lost) != http.StatusBadGateway {
-		t.Errorf("unknown error: %v, status %d", FromError(lost), StatusOf(lost))
+	if lost := errors.New("lost"); FromError(lost).Verdict != verdict.MayHaveRun || StatusFromError(lost) != http.StatusBadGateway {
+		t.Errorf("unknown error: %v, status %d", FromError(lost), StatusFromError(lost))
 	}
 }
