--- a/internal/edge/exchange/client.go
+++ b/internal/edge/exchange/client.go
@@ -19,8 +19,8 @@
 var (
 	// ErrNotSent: no byte of the request was sent, so it can't have run.
 	ErrNotSent = errors.New("request not sent")
-	// ErrLost: the request was sent at least in part, and its whole answer was not received.
-	ErrLost = errors.New("answer lost")
+	// ErrAnswerLost: the request was sent at least in part, and its whole answer was not received.
+	ErrAnswerLost = errors.New("answer lost")
 )
 
 // Defaults of a client.
@@ -148,12 +148,12 @@
 		if conn.bytesSent == 0 {
 			return nil, errors.Wrapf(ErrNotSent, "%v", trip.cause(err))
 		}
-		return nil, errors.Wrapf(ErrLost, "sending: %v", trip.cause(err))
+		return nil, errors.Wrapf(ErrAnswerLost, "sending: %v", trip.cause(err))
 	}
 	resp.SkipBody = req.Header.IsHead()
 	if err := resp.ReadLimitBody(conn.reader, c.maxBody); err != nil {
 		trip.finish(false)
-		return nil, errors.Wrapf(ErrLost, "reading: %v", trip.cause(err))
+		return nil, errors.Wrapf(ErrAnswerLost, "reading: %v", trip.cause(err))
 	}
 	trip.reusable = !req.ConnectionClose() && !resp.ConnectionClose()
 	return trip, nil
--- a/internal/edge/exchange/client_test.go
+++ b/internal/edge/exchange/client_test.go
@@ -85,14 +85,14 @@
 			readRequest(reader)
 			write(t, conn, okAnswer)
 		}},
-		{name: "closed after the request was read", want: exchange.ErrLost,
+		{name: "closed after the request was read", want: exchange.ErrAnswerLost,
 			serve: func(_ *testing.T, _ net.Conn, reader *bufio.Reader) { readRequest(reader) }},
-		{name: "cut inside the head", want: exchange.ErrLost,
+		{name: "cut inside the head", want: exchange.ErrAnswerLost,
 			serve: func(t *testing.T, conn net.Conn, reader *bufio.Reader) {
 				readRequest(reader)
 				write(t, conn, "HTTP/1.1 200 OK\r\nContent-Le")
 			}},
-		{name: "cut inside the body", want: exchange.ErrLost,
+		{name: "cut inside the body", want: exchange.ErrAnswerLost,
 			serve: func(t *testing.T, conn net.Conn, reader *bufio.Reader) {
 				readRequest(reader)
 				write(t, conn, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok")
@@ -172,8 +172,8 @@
 	if err := do(t.Context(), client, address); err != nil {
 		t.Fatal(err)
 	}
-	if err := do(t.Context(), client, address); !errors.Is(err, exchange.ErrLost) {
-		t.Errorf("got %v, want %v", err, exchange.ErrLost)
+	if err := do(t.Context(), client, address); !errors.Is(err, exchange.ErrAnswerLost) {
+		t.Errorf("got %v, want %v", err, exchange.ErrAnswerLost)
 	}
 	if got := received.Load(); got != 2 {
 		t.Errorf("the server received %d requests, want 2", got)
@@ -206,8 +206,8 @@
 		<-arrived
 		cancel()
 	})
-	if err := do(ctx, client, address); !errors.Is(err, exchange.ErrLost) {
-		t.Errorf("got %v, want %v", err, exchange.ErrLost)
+	if err := do(ctx, client, address); !errors.Is(err, exchange.ErrAnswerLost) {
+		t.Errorf("got %v, want %v", err, exchange.ErrAnswerLost)
 	}
 	group.Wait()
 	close(release)
@@ -223,7 +223,7 @@
 		want error
 	}{
 		{name: "whole", end: "0\r\n\r\n", want: nil},
-		{name: "cut", end: "", want: exchange.ErrLost},
+		{name: "cut", end: "", want: exchange.ErrAnswerLost},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/edge/exchange/stream.go
+++ b/internal/edge/exchange/stream.go
@@ -44,7 +44,7 @@
 		s.complete = true
 		return n, io.EOF
 	default:
-		return n, errors.Wrapf(ErrLost, "%v", s.trip.cause(err))
+		return n, errors.Wrapf(ErrAnswerLost, "%v", s.trip.cause(err))
 	}
 }
 
--- a/internal/edge/platform/client.go
+++ b/internal/edge/platform/client.go
@@ -156,7 +156,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := c.call(ctx, http.MethodGet, path, query, nil, into)
-	if errors.Is(err, exchange.ErrNotSent) || errors.Is(err, exchange.ErrLost) || errors.Is(err, ErrUnsettled) {
+	if errors.Is(err, exchange.ErrNotSent) || errors.Is(err, exchange.ErrAnswerLost) || errors.Is(err, ErrUnsettled) {
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
 	return err
@@ -174,7 +174,7 @@
 	switch {
 	case errors.Is(err, exchange.ErrNotSent):
 		return errors.Wrap(ErrUnavailable, err.Error())
-	case errors.Is(err, exchange.ErrLost):
+	case errors.Is(err, exchange.ErrAnswerLost):
 		return errors.Wrap(ErrUnsettled, err.Error())
 	default:
 		return err
