--- a/internal/edge/backendserver/engine.go
+++ b/internal/edge/backendserver/engine.go
@@ -64,7 +64,7 @@
 		}
 		var event Event
 		if err := json.Unmarshal([]byte(data), &event); err != nil {
-			return errors.Wrapf(ErrLost, "decode event: %v", err)
+			return errors.Wrapf(ErrAnswerLost, "decode event: %v", err)
 		}
 		if event.Done {
 			return finishStream(stream, event, received)
@@ -77,14 +77,14 @@
 	if err := lines.Err(); err != nil {
 		return err
 	}
-	return errors.Wrap(ErrLost, "stream ended without its closing event")
+	return errors.Wrap(ErrAnswerLost, "stream ended without its closing event")
 }
 
 // finishStream checks the closing event against the number of tokens received, and reads the stream
 // to its end, so that its connection can be reused.
 func finishStream(stream io.Reader, event Event, received int) error {
 	if event.Tokens != received {
-		return errors.Wrapf(ErrLost, "engine sent %d tokens, %d arrived", event.Tokens, received)
+		return errors.Wrapf(ErrAnswerLost, "engine sent %d tokens, %d arrived", event.Tokens, received)
 	}
 	_, err := io.Copy(io.Discard, stream)
 	return err
--- a/internal/edge/backendserver/engine_test.go
+++ b/internal/edge/backendserver/engine_test.go
@@ -75,7 +75,7 @@
 	}
 	server.SetFaults(engine.Faults{CutAfterTokens: 4})
 	part, err := generate(t.Context(), client, sampleRequest)
-	if !errors.Is(err, backendserver.ErrLost) {
+	if !errors.Is(err, backendserver.ErrAnswerLost) {
 		t.Fatalf("cut stream: got %v", err)
 	}
 	if diff := cmp.Diff(whole[:4], part); diff != "" {
@@ -157,7 +157,7 @@
 	server.SetFaults(engine.Faults{Stalled: true})
 	var group conc.WaitGroup
 	group.Go(func() {
-		if _, err := generate(t.Context(), client, sampleRequest); !errors.Is(err, backendserver.ErrLost) {
+		if _, err := generate(t.Context(), client, sampleRequest); !errors.Is(err, backendserver.ErrAnswerLost) {
 			t.Errorf("cancelled generation: got %v", err)
 		}
 	})
--- a/internal/edge/backendserver/enginefault_test.go
+++ b/internal/edge/backendserver/enginefault_test.go
@@ -20,7 +20,7 @@
 	var group conc.WaitGroup
 	for range 3 {
 		group.Go(func() {
-			if _, err := generate(t.Context(), client, sampleRequest); !errors.Is(err, backendserver.ErrLost) {
+			if _, err := generate(t.Context(), client, sampleRequest); !errors.Is(err, backendserver.ErrAnswerLost) {
 				t.Errorf("running stream: got %v", err)
 			}
 		})
@@ -30,7 +30,7 @@
 	server.SetFaults(engine.Faults{Crashed: true, Stalled: true})
 	server.CutConnections()
 	group.Wait()
-	if _, err := client.Load(t.Context()); !errors.Is(err, backendserver.ErrLost) {
+	if _, err := client.Load(t.Context()); !errors.Is(err, backendserver.ErrAnswerLost) {
 		t.Errorf("call to the crashed engine: got %v", err)
 	}
 }
@@ -40,7 +40,7 @@
 	server.SetFaults(engine.Faults{Stalled: true})
 	var group conc.WaitGroup
 	group.Go(func() {
-		if _, err := generate(t.Context(), client, sampleRequest); !errors.Is(err, backendserver.ErrLost) {
+		if _, err := generate(t.Context(), client, sampleRequest); !errors.Is(err, backendserver.ErrAnswerLost) {
 			t.Errorf("got %v", err)
 		}
 	})
--- a/internal/edge/backendserver/service_test.go
+++ b/internal/edge/backendserver/service_test.go
@@ -78,8 +78,8 @@
 		t.Fatal(err)
 	}
 	server.SetFaults(service.Faults{CutAfterRun: 1})
-	if _, err := createBooking(t.Context(), client, "b1"); !errors.Is(err, backendserver.ErrLost) {
-		t.Errorf("got %v, want %v", err, backendserver.ErrLost)
+	if _, err := createBooking(t.Context(), client, "b1"); !errors.Is(err, backendserver.ErrAnswerLost) {
+		t.Errorf("got %v, want %v", err, backendserver.ErrAnswerLost)
 	}
 	if runs := server.State().Runs["b1"]; runs != 1 {
 		t.Errorf("the booking ran %d times, want 1", runs)
@@ -125,8 +125,8 @@
 	server.SetFaults(service.Faults{DelayMilliseconds: 60_000})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
-	if _, err := createBooking(ctx, client, "b1"); !errors.Is(err, backendserver.ErrLost) {
-		t.Errorf("got %v, want %v", err, backendserver.ErrLost)
+	if _, err := createBooking(ctx, client, "b1"); !errors.Is(err, backendserver.ErrAnswerLost) {
+		t.Errorf("got %v, want %v", err, backendserver.ErrAnswerLost)
 	}
 }
 
