--- a/internal/edge/backendserver/wire.go
+++ b/internal/edge/backendserver/wire.go
@@ -62,8 +62,8 @@
 	Prefetched []int `json:"prefetched,omitempty"`
 	// TokenTime is the time to generate one token at the current batch size.
 	TokenTime time.Duration `json:"tokenTimeNanoseconds"`
-	// Measured is when the load was as reported.
-	Measured time.Time `json:"measured"`
+	// MeasuredAt is when the load was as reported.
+	MeasuredAt time.Time `json:"measured"`
 }
 
 // OrderKind is the kind of a weight order.
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -21,7 +21,7 @@
 
 func (h *history) add(load backendserver.EngineLoad) {
 	h.loads = append(h.loads, load)
-	h.trim(load.Measured)
+	h.trim(load.MeasuredAt)
 }
 
 // at returns the load as it was the lag ago, or the oldest one that is known.
@@ -33,7 +33,7 @@
 // trim drops what is older than the report of now.
 func (h *history) trim(now time.Time) {
 	reported := now.Add(-h.lag)
-	for len(h.loads) > 1 && (!h.loads[1].Measured.After(reported) || len(h.loads) > maxLoads) {
+	for len(h.loads) > 1 && (!h.loads[1].MeasuredAt.After(reported) || len(h.loads) > maxLoads) {
 		h.loads = h.loads[1:]
 	}
 }
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -206,6 +206,6 @@
 		Version:    s.weights.version,
 		Prefetched: s.weights.loaded(),
 		TokenTime:  s.tokenTimeLocked(),
-		Measured:   time.Now(),
+		MeasuredAt: time.Now(),
 	})
 }
