--- a/internal/edge/backendserver/baseclient.go
+++ b/internal/edge/backendserver/baseclient.go
@@ -12,7 +12,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/exchange"
 )
 
-// Option changes a client under construction.
+// Option configures a client.
 type Option = exchange.Option
 
 // baseClient calls one server over HTTP. The clients of all kinds of servers embed it.
--- a/internal/edge/backendserver/engine.go
+++ b/internal/edge/backendserver/engine.go
@@ -31,7 +31,7 @@
 
 // Generate calls onToken with each generated token; an error of onToken ends the stream and is
 // returned. Generate returns nil only if the stream ended with the engine's closing event and all
-// tokens that the event counts have arrived. The error for a stream that broke off is ErrLost.
+// tokens that the event counts have arrived. The error for a stream that broke off is ErrAnswerLost.
 func (e *Engine) Generate(ctx context.Context, request GenerateRequest, onToken func(Token) error) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/edge/backendserver/service.go
+++ b/internal/edge/backendserver/service.go
@@ -33,7 +33,7 @@
 }
 
 // Call sends a request and returns once the header of the answer has arrived. The error is
-// ErrNotSent if the call can't have run, and ErrLost if it may have run.
+// ErrNotSent if the call can't have run, and ErrAnswerLost if it may have run.
 func (s *Service) Call(
 	ctx context.Context, method, path, query string, header []request.HeaderField, body []byte,
 ) (*Answer, error) {
--- a/internal/edge/call/call.go
+++ b/internal/edge/call/call.go
@@ -24,12 +24,12 @@
 	Pool func() (string, bool)
 	// Build fills in the HTTP request for a server. It is never called concurrently.
 	Build func(to *fasthttp.Request, server backend.Server)
-	// Deadline is the deadline of the answer.
+	// Deadline is when the whole answer must have been received.
 	Deadline time.Time
 	// Idempotent requests may run more than once, in up to MaxAttempts attempts. Others are only sent again if no attempt can have run.
 	Idempotent  bool
 	MaxAttempts int
-	// HedgeDelay is the time without an answer after which a repeatable request is also sent to a second server.
+	// HedgeDelay is the time without an answer after which an idempotent request is also sent to a second server.
 	HedgeDelay time.Duration
 	// FirstServer is the server of the first attempt, if the caller of Send has acquired it already; nil makes Send acquire one.
 	FirstServer *backend.Server
@@ -41,7 +41,7 @@
 type Attempt struct {
 	Server backend.Server
 	SentAt time.Time
-	// Answer is what the gateway itself reads from the answer's header. Its Status is 0 if no header was received.
+	// Answer is the decoded header of the answer. Its Status is 0 if no header was received.
 	Answer platform.Answer
 	// Header and Body are the server's answer, set if Outcome is Ran.
 	Header fasthttp.ResponseHeader
--- a/internal/edge/call/tries.go
+++ b/internal/edge/call/tries.go
@@ -14,7 +14,7 @@
 const (
 	// maxNotRunRetries is how often a request is sent again after attempts that did not run it; those don't count towards MaxAttempts.
 	maxNotRunRetries = 3
-	// poolRetryAfter is when a caller should come back to a pool without a free slot: some calls have ended by then.
+	// poolRetryAfter is how long a caller should wait before it retries if a pool has no free slot: some calls have ended by then.
 	poolRetryAfter = 60 * time.Millisecond
 )
 
--- a/internal/edge/callerconn/hangup.go
+++ b/internal/edge/callerconn/hangup.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// CancelOnHangup calls cancel when the caller closes the connection. It returns a function that ends the watch, which must be called before the
-// connection's next request is read.
+// CancelOnHangup calls cancel when the caller closes the connection. It returns a function that stops watching the connection and must be
+// called before the connection's next request is read.
 //
 // The HTTP library doesn't notice that a caller hangs up while its request is being served, so the request would keep a server busy
 // although nobody receives the answer. A peek of one byte detects the end of the connection without consuming a pipelined request.
--- a/internal/edge/callerconn/serve.go
+++ b/internal/edge/callerconn/serve.go
@@ -10,7 +10,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Serve starts goroutines of wg that serve app on l until ctx ends, and then wait up to shutdownTimeout for connections that are still open.
+// Serve starts goroutines of wg that serve app on l until ctx ends, and then wait up to shutdownTimeout for connections that are still
+// open.
 func Serve(ctx context.Context, wg *conc.WaitGroup, app *fiber.App, l net.Listener, shutdownTimeout time.Duration, log zerolog.Logger) {
 	wg.Go(func() {
 		if err := app.Listener(l, fiber.ListenConfig{DisableStartupMessage: true}); err != nil {
--- a/internal/edge/exchange/client.go
+++ b/internal/edge/exchange/client.go
@@ -176,7 +176,7 @@
 	return err
 }
 
-// acquire returns an idle connection that is still open, or dials a new trip.
+// acquire returns an idle connection that is still open, or dials a new one.
 func (c *Client) acquire(ctx context.Context, req *fasthttp.Request) (*connection, error) {
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
--- a/internal/edge/exchange/connection.go
+++ b/internal/edge/exchange/connection.go
@@ -41,7 +41,7 @@
 
 // abort makes all pending and later reads and writes fail.
 func (c *connection) abort() {
-	// SetDeadline fails only if the socket is closed already.
+	// A socket that is closed already needs no deadline.
 	_ = c.socket.SetDeadline(time.Unix(1, 0))
 }
 
--- a/internal/edge/exchange/stream.go
+++ b/internal/edge/exchange/stream.go
@@ -27,7 +27,7 @@
 	return &s.resp.Header
 }
 
-// Read returns io.EOF only after the whole body; a body that broke off ends with ErrLost.
+// Read returns io.EOF only after the whole body; a body that broke off ends with ErrAnswerLost.
 func (s *Stream) Read(data []byte) (int, error) {
 	if s.resp == nil {
 		return 0, errors.WithStack(io.ErrClosedPipe)
--- a/internal/edge/gateway/batch.go
+++ b/internal/edge/gateway/batch.go
@@ -14,7 +14,7 @@
 // maxReadWait bounds how long a read of results may wait for new results, whatever wait the trainer asks for.
 const maxReadWait = 5 * time.Second
 
-// submitJob accepts a batch job. A nil error means that the job is stored.
+// submitJob accepts a batch job and answers with status 202.
 func (g *Gateway) submitJob(c fiber.Ctx, r callerRequest) error {
 	if c.Method() != fiber.MethodPost {
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonBadRequest, 0, "batch jobs are submitted by POST")
--- a/internal/edge/gateway/forward.go
+++ b/internal/edge/gateway/forward.go
@@ -17,7 +17,7 @@
 
 const (
 	// hedgeFraction is the fraction of the route's latency objective after which an idempotent request is also sent to a second
-	// server. One request in a few hundred takes longer, because its answer was lost or its server is slow.
+	// server. One request in a few hundred takes longer than that, because its answer was lost or its server is slow.
 	hedgeFraction = 0.5
 	// minHedgeDelay keeps routes with a short latency objective from sending every request to two servers.
 	minHedgeDelay = 20 * time.Millisecond
--- a/internal/edge/gateway/gateway.go
+++ b/internal/edge/gateway/gateway.go
@@ -34,7 +34,7 @@
 	// idleTimeout is how long an idle connection is kept open. It is above the operators' limit, so that a caller never sends
 	// a request on a connection that the gateway is closing.
 	idleTimeout = time.Minute
-	// noConfigurationRetryAfter is when a caller should come back to a host that has received no configuration yet.
+	// noConfigurationRetryAfter is how long a caller should wait before it retries at a host that has received no configuration yet.
 	noConfigurationRetryAfter = 300 * time.Millisecond
 	// shutdownTimeout is how long the gateway waits for open connections after its context has ended.
 	shutdownTimeout = time.Second
--- a/internal/edge/refusal/refusal.go
+++ b/internal/edge/refusal/refusal.go
@@ -67,8 +67,8 @@
 	return http.StatusBadGateway
 }
 
-// FromError returns the refusal for an error with which a request ended: one of a handler, or one with which the HTTP library rejects a request
-// before any handler has passed it on.
+// FromError returns the refusal for an error with which a request ended: one of a handler, or one with which the HTTP library rejects a
+// request before any handler has passed it on.
 func FromError(err error) *verdict.Refusal {
 	var fiberErr *fiber.Error
 	if !errors.As(err, &fiberErr) {
