--- a/internal/edge/view/contacts.go
+++ b/internal/edge/view/contacts.go
@@ -11,164 +11,175 @@
 )
 
 const (
-	// followers is how many entries follow the configuration by watches; the others hear from them. Two, so that one that dies holds
-	// nobody up. One follows the other kinds, whose changes may come a second later, and whose watches are most of all calls.
-	followers      = 2
-	otherFollowers = 1
-	// probePause is how often a follower makes sure that it reaches the store. A probe costs a tenth of a call.
-	probePause   = 400 * time.Millisecond
-	probeTimeout = 400 * time.Millisecond
-	// contactTime is how old the last contact of a follower may be. A new configuration must be in force within two seconds, also
-	// if all followers are cut off right before it: the next ones begin after this time, and news takes half a second to spread.
-	contactTime = time.Second
-	// standbys is how many entries, in order, begin after contactTime; the others begin after contactMost. News of a follower's
-	// contact takes up to two intervals of the gossip to the farthest of some dozen entries, which would begin to follow again and again. The
-	// standbys are neighbours of the followers, and hear from them directly.
-	standbys    = 4
-	contactMost = 1800 * time.Millisecond
-	// outageTime is how long no entry reached the store when it is taken for down: some probes in a row failed everywhere.
-	outageTime = 2500 * time.Millisecond
-	// restPause is how often an entry that doesn't follow looks whether it is to.
-	restPause = 100 * time.Millisecond
-	// outageFollowers is how many entries try for the store at the usual pace when nobody reaches it; the others try each
-	// outagePause, since each call is paid for, refused ones too.
-	outageFollowers = 4
-	outagePause     = 2 * time.Second
-	// toldContact is for how long others are told of a contact: as long as it counts for anything.
-	toldContact = 3 * time.Second
-	// forgetContact is when an entry that reached the store last is forgotten.
-	forgetContact = 20 * time.Second
+	// configurationFollowers is the number of entries that watch the configuration in the store; all others receive it from
+	// them. There are two, so that the failure of one delays nobody. Only one entry watches each other kind: those changes may
+	// arrive a second later, and their watches make up most of the store calls.
+	configurationFollowers = 2
+	otherFollowers         = 1
+	// probeInterval is how often a follower checks that it can reach the store. A probe costs a tenth of a normal call.
+	probeInterval = 400 * time.Millisecond
+	probeTimeout  = 400 * time.Millisecond
+	// maxContactAge is the age of a follower's last contact with the store from which the standbys replace it. A new
+	// configuration must be in force within two seconds even if all followers lose the store right before it is written: their
+	// replacements start after this time, and a change takes half a second to spread.
+	maxContactAge = time.Second
+	// standbys is how many entries, in follow order, start to follow after maxContactAge; all others wait for
+	// maxDistantContactAge. A follower's contact takes up to two gossip intervals to reach the most distant of a dozen or more
+	// entries, so that with the shorter limit those would repeatedly start to follow. The standbys are gossip neighbours of
+	// the followers and hear from them directly.
+	standbys             = 4
+	maxDistantContactAge = 1800 * time.Millisecond
+	// outageThreshold is the time without any contact after which the store counts as down: by then several consecutive probes
+	// of all followers have failed.
+	outageThreshold = 2500 * time.Millisecond
+	// idlePollInterval is how often an entry that does not follow the store checks whether it should.
+	idlePollInterval = 100 * time.Millisecond
+	// outageRetriers is how many entries retry at the normal rate while no entry reaches the store. The others retry every
+	// outageRetryPause, since every call is billed, including refused ones.
+	outageRetriers   = 4
+	outageRetryPause = 2 * time.Second
+	// maxSharedContactAge is the age up to which a contact is sent to other entries. An older one has no effect on any
+	// decision.
+	maxSharedContactAge = 3 * time.Second
+	// contactRetention is the age after which a contact is deleted.
+	contactRetention = 20 * time.Second
 )
 
-// contacts remembers which entries reached the store lately. It is safe for concurrent use.
-type contacts struct {
+// contactTracker records when each entry last reached the store. It is safe for concurrent use.
+type contactTracker struct {
 	self string
 	mu   sync.Mutex
-	// reached is when each entry was last known to reach the store.
-	reached map[string]time.Time
-	failed  bool
-	// failures counts the failed calls of this entry.
+	// lastContact is when each entry, by host ID, last reached the store.
+	lastContact map[string]time.Time
+	lastFailed  bool
+	// failures counts the failed store calls of this entry.
 	failures int
 }
 
-func newContacts(self string) *contacts {
-	return &contacts{self: self, reached: map[string]time.Time{}}
+func newContactTracker(self string) *contactTracker {
+	return &contactTracker{self: self, lastContact: map[string]time.Time{}}
 }
 
-// note takes in how a call of this entry ended.
-func (c *contacts) note(now time.Time, err error) {
+// record stores the outcome of a store call by this entry.
+func (c *contactTracker) record(now time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.failed = err != nil
+	c.lastFailed = err != nil
 	if err == nil {
-		c.reached[c.self] = now
+		c.lastContact[c.self] = now
 		return
 	}
 	c.failures++
 }
 
-func (c *contacts) failing() bool {
+// failing reports whether the last store call of this entry failed.
+func (c *contactTracker) failing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.failed
+	return c.lastFailed
 }
 
-// lost returns how many calls of this entry failed so far, and whether the last one did.
-func (c *contacts) lost() (failures int, failing bool) {
+// failureState returns the number of failed store calls of this entry and whether the last one failed.
+func (c *contactTracker) failureState() (failures int, failing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.failures, c.failed
+	return c.failures, c.lastFailed
 }
 
-// age is the time since this entry reached the store.
-func (c *contacts) age(now time.Time) time.Duration {
+// sinceLastContact returns the time since this entry last reached the store.
+func (c *contactTracker) sinceLastContact(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Sub(c.reached[c.self])
+	return now.Sub(c.lastContact[c.self])
 }
 
-// ages returns the time since each entry reached the store, in milliseconds. Ages, not times, go over the wire: clocks differ.
-func (c *contacts) ages(now time.Time) map[string]int64 {
+// ages returns the time in milliseconds since each entry last reached the store. Entries exchange ages, not timestamps,
+// because their clocks differ.
+func (c *contactTracker) ages(now time.Time) map[string]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ages := make(map[string]int64, len(c.reached))
-	for host, at := range c.reached {
-		if age := now.Sub(at); age < toldContact {
+	ages := make(map[string]int64, len(c.lastContact))
+	for host, at := range c.lastContact {
+		if age := now.Sub(at); age < maxSharedContactAge {
 			ages[host] = age.Milliseconds()
 		}
 	}
 	return ages
 }
 
-func (c *contacts) merge(now time.Time, ages map[string]int64) {
+// merge adds contacts received from another entry, as ages in milliseconds, and deletes expired ones.
+func (c *contactTracker) merge(now time.Time, ages map[string]int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for host, age := range ages {
-		if at := now.Add(-time.Duration(age) * time.Millisecond); host != c.self && at.After(c.reached[host]) {
-			c.reached[host] = at
+		if at := now.Add(-time.Duration(age) * time.Millisecond); host != c.self && at.After(c.lastContact[host]) {
+			c.lastContact[host] = at
 		}
 	}
-	maps.DeleteFunc(c.reached, func(_ string, at time.Time) bool { return now.Sub(at) > forgetContact })
+	maps.DeleteFunc(c.lastContact, func(_ string, at time.Time) bool { return now.Sub(at) > contactRetention })
 }
 
-// chosen says whether this entry is to follow the store: it is, unless enough entries that come before it reach it. The order is
-// by hash, so that the work isn't always with the first hosts of the first availability zone; place is how many living entries come before
-// this one, and wanted how many are to follow.
+// shouldFollow reports whether this entry should follow the store: it should unless enough entries that precede it in hash
+// order reach the store. The order is by hash so that the work does not always fall to the first hosts of the first
+// availability zone. The position is the number of live entries that precede this one, and wanted is the number of followers
+// needed.
 //
-// Guard: an entry that the store turns away, or that is cut off, has no fresh contact, and the next in order begins.
-func (c *contacts) chosen(now time.Time, place, wanted int) bool {
+// An entry that the store refuses or that is cut off has no recent contact, so that the next one in order takes over.
+func (c *contactTracker) shouldFollow(now time.Time, position, wanted int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	allowed := contactTime
-	if place >= standbys {
-		allowed = contactMost
+	maxAge := maxContactAge
+	if position >= standbys {
+		maxAge = maxDistantContactAge
 	}
-	before := 0
-	for host, at := range c.reached {
-		if host != c.self && now.Sub(at) < allowed && cmp.Compare(rank(host), rank(c.self)) < 0 {
-			before++
+	preceding := 0
+	for host, at := range c.lastContact {
+		if host != c.self && now.Sub(at) < maxAge && cmp.Compare(hashRank(host), hashRank(c.self)) < 0 {
+			preceding++
 		}
 	}
-	return before < wanted
+	return preceding < wanted
 }
 
-// fresh says whether the entry reached the store lately.
-func (c *contacts) fresh(now time.Time, host string) bool {
+// reachesStore reports whether the host reached the store recently.
+func (c *contactTracker) reachesStore(now time.Time, host string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now.Sub(c.reached[host]) < outageTime
+	return now.Sub(c.lastContact[host]) < outageThreshold
 }
 
-// outage says whether no entry reached the store lately.
-func (c *contacts) outage(now time.Time) bool {
+// outage reports whether no entry reached the store recently.
+func (c *contactTracker) outage(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, at := range c.reached {
-		if now.Sub(at) < outageTime {
+	for _, at := range c.lastContact {
+		if now.Sub(at) < outageThreshold {
 			return false
 		}
 	}
 	return true
 }
 
-// patience is the pause after a failed call: longer where others try as well and nobody reaches the store.
-func (c *contacts) patience(now time.Time, pause time.Duration) time.Duration {
+// retryDelay returns how long to wait after a failed call: longer than pause if no entry reaches the store and enough other
+// entries retry already.
+func (c *contactTracker) retryDelay(now time.Time, pause time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	hosts := append(slices.Collect(maps.Keys(c.reached)), c.self)
-	before := 0
+	hosts := append(slices.Collect(maps.Keys(c.lastContact)), c.self)
+	preceding := 0
 	for _, host := range hosts {
-		if now.Sub(c.reached[host]) < contactTime {
+		if now.Sub(c.lastContact[host]) < maxContactAge {
 			return pause
 		}
-		if rank(host) < rank(c.self) {
-			before++
+		if hashRank(host) < hashRank(c.self) {
+			preceding++
 		}
 	}
-	if before >= outageFollowers {
-		return outagePause
+	if preceding >= outageRetriers {
+		return outageRetryPause
 	}
 	return pause
 }
 
-func rank(host string) uint64 { return xxhash.Sum64String(host) }
+// hashRank returns the position of a host in the order in which entries follow the store.
+func hashRank(host string) uint64 { return xxhash.Sum64String(host) }
--- a/internal/edge/view/contacts_test.go
+++ b/internal/edge/view/contacts_test.go
@@ -9,152 +9,159 @@
 	"time"
 )
 
-var start = time.Unix(1_700_000_000, 0)
+var baseTime = time.Unix(1_700_000_000, 0)
 
-// inOrder returns so many hosts in the order in which they are to follow the store.
-func inOrder(count int) []string {
+// hostsInFollowOrder returns count hosts in the order in which they should follow the store.
+func hostsInFollowOrder(count int) []string {
 	var hosts []string
 	for i := range count {
 		hosts = append(hosts, fmt.Sprintf("entry-%d", i))
 	}
-	slices.SortFunc(hosts, func(a, b string) int { return cmp.Compare(rank(a), rank(b)) })
+	slices.SortFunc(hosts, func(a, b string) int { return cmp.Compare(hashRank(a), hashRank(b)) })
 	return hosts
 }
 
-// A partition cut off both entries that followed the store, right before a key was withdrawn. Their watches hung without an end, the
-// others relied on them, and requests with the key were served for seconds. Followers prove that they reach the store, and without fresh
-// proofs the next in order begin.
-func TestTheNextInOrderFollowTheStore(t *testing.T) {
-	hosts := inOrder(6)
+// Guards against requests being served with a withdrawn key. Both followers were cut off right before the withdrawal, their
+// watches hung, and all other entries relied on them for seconds. Followers must show recent contact with the store, or the
+// next in order take over.
+func TestNextInOrderReplaceUnreachableFollowers(t *testing.T) {
+	hosts := hostsInFollowOrder(6)
 	for _, test := range []struct {
-		name    string
-		reached map[int]time.Duration
-		want    []bool
+		name        string
+		contactAges map[int]time.Duration
+		want        []bool
 	}{
-		{name: "nobody is known", want: []bool{true, true, true, true, true, true}},
-		{name: "the first two do", reached: map[int]time.Duration{0: 0, 1: 0}, want: []bool{true, true, false, false, false, false}},
-		{name: "the first is cut off", reached: map[int]time.Duration{0: contactTime, 1: 0}, want: []bool{true, true, true, true, false, false}},
-		{name: "and the third began", reached: map[int]time.Duration{0: contactTime, 1: 0, 2: 0}, want: []bool{true, true, true, false, false, false}},
-		{name: "both are cut off", reached: map[int]time.Duration{0: contactTime, 1: contactTime}, want: []bool{true, true, true, true, false, false}},
-		{name: "the four first are cut off", reached: map[int]time.Duration{0: contactMost, 1: contactMost, 2: contactMost, 3: contactMost}, want: []bool{true, true, true, true, true, true}},
+		{name: "no contacts", want: []bool{true, true, true, true, true, true}},
+		{name: "the first two reach the store", contactAges: map[int]time.Duration{0: 0, 1: 0}, want: []bool{true, true, false, false, false, false}},
+		{name: "the first is cut off", contactAges: map[int]time.Duration{0: maxContactAge, 1: 0},
+			want: []bool{true, true, true, true, false, false}},
+		{name: "the first is cut off and the third follows", contactAges: map[int]time.Duration{0: maxContactAge, 1: 0, 2: 0},
+			want: []bool{true, true, true, false, false, false}},
+		{name: "the first two are cut off", contactAges: map[int]time.Duration{0: maxContactAge, 1: maxContactAge},
+			want: []bool{true, true, true, true, false, false}},
+		{name: "the first four are cut off",
+			contactAges: map[int]time.Duration{0: maxDistantContactAge, 1: maxDistantContactAge, 2: maxDistantContactAge, 3: maxDistantContactAge},
+			want:        []bool{true, true, true, true, true, true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for i, host := range hosts {
-				c := newContacts(host)
+				c := newContactTracker(host)
 				ages := map[string]int64{}
-				for at, age := range test.reached {
-					ages[hosts[at]] = age.Milliseconds()
+				for position, age := range test.contactAges {
+					ages[hosts[position]] = age.Milliseconds()
 				}
-				c.merge(start, ages)
-				if got := c.chosen(start, i, followers); got != test.want[i] {
-					t.Errorf("number %d follows: %v", i, got)
+				c.merge(baseTime, ages)
+				if got := c.shouldFollow(baseTime, i, configurationFollowers); got != test.want[i] {
+					t.Errorf("host %d: shouldFollow = %v", i, got)
 				}
 			}
 		})
 	}
 }
 
-// News of the followers' contacts came to the far ones of 27 entries after more than a second, and these began to follow the store as
-// well, again and again: three watches each time, half of all calls of a minute. Only the next two in order begin as soon.
-func TestLateNewsMakesNoFollowers(t *testing.T) {
-	hosts := inOrder(27)
+// Guards against needless followers. The followers' contacts reached the most distant of 27 entries after more than a second,
+// so these repeatedly started to follow as well, with three watches each time, half of all store calls of a minute. Only the
+// two standbys after the followers may start that early.
+func TestDelayedContactsAddOnlyStandbyFollowers(t *testing.T) {
+	hosts := hostsInFollowOrder(27)
 	following := 0
 	for i, host := range hosts {
-		c := newContacts(host)
-		late := (contactTime + 400*time.Millisecond).Milliseconds()
-		c.merge(start, map[string]int64{hosts[0]: late, hosts[1]: late})
-		if c.chosen(start, i, followers) {
+		c := newContactTracker(host)
+		delayed := (maxContactAge + 400*time.Millisecond).Milliseconds()
+		c.merge(baseTime, map[string]int64{hosts[0]: delayed, hosts[1]: delayed})
+		if c.shouldFollow(baseTime, i, configurationFollowers) {
 			following++
 		}
 	}
 	if following != standbys {
-		t.Errorf("%d entries follow", following)
+		t.Errorf("%d entries follow, want only the standbys", following)
 	}
 }
 
-// The one entry that follows the list of servers is cut off. The next in order must go on with it as soon as the last proof is old, or a
-// leaving server would get requests for as long as the cut lasts.
-func TestTheListOfServersIsFollowedOn(t *testing.T) {
-	hosts := inOrder(4)
+// Guards against requests being sent to a leaving server while the only follower of the server list is cut off. The next in
+// order must take over as soon as the follower's last contact is too old.
+func TestServerListFollowerIsReplaced(t *testing.T) {
+	hosts := hostsInFollowOrder(4)
 	for _, test := range []struct {
 		name string
 		age  time.Duration
 		want []bool
 	}{
 		{name: "the first reaches the store", want: []bool{true, false, false, false}},
-		{name: "the first is cut off", age: contactTime, want: []bool{true, true, true, true}},
+		{name: "the first is cut off", age: maxContactAge, want: []bool{true, true, true, true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for i, host := range hosts {
-				c := newContacts(host)
-				c.merge(start, map[string]int64{hosts[0]: test.age.Milliseconds()})
-				if got := c.chosen(start, i, otherFollowers); got != test.want[i] {
-					t.Errorf("number %d follows: %v", i, got)
+				c := newContactTracker(host)
+				c.merge(baseTime, map[string]int64{hosts[0]: test.age.Milliseconds()})
+				if got := c.shouldFollow(baseTime, i, otherFollowers); got != test.want[i] {
+					t.Errorf("host %d: shouldFollow = %v", i, got)
 				}
 			}
 		})
 	}
 }
 
-func TestContactsAreToldByAge(t *testing.T) {
-	first, second := newContacts("a"), newContacts("b")
-	first.note(start, nil)
-	// The second entry's clock is an hour ahead.
-	there := start.Add(time.Hour)
-	second.merge(there, first.ages(start.Add(300*time.Millisecond)))
-	if age := second.ages(there)["a"]; age != 300 {
-		t.Errorf("age %d ms", age)
+func TestContactsAreSharedAsAges(t *testing.T) {
+	first, second := newContactTracker("a"), newContactTracker("b")
+	first.record(baseTime, nil)
+	// The second entry's clock is one hour ahead.
+	secondNow := baseTime.Add(time.Hour)
+	second.merge(secondNow, first.ages(baseTime.Add(300*time.Millisecond)))
+	if age := second.ages(secondNow)["a"]; age != 300 {
+		t.Errorf("age = %d ms, want 300 ms", age)
 	}
-	second.merge(there, map[string]int64{"a": 900, "b": 1})
-	if ages := second.ages(there); ages["a"] != 300 || len(ages) != 1 {
-		t.Errorf("ages %v", ages)
+	second.merge(secondNow, map[string]int64{"a": 900, "b": 1})
+	if ages := second.ages(secondNow); ages["a"] != 300 || len(ages) != 1 {
+		t.Errorf("ages = %v, want only a with 300 ms", ages)
 	}
-	if len(second.ages(there.Add(forgetContact))) != 0 {
-		t.Error("never forgotten")
+	if len(second.ages(secondNow.Add(contactRetention))) != 0 {
+		t.Error("expired contact was kept")
 	}
 }
 
-// The store is down for all. Each call is paid for, refused ones too, so that some entries try for it and the others rest.
-func TestSomeTryForTheStoreInAnOutage(t *testing.T) {
-	hosts := inOrder(10)
+// Guards against needless calls in an outage, in which refused calls are billed too: only some entries may retry at the normal
+// rate.
+func TestOnlySomeEntriesRetryQuicklyInOutage(t *testing.T) {
+	hosts := hostsInFollowOrder(10)
 	ages := map[string]int64{}
 	for _, host := range hosts {
-		ages[host] = (contactTime + time.Second).Milliseconds()
+		ages[host] = (maxContactAge + time.Second).Milliseconds()
 	}
-	patient := 0
+	slow := 0
 	for _, host := range hosts {
-		c := newContacts(host)
-		c.note(start, errors.New("down"))
-		c.merge(start, ages)
+		c := newContactTracker(host)
+		c.record(baseTime, errors.New("down"))
+		c.merge(baseTime, ages)
 		if !c.failing() {
-			t.Error("not failing")
+			t.Error("failing = false after a failed call")
 		}
-		if c.patience(start, retryPause) == outagePause {
-			patient++
+		if c.retryDelay(baseTime, retryPause) == outageRetryPause {
+			slow++
 		}
 	}
-	if patient != len(hosts)-outageFollowers {
-		t.Errorf("%d of %d rest", patient, len(hosts))
+	if slow != len(hosts)-outageRetriers {
+		t.Errorf("%d of %d entries retry slowly, want all but outageRetriers", slow, len(hosts))
 	}
 }
 
-// The store is down. A submission must be refused at once, with the promise that nothing runs, rather than tried for seconds until
-// nobody knows whether it was accepted.
-func TestAnOutageIsKnown(t *testing.T) {
-	c := newContacts("a")
-	if !c.outage(start) {
-		t.Error("reached before any call")
+// Guards against submissions being retried for seconds in an outage, until it is unknown whether they were accepted. With a
+// detected outage they are refused at once, with the guarantee that nothing runs.
+func TestOutageDetection(t *testing.T) {
+	c := newContactTracker("a")
+	if !c.outage(baseTime) {
+		t.Error("no outage before the first call")
 	}
-	c.note(start, nil)
-	c.note(start.Add(time.Second), errors.New("down"))
-	if c.outage(start.Add(outageTime - time.Millisecond)) {
-		t.Error("one failure taken for an outage")
+	c.record(baseTime, nil)
+	c.record(baseTime.Add(time.Second), errors.New("down"))
+	if c.outage(baseTime.Add(outageThreshold - time.Millisecond)) {
+		t.Error("outage reported after a single failure")
 	}
-	if !c.outage(start.Add(outageTime)) {
-		t.Error("not known")
+	if !c.outage(baseTime.Add(outageThreshold)) {
+		t.Error("no outage after outageThreshold without contact")
 	}
-	c.merge(start.Add(outageTime), map[string]int64{"b": 100})
-	if c.outage(start.Add(outageTime)) {
-		t.Error("an entry that reaches the store doesn't count")
+	c.merge(baseTime.Add(outageThreshold), map[string]int64{"b": 100})
+	if c.outage(baseTime.Add(outageThreshold)) {
+		t.Error("outage reported although another entry reaches the store")
 	}
 }
--- a/internal/edge/view/follow.go
+++ b/internal/edge/view/follow.go
@@ -18,69 +18,72 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// MethodPart asks another entry for what it knows of a kind.
-const MethodPart peer.Method = "view.part"
+// MethodCollection requests the changes of one kind of object from another entry.
+const MethodCollection peer.Method = "view.part"
 
 const (
-	// watchWait is how long a watch waits for a change. Each watch is paid for; the store allows 30 s, but keeps its history for 20 s at
-	// most, and a watch from before that ends in an error and a list.
-	watchWait = 8 * time.Second
-	// retryPause is the mean pause after a failed call, doubled up to retryMost: in an outage three watches of an entry make
-	// some four calls a second together, and a store that is back is noticed within a second.
-	retryPause = 200 * time.Millisecond
-	retryMost  = 800 * time.Millisecond
-	// partTimeout bounds the fetch of a part from another entry.
-	partTimeout = time.Second
-	// gatherTime is the least time between two watches of the list of servers. Each watch is paid for and ends with the first change,
-	// and a new weight version changes the entries of a dozen engines within a second. A leaving server may get requests for two
-	// seconds more.
-	gatherTime = 400 * time.Millisecond
-	// beginMost is how long a fresh entry that is not among the first in order waits for data from others before it reads the store.
-	beginMost = 2 * time.Second
+	// watchTimeout is how long a watch waits for a change. Watches are billed per call. The store allows 30 s, but keeps its
+	// history for 20 s at most, and a watch from an older revision ends in an error and has to be replaced by a list.
+	watchTimeout = 8 * time.Second
+	// retryPause is the mean pause after a failed call, doubled after each further failure up to maxRetryPause: in an outage
+	// the three watches of an entry together make about four calls a second, and a store that recovers is noticed within a
+	// second.
+	retryPause    = 200 * time.Millisecond
+	maxRetryPause = 800 * time.Millisecond
+	// fetchTimeout bounds the fetch of a collection from another entry.
+	fetchTimeout = time.Second
+	// minServerWatchInterval is the minimum time between two watches of the server list. Watches are billed per call and end
+	// with the first change, and a new weight version changes the records of a dozen engines within a second. The delay is
+	// acceptable because a server that is leaving may receive requests for two more seconds.
+	minServerWatchInterval = 400 * time.Millisecond
+	// maxInitialWait is how long a starting entry that is not among the first in follow order waits for data from other
+	// entries before it reads the store itself.
+	maxInitialWait = 2 * time.Second
 )
 
-// Source is the store as far as a follower needs it.
+// Source is the part of the store's interface that a Follower uses.
 type Source interface {
 	List(ctx context.Context, kind string) ([]product.Object, product.Version, error)
 	Watch(ctx context.Context, kind string, after product.Version, wait time.Duration) (platform.Changes, error)
-	// Probe finds out cheaply whether the store can be reached.
+	// Probe checks at low cost whether the store can be reached.
 	Probe(ctx context.Context) error
 }
 
-// Members are the other entries.
+// Members lists the entries of the deployment.
 type Members interface {
 	Self() gossip.Member
-	// Alive returns those that are heard of.
+	// Alive returns the other entries that gossip reports as live.
 	Alive(now time.Time) []gossip.Member
 }
 
-// Follower keeps a view up to date.
+// Follower keeps a view up to date from the store and from other entries.
 type Follower struct {
 	view     *View
 	source   Source
 	client   *peer.Client
 	members  Members
-	contacts *contacts
+	contacts *contactTracker
 	log      zerolog.Logger
 	work     conc.WaitGroup
 	started  time.Time
-	watches  watches
+	watches  watchSet
 }
 
-// NewFollower follows the store until ctx ends, and serves the view's parts to other entries.
-func NewFollower(ctx context.Context, members Members, view *View, source Source, client *peer.Client, registry *peer.Registry, log zerolog.Logger) *Follower {
+// NewFollower updates the view until ctx ends, and serves the view's collections to other entries.
+func NewFollower(ctx context.Context, members Members, view *View, source Source, client *peer.Client,
+	registry *peer.Registry, log zerolog.Logger) *Follower {
 	f := &Follower{
 		view:     view,
 		source:   source,
 		client:   client,
 		members:  members,
-		contacts: newContacts(members.Self().HostID),
+		contacts: newContactTracker(members.Self().HostID),
 		log:      log,
 		started:  time.Now(),
 	}
-	peer.Handle(registry, MethodPart, func(_ context.Context, q PartRequest) (PartAnswer, error) {
-		part, _ := view.Part(q.Kind)
-		return part.since(q.Known), nil
+	peer.Handle(registry, MethodCollection, func(_ context.Context, request CollectionRequest) (CollectionUpdate, error) {
+		collection, _ := view.Collection(request.Kind)
+		return collection.changesSince(request.Since), nil
 	})
 	for _, kind := range Kinds {
 		f.work.Go(func() { f.follow(ctx, kind) })
@@ -92,7 +95,7 @@
 // Wait returns once all goroutines have ended, after the context has.
 func (f *Follower) Wait() { f.work.Wait() }
 
-// Heard fetches what another entry has newer.
+// Heard fetches, in the background, each kind of which another entry has a newer revision.
 func (f *Follower) Heard(ctx context.Context, from gossip.Member, revisions map[string]uint64) {
 	mine := f.view.Revisions()
 	for _, kind := range Kinds {
@@ -102,141 +105,147 @@
 	}
 }
 
+// fetch updates one kind from another entry.
 func (f *Follower) fetch(ctx context.Context, from netip.AddrPort, kind string) {
-	ctx, cancel := context.WithTimeout(ctx, partTimeout)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	part, _ := f.view.Part(kind)
-	answer, err := peer.Call[PartRequest, PartAnswer](ctx, f.client, from, MethodPart, PartRequest{Kind: kind, Known: part.Revision})
+	collection, _ := f.view.Collection(kind)
+	update, err := peer.Call[CollectionRequest, CollectionUpdate](ctx, f.client, from, MethodCollection,
+		CollectionRequest{Kind: kind, Since: collection.Revision})
 	if err != nil {
-		// The next beat tells of the newer revision again.
-		f.log.Debug().Err(err).Str("kind", kind).Stringer("entry", from).Msg("part not fetched")
+		// The next gossip message announces the newer revision again.
+		f.log.Debug().Err(err).Str("kind", kind).Stringer("entry", from).Msg("failed to fetch changes from entry")
 		return
 	}
-	if answer.Kind == kind {
-		f.view.Offer(part.updated(answer))
+	if update.Kind == kind {
+		f.view.ApplyIfNewer(collection.withUpdate(update))
 	}
 }
 
-// Contacts returns how long ago each entry was last known to reach the store, in milliseconds, for the other entries.
+// Contacts returns the time in milliseconds since each entry last reached the store, to be sent to other entries.
 func (f *Follower) Contacts(now time.Time) map[string]int64 { return f.contacts.ages(now) }
 
-// Outage says whether no entry has reached the store lately, so that no call to it can succeed.
+// Outage reports whether no entry has reached the store recently, so that no call to it can be expected to succeed.
 func (f *Follower) Outage(now time.Time) bool { return f.contacts.outage(now) }
 
-// Reaches says whether another entry is known to have reached the store lately.
-func (f *Follower) Reaches(now time.Time, host string) bool { return f.contacts.fresh(now, host) }
+// Reaches reports whether the host is known to have reached the store recently.
+func (f *Follower) Reaches(now time.Time, host string) bool {
+	return f.contacts.reachesStore(now, host)
+}
 
-// HeardContacts takes in the contacts that another entry told.
+// HeardContacts adds the contacts that another entry sent, as ages in milliseconds.
 func (f *Follower) HeardContacts(now time.Time, ages map[string]int64) { f.contacts.merge(now, ages) }
 
-// probe makes sure that this entry reaches the store while it follows it. A watch on a connection that a partition cut says nothing
-// for seconds, and all that rely on it would go on with an old configuration.
+// probe checks regularly that this entry reaches the store while it follows it. A watch on a connection that a network
+// partition cut stays silent for seconds, and all entries that rely on it would keep an old configuration meanwhile.
 func (f *Follower) probe(ctx context.Context) {
-	followed, known := false, 0
-	for ticker.Sleep(ctx, probePause) {
+	followed, knownFailures := false, 0
+	for ticker.Sleep(ctx, probeInterval) {
 		now := time.Now()
-		chosen := f.contacts.chosen(now, f.place(now), followers)
-		if chosen && f.contacts.age(now) >= probePause {
+		following := f.contacts.shouldFollow(now, f.position(now), configurationFollowers)
+		if following && f.contacts.sinceLastContact(now) >= probeInterval {
 			f.probeOnce(ctx)
 		}
-		failures, failing := f.contacts.lost()
-		if chosen && !failing && (!followed || failures != known) {
-			f.watches.restart()
-			known = failures
+		failures, failing := f.contacts.failureState()
+		if following && !failing && (!followed || failures != knownFailures) {
+			f.watches.restartAll()
+			knownFailures = failures
 		}
-		followed = chosen
+		followed = following
 	}
 }
 
 func (f *Follower) probeOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	f.contacts.note(time.Now(), f.source.Probe(ctx))
+	f.contacts.record(time.Now(), f.source.Probe(ctx))
 }
 
-// follow lists a kind and then watches it, for ever, while this entry is one of those that follow the store.
+// follow reads a kind and then watches it whenever this entry is one of those that follow the store, until ctx ends.
 func (f *Follower) follow(ctx context.Context, kind string) {
 	pause := retryPause
 	var watched product.Version
 	for ctx.Err() == nil {
-		if !f.due(kind) {
+		if !f.shouldReadOrWatch(kind) {
 			f.fetchFromPredecessor(ctx, kind)
-			ticker.Sleep(ctx, restPause)
+			ticker.Sleep(ctx, idlePollInterval)
 			continue
 		}
-		began := time.Now()
+		started := time.Now()
 		var err error
-		watched, err = f.step(ctx, kind, watched)
-		if errors.Is(err, errRestarted) {
+		watched, err = f.readOrWatch(ctx, kind, watched)
+		if errors.Is(err, errWatchRestarted) {
 			continue
 		}
-		f.contacts.note(time.Now(), err)
+		f.contacts.record(time.Now(), err)
 		if err == nil {
 			pause = retryPause
 			if kind == platform.KindServers {
-				ticker.Sleep(ctx, gatherTime-time.Since(began))
+				ticker.Sleep(ctx, minServerWatchInterval-time.Since(started))
 			}
 			continue
 		}
-		f.log.Debug().Err(err).Str("kind", kind).Msg("store not followed")
-		if !ticker.Sleep(ctx, jitter(f.contacts.patience(time.Now(), pause))) {
+		f.log.Debug().Err(err).Str("kind", kind).Msg("failed to read or watch the store")
+		if !ticker.Sleep(ctx, jitter(f.contacts.retryDelay(time.Now(), pause))) {
 			return
 		}
-		pause = min(2*pause, retryMost)
+		pause = min(2*pause, maxRetryPause)
 	}
 }
 
-// due says whether the kind is to be read or watched now. While the store can't be reached the configuration alone is tried for.
-func (f *Follower) due(kind string) bool {
+// shouldReadOrWatch reports whether this entry should read or watch the kind now. While the store cannot be reached, only the
+// configuration is tried.
+func (f *Follower) shouldReadOrWatch(kind string) bool {
 	now := time.Now()
-	if _, known := f.view.Part(kind); !known {
-		return f.begins(now)
+	if _, known := f.view.Collection(kind); !known {
+		return f.shouldReadInitially(now)
 	}
 	if kind == platform.KindConfiguration {
-		return f.contacts.chosen(now, f.place(now), followers)
+		return f.contacts.shouldFollow(now, f.position(now), configurationFollowers)
 	}
-	return !f.contacts.failing() && f.contacts.chosen(now, f.place(now), otherFollowers)
+	return !f.contacts.failing() && f.contacts.shouldFollow(now, f.position(now), otherFollowers)
 }
 
-// begins says whether a fresh entry is to read the store itself.
+// shouldReadInitially reports whether an entry that lacks a kind should read it from the store itself.
 //
-// Guard: all entries of a deployment start within moments; each would read and watch everything, which is a good part of all calls of some
-// dozens of entries. So a fresh entry waits for what the others tell it, and the first in order read for all.
-func (f *Follower) begins(now time.Time) bool {
-	waited := now.Sub(f.started)
-	return waited >= beginMost || roster.Settled(waited, f.members.Alive(now)) && f.place(now) < standbys
+// Guards against all entries of a deployment reading and watching everything when they start at the same time, which with some
+// dozens of entries is a considerable share of all store calls. A starting entry waits for data from others, and only the
+// first in follow order read the store.
+func (f *Follower) shouldReadInitially(now time.Time) bool {
+	running := now.Sub(f.started)
+	return running >= maxInitialWait || roster.Settled(running, f.members.Alive(now)) && f.position(now) < standbys
 }
 
-// fetchFromPredecessor fetches a kind that a fresh entry lacks from a random predecessor among those with most cores: smaller entries answer
-// late while all entries start at once.
+// fetchFromPredecessor fetches a kind that this entry lacks from a random predecessor among those with the most cores: smaller
+// entries respond slowly while all entries start at once.
 func (f *Follower) fetchFromPredecessor(ctx context.Context, kind string) {
 	now := time.Now()
 	members := f.members.Alive(now)
 	predecessors := roster.Predecessors(f.members.Self().HostID, members)
-	if _, known := f.view.Part(kind); known || len(predecessors) == 0 || !roster.Settled(now.Sub(f.started), members) {
+	if _, known := f.view.Collection(kind); known || len(predecessors) == 0 || !roster.Settled(now.Sub(f.started), members) {
 		return
 	}
 	sources := roster.WithMostCores(predecessors)
 	f.fetch(ctx, sources[rand.IntN(len(sources))].Address, kind)
 }
 
-// place is how many living entries come before this one in the order in which they follow the store.
-func (f *Follower) place(now time.Time) int {
+// position returns the number of live entries that precede this one in follow order.
+func (f *Follower) position(now time.Time) int {
 	return len(roster.Predecessors(f.members.Self().HostID, f.members.Alive(now)))
 }
 
-// step reads a kind, or watches it from the newest revision at which nothing is known to have changed. It returns that revision; it is
-// not one of the view, since other entries would ask for what is new in it.
-func (f *Follower) step(ctx context.Context, kind string, watched product.Version) (product.Version, error) {
-	part, known := f.view.Part(kind)
+// readOrWatch reads a kind, or watches it from the newest revision known to be unchanged, and returns the revision reached.
+// That revision is not stored in the view, since other entries would then ask for changes that do not exist.
+func (f *Follower) readOrWatch(ctx context.Context, kind string, watched product.Version) (product.Version, error) {
+	collection, known := f.view.Collection(kind)
 	if !known {
 		return f.list(ctx, kind)
 	}
-	watched = max(watched, product.Version(part.Revision))
-	watching, done := f.watches.begin(ctx, kind)
-	changes, err := f.source.Watch(watching, kind, watched, watchWait)
+	watched = max(watched, product.Version(collection.Revision))
+	watchCtx, done := f.watches.start(ctx, kind)
+	changes, err := f.source.Watch(watchCtx, kind, watched, watchTimeout)
 	if restarted := done(); restarted && err != nil {
-		return watched, errRestarted
+		return watched, errWatchRestarted
 	}
 	if errors.Is(err, platform.ErrCompacted) {
 		return f.list(ctx, kind)
@@ -247,19 +256,21 @@
 	if len(changes.Changes) == 0 {
 		return max(watched, changes.Revision), nil
 	}
-	f.view.Offer(part.after(changes))
+	f.view.ApplyIfNewer(collection.withChanges(changes))
 	return changes.Revision, nil
 }
 
+// list reads all objects of a kind from the store and returns their revision.
 func (f *Follower) list(ctx context.Context, kind string) (product.Version, error) {
 	objects, revision, err := f.source.List(ctx, kind)
 	if err != nil {
 		return 0, err
 	}
-	f.view.Offer(newPart(kind, uint64(revision), objects))
+	f.view.ApplyIfNewer(newCollection(kind, uint64(revision), objects))
 	return revision, nil
 }
 
+// jitter returns a random duration within 30 % of mean.
 func jitter(mean time.Duration) time.Duration {
 	return time.Duration(float64(mean) * (0.7 + 0.6*rand.Float64()))
 }
--- a/internal/edge/view/follow_test.go
+++ b/internal/edge/view/follow_test.go
@@ -15,50 +15,52 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// silentStore is a store that can fall silent: what comes to it meanwhile is never answered.
-type silentStore struct {
-	mu      sync.Mutex
-	silent  bool
-	version int
-	changed chan struct{}
+// stallingStore is a store that can stop responding: it never answers the watches that it received meanwhile.
+type stallingStore struct {
+	mu           sync.Mutex
+	unresponsive bool
+	version      int
+	changed      chan struct{}
 }
 
-func newSilentStore() *silentStore { return &silentStore{version: 1, changed: make(chan struct{})} }
+func newStallingStore() *stallingStore {
+	return &stallingStore{version: 1, changed: make(chan struct{})}
+}
 
-func (s *silentStore) state() (silent bool, version int, changed <-chan struct{}) {
+func (s *stallingStore) state() (unresponsive bool, version int, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.silent, s.version, s.changed
+	return s.unresponsive, s.version, s.changed
 }
 
-func (s *silentStore) set(silent bool, version int) {
+func (s *stallingStore) setState(unresponsive bool, version int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = silent
+	s.unresponsive = unresponsive
 	s.version = version
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *silentStore) objects(kind string, version int) []product.Object {
+func (s *stallingStore) objects(kind string, version int) []product.Object {
 	if kind != platform.KindConfiguration {
 		return nil
 	}
-	return configuration(uint64(version), version).Objects
+	return configurationCollection(uint64(version), version).Objects
 }
 
-func (s *silentStore) List(ctx context.Context, kind string) ([]product.Object, product.Version, error) {
-	silent, version, _ := s.state()
-	if silent {
+func (s *stallingStore) List(ctx context.Context, kind string) ([]product.Object, product.Version, error) {
+	unresponsive, version, _ := s.state()
+	if unresponsive {
 		<-ctx.Done()
 		return nil, 0, ctx.Err()
 	}
 	return s.objects(kind, version), product.Version(version), nil
 }
 
-func (s *silentStore) Watch(ctx context.Context, kind string, after product.Version, wait time.Duration) (platform.Changes, error) {
-	if silent, _, _ := s.state(); silent {
-		// The answer to a watch that came now never comes, also not once the store is back.
+func (s *stallingStore) Watch(ctx context.Context, kind string, after product.Version, wait time.Duration) (platform.Changes, error) {
+	if unresponsive, _, _ := s.state(); unresponsive {
+		// A watch received now is never answered, even after the store has recovered.
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
@@ -84,45 +86,46 @@
 	}
 }
 
-func (s *silentStore) Probe(ctx context.Context) error {
-	silent, _, _ := s.state()
-	if silent {
+func (s *stallingStore) Probe(ctx context.Context) error {
+	unresponsive, _, _ := s.state()
+	if unresponsive {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	return nil
 }
 
-// The store falls silent for two seconds, in which an entry starts, learns the configuration from others and begins to watch. The store is
-// back, a key is withdrawn, and requests with the key were served for 15 seconds more: the watch that began in the silence was never
-// answered, though probes were.
-func TestAWatchBegunInASilenceBeginsAnew(t *testing.T) {
-	store := newSilentStore()
-	store.set(true, 1)
+// Guards against requests being served with a withdrawn key. The store stalls for two seconds, in which an entry starts,
+// learns the configuration from others and begins to watch. After the recovery that watch is never answered, although probes
+// are, and the entry kept the old configuration for 15 seconds.
+func TestWatchStartedWhileStoreStallsIsRestarted(t *testing.T) {
+	store := newStallingStore()
+	store.setState(true, 1)
 	v := New(zerolog.Nop())
 	for _, kind := range Kinds {
-		v.Offer(Part{Kind: kind, Revision: 1, Objects: store.objects(kind, 1)})
+		v.ApplyIfNewer(Collection{Kind: kind, Revision: 1, Objects: store.objects(kind, 1)})
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	f := NewFollower(ctx, fakeMembers{self: "entry-1"}, v, store, nil, peer.NewRegistry(), zerolog.Nop())
 	defer f.Wait()
 	defer cancel()
 	time.Sleep(2 * time.Second)
-	store.set(false, 1)
-	time.Sleep(probePause)
-	store.set(false, 2)
-	for end := time.Now().Add(2 * time.Second); v.Now().Table == nil || v.Now().Table.Version < 2; {
-		if time.Now().After(end) {
-			t.Fatal("the configuration is not in force two seconds after its acceptance")
+	store.setState(false, 1)
+	time.Sleep(probeInterval)
+	store.setState(false, 2)
+	for deadline := time.Now().Add(2 * time.Second); v.Now().Table == nil || v.Now().Table.Version < 2; {
+		if time.Now().After(deadline) {
+			t.Fatal("the configuration is not in force two seconds after it was accepted")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Guards against slow readiness of a large deployment after a common start, when data spreads from the first entries by gossip only.
-func TestAFreshEntryFetchesFromAPredecessor(t *testing.T) {
+// Guards against a slow start of a large deployment whose entries all start at once, when data spreads from the first entries
+// by gossip only.
+func TestStartingEntryFetchesFromPredecessor(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
-	hosts := inOrder(standbys + 3)
+	hosts := hostsInFollowOrder(standbys + 3)
 	secret := []byte("a secret of the tests")
 	registry := peer.NewRegistry()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -136,29 +139,29 @@
 		_ = server.Close()
 		client.Wait()
 	}()
-	known := New(zerolog.Nop())
+	source := New(zerolog.Nop())
 	for _, kind := range Kinds {
-		known.Offer(Part{Kind: kind, Revision: 7, Objects: newSilentStore().objects(kind, 1)})
+		source.ApplyIfNewer(Collection{Kind: kind, Revision: 7, Objects: newStallingStore().objects(kind, 1)})
 	}
-	peer.Handle(registry, MethodPart, func(_ context.Context, q PartRequest) (PartAnswer, error) {
-		part, _ := known.Part(q.Kind)
-		return part.since(q.Known), nil
+	peer.Handle(registry, MethodCollection, func(_ context.Context, request CollectionRequest) (CollectionUpdate, error) {
+		collection, _ := source.Collection(request.Kind)
+		return collection.changesSince(request.Since), nil
 	})
 	address := listener.Addr().(*net.TCPAddr).AddrPort()
 	last := len(hosts) - 1
-	fresh := New(zerolog.Nop())
+	starting := New(zerolog.Nop())
 	members := fakeMembers{self: hosts[last], others: hosts[:last], address: address}
-	f := NewFollower(ctx, members, fresh, newSilentStore(), client, peer.NewRegistry(), zerolog.Nop())
+	f := NewFollower(ctx, members, starting, newStallingStore(), client, peer.NewRegistry(), zerolog.Nop())
 	defer f.Wait()
 	defer cancel()
-	for end := time.Now().Add(300*time.Millisecond + 500*time.Millisecond); len(fresh.Revisions()) < len(Kinds); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("timed out with revisions %v", fresh.Revisions())
+	for deadline := time.Now().Add(300*time.Millisecond + 500*time.Millisecond); len(starting.Revisions()) < len(Kinds); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out with revisions %v", starting.Revisions())
 		}
 	}
-	for kind, revision := range fresh.Revisions() {
+	for kind, revision := range starting.Revisions() {
 		if revision != 7 {
-			t.Errorf("%s was read from the store: revision %d", kind, revision)
+			t.Errorf("%s: revision = %d, want 7, the one of the predecessor", kind, revision)
 		}
 	}
 }
--- a/internal/edge/view/part.go
+++ b/internal/edge/view/part.go
@@ -8,120 +8,120 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// removedMost is how many removals of a kind are remembered. An entry that is further behind gets the whole part.
-const removedMost = 256
+// maxRemovals is how many removals of a kind are kept. An entry that is further behind receives the complete collection.
+const maxRemovals = 256
 
-// removal is an object that was removed.
+// removal records that an object was removed.
 type removal struct {
 	name string
-	// revision is one at which it was gone.
+	// revision is one at which the object no longer existed.
 	revision uint64
 }
 
-// Part is all objects of one kind as of a revision of the store. It never changes.
-type Part struct {
+// Collection holds all objects of one kind as of a revision of the store. It is immutable.
+type Collection struct {
 	Kind     string
 	Revision uint64
 	Objects  []product.Object
-	// removed are the removals after the revision floor.
-	removed []removal
-	floor   uint64
+	// removals are the known removals after revision removalsSince.
+	removals      []removal
+	removalsSince uint64
 }
 
-// newPart returns a part as it was read whole.
-func newPart(kind string, revision uint64, objects []product.Object) Part {
-	return Part{Kind: kind, Revision: revision, Objects: objects, floor: revision}
+// newCollection returns a collection that was read in full.
+func newCollection(kind string, revision uint64, objects []product.Object) Collection {
+	return Collection{Kind: kind, Revision: revision, Objects: objects, removalsSince: revision}
 }
 
-// PartRequest asks another entry for what changed of a kind since a revision; 0 asks for everything.
-type PartRequest struct {
+// CollectionRequest asks another entry for the changes of a kind since a revision; 0 asks for all objects.
+type CollectionRequest struct {
 	Kind  string `msgpack:"k"`
-	Known uint64 `msgpack:"r"`
+	Since uint64 `msgpack:"r"`
 }
 
-// PartAnswer is what changed of a kind. With 2,200 servers a whole part takes some 800 KB (twelve took 4.5 KB) and changes several times a second while
-// weights are loaded; what changed takes a few.
-type PartAnswer struct {
+// CollectionUpdate holds the changes of a kind. With 2,200 servers a complete collection takes about 800 KB (twelve servers
+// took 4.5 KB), and while weights are loaded it changes several times a second; the changes alone take a few KB.
+type CollectionUpdate struct {
 	Kind     string `msgpack:"k"`
 	Revision uint64 `msgpack:"r"`
-	// Whole says that Changed holds all objects of the kind, whatever the entry that asks had.
-	Whole   bool             `msgpack:"w"`
-	Changed []product.Object `msgpack:"c"`
-	Removed []string         `msgpack:"d"`
+	// Complete is set if Changed holds all objects of the kind, which then replace those of the requester.
+	Complete bool             `msgpack:"w"`
+	Changed  []product.Object `msgpack:"c"`
+	Removed  []string         `msgpack:"d"`
 }
 
-// since returns what changed after the revision.
-func (p Part) since(known uint64) PartAnswer {
-	answer := PartAnswer{Kind: p.Kind, Revision: p.Revision}
-	if known == 0 || known < p.floor {
-		answer.Whole = true
-		answer.Changed = p.Objects
-		return answer
+// changesSince returns the changes after the revision, or all objects if the removals since then are no longer known.
+func (c Collection) changesSince(revision uint64) CollectionUpdate {
+	update := CollectionUpdate{Kind: c.Kind, Revision: c.Revision}
+	if revision == 0 || revision < c.removalsSince {
+		update.Complete = true
+		update.Changed = c.Objects
+		return update
 	}
-	for _, object := range p.Objects {
-		if uint64(object.Version) > known {
-			answer.Changed = append(answer.Changed, object)
+	for _, object := range c.Objects {
+		if uint64(object.Version) > revision {
+			update.Changed = append(update.Changed, object)
 		}
 	}
-	for _, gone := range p.removed {
-		if gone.revision > known {
-			answer.Removed = append(answer.Removed, gone.name)
+	for _, removed := range c.removals {
+		if removed.revision > revision {
+			update.Removed = append(update.Removed, removed.name)
 		}
 	}
-	return answer
+	return update
 }
 
-// updated returns the part as another entry has it.
-func (p Part) updated(answer PartAnswer) Part {
-	if answer.Whole {
-		return newPart(answer.Kind, answer.Revision, answer.Changed)
+// withUpdate returns the collection with an update from another entry applied.
+func (c Collection) withUpdate(update CollectionUpdate) Collection {
+	if update.Complete {
+		return newCollection(update.Kind, update.Revision, update.Changed)
 	}
-	changes := platform.Changes{Revision: product.Version(answer.Revision)}
-	for _, name := range answer.Removed {
+	changes := platform.Changes{Revision: product.Version(update.Revision)}
+	for _, name := range update.Removed {
 		changes.Changes = append(changes.Changes, platform.Change{Object: product.Object{Name: name}, Removed: true})
 	}
-	for _, object := range answer.Changed {
+	for _, object := range update.Changed {
 		changes.Changes = append(changes.Changes, platform.Change{Object: object})
 	}
-	return p.after(changes)
+	return c.withChanges(changes)
 }
 
-// after returns the part with the changes applied, the last one of an object last.
-func (p Part) after(changes platform.Changes) Part {
-	next := Part{Kind: p.Kind, Revision: max(p.Revision, uint64(changes.Revision)), floor: p.floor}
+// withChanges returns the collection with the changes applied in order. The last change of an object counts.
+func (c Collection) withChanges(changes platform.Changes) Collection {
+	next := Collection{Kind: c.Kind, Revision: max(c.Revision, uint64(changes.Revision)), removalsSince: c.removalsSince}
 	last := map[string]platform.Change{}
 	for _, change := range changes.Changes {
 		last[change.Object.Name] = change
 	}
-	for _, object := range p.Objects {
+	for _, object := range c.Objects {
 		if _, changed := last[object.Name]; !changed {
 			next.Objects = append(next.Objects, object)
 		}
 	}
-	for _, gone := range p.removed {
-		if _, changed := last[gone.name]; !changed {
-			next.removed = append(next.removed, gone)
+	for _, removed := range c.removals {
+		if _, changed := last[removed.name]; !changed {
+			next.removals = append(next.removals, removed)
 		}
 	}
 	for name, change := range last {
 		if change.Removed {
-			next.removed = append(next.removed, removal{name: name, revision: next.Revision})
+			next.removals = append(next.removals, removal{name: name, revision: next.Revision})
 		} else {
 			next.Objects = append(next.Objects, change.Object)
 		}
 	}
 	slices.SortFunc(next.Objects, func(a, b product.Object) int { return cmp.Compare(a.Name, b.Name) })
-	next.forget()
+	next.trimRemovals()
 	return next
 }
 
-// forget drops the oldest removals beyond removedMost.
-func (p *Part) forget() {
-	over := len(p.removed) - removedMost
-	if over <= 0 {
+// trimRemovals drops the oldest removals beyond maxRemovals.
+func (c *Collection) trimRemovals() {
+	excess := len(c.removals) - maxRemovals
+	if excess <= 0 {
 		return
 	}
-	slices.SortStableFunc(p.removed, func(a, b removal) int { return cmp.Compare(a.revision, b.revision) })
-	p.floor = p.removed[over-1].revision
-	p.removed = p.removed[over:]
+	slices.SortStableFunc(c.removals, func(a, b removal) int { return cmp.Compare(a.revision, b.revision) })
+	c.removalsSince = c.removals[excess-1].revision
+	c.removals = c.removals[excess:]
 }
--- a/internal/edge/view/view.go
+++ b/internal/edge/view/view.go
@@ -1,5 +1,6 @@
-// Package view follows what the platform's store says of configuration, backend servers and weight versions. Entries tell each
-// other the revisions that they have, so that one which the store turns away, or whose watch hangs, follows through the others.
+// Package view holds the current configuration, backend servers and weight versions from the platform's store. Entries, the
+// processes that accept client requests, tell each other which revisions they have, so that an entry that the store refuses,
+// or whose watch hangs, is updated by the others.
 package view
 
 import (
@@ -16,124 +17,125 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// Kinds are the kinds of objects that every entry follows.
+// Kinds are the kinds of objects that every entry keeps up to date.
 var Kinds = []string{platform.KindConfiguration, platform.KindServers, platform.KindModelVersions}
 
-// Snapshot is what the store says, decoded. It never changes.
+// Snapshot is the decoded content of the store at one moment. It is immutable.
 type Snapshot struct {
-	// Table is nil until a configuration is known.
+	// Table is nil until the first configuration arrives.
 	Table   *routing.Table
 	Servers []backend.Server
-	// ServersKnown is set once the list of servers was read, empty or not.
+	// ServersKnown is set once the server list was received, even if it is empty.
 	ServersKnown bool
 	// Versions are the newest weight versions by model.
 	Versions map[string]int
 }
 
-// View holds the newest state. It is safe for concurrent use.
+// View holds the newest known state of the store. It is safe for concurrent use.
 type View struct {
 	log     zerolog.Logger
 	current atomic.Pointer[Snapshot]
 
-	mu       sync.Mutex
-	parts    map[string]Part
-	changed  chan struct{}
-	tableAt  time.Time
-	onChange []func(*Snapshot)
-	// read are the entries of servers as they were decoded.
-	read map[string]readServer
+	mu          sync.Mutex
+	collections map[string]Collection
+	changed     chan struct{}
+	tableSince  time.Time
+	onChange    []func(*Snapshot)
+	// decoded are the decoded server records by object name.
+	decoded map[string]decodedServer
 }
 
-// readServer is a decoded entry of a server, or why it can't be read.
-type readServer struct {
+// decodedServer is a decoded server record, or the error of decoding it.
+type decodedServer struct {
 	version product.Version
 	server  backend.Server
 	err     error
 }
 
-// New returns a view that knows nothing. Each onChange is called with every new state, one state at a time.
+// New returns an empty view. Each onChange function is called with every new snapshot, one snapshot at a time.
 func New(log zerolog.Logger, onChange ...func(*Snapshot)) *View {
-	v := &View{log: log, parts: map[string]Part{}, changed: make(chan struct{}), onChange: onChange}
+	v := &View{log: log, collections: map[string]Collection{}, changed: make(chan struct{}), onChange: onChange}
 	v.current.Store(&Snapshot{})
 	return v
 }
 
-// Now returns the newest state.
+// Now returns the newest snapshot.
 func (v *View) Now() *Snapshot { return v.current.Load() }
 
-// Changed is closed when the state changes.
+// Changed returns a channel that is closed at the next change of the state.
 func (v *View) Changed() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changed
 }
 
-// Revisions returns the revision of each kind that is known.
+// Revisions returns the revision of each known kind.
 func (v *View) Revisions() map[string]uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	revisions := make(map[string]uint64, len(v.parts))
-	for kind, part := range v.parts {
-		revisions[kind] = part.Revision
+	revisions := make(map[string]uint64, len(v.collections))
+	for kind, collection := range v.collections {
+		revisions[kind] = collection.Revision
 	}
 	return revisions
 }
 
-// Part returns what is known of a kind.
-func (v *View) Part(kind string) (Part, bool) {
+// Collection returns the known objects of a kind; false if nothing is known of it.
+func (v *View) Collection(kind string) (Collection, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	part, ok := v.parts[kind]
-	return part, ok
+	collection, ok := v.collections[kind]
+	return collection, ok
 }
 
-// Offer takes a part over if it is newer, and reports whether it was.
-func (v *View) Offer(part Part) bool {
+// ApplyIfNewer replaces the collection of a kind if the given one is newer and valid, and reports whether it did.
+func (v *View) ApplyIfNewer(collection Collection) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if known, ok := v.parts[part.Kind]; ok && known.Revision >= part.Revision {
+	if known, ok := v.collections[collection.Kind]; ok && known.Revision >= collection.Revision {
 		return false
 	}
 	next := *v.current.Load()
-	if !v.apply(&next, part) {
+	if !v.apply(&next, collection) {
 		return false
 	}
-	v.parts[part.Kind] = part
+	v.collections[collection.Kind] = collection
 	v.current.Store(&next)
-	for _, tell := range v.onChange {
-		tell(&next)
+	for _, notify := range v.onChange {
+		notify(&next)
 	}
 	close(v.changed)
 	v.changed = make(chan struct{})
 	return true
 }
 
-func (v *View) apply(next *Snapshot, part Part) bool {
-	switch part.Kind {
+func (v *View) apply(next *Snapshot, collection Collection) bool {
+	switch collection.Kind {
 	case platform.KindConfiguration:
-		return v.applyConfiguration(next, part)
+		return v.applyConfiguration(next, collection)
 	case platform.KindServers:
-		v.applyServers(next, part)
+		v.applyServers(next, collection)
 	case platform.KindModelVersions:
-		v.applyVersions(next, part)
+		v.applyVersions(next, collection)
 	}
 	return true
 }
 
-// applyConfiguration never goes back to an older configuration, whatever revision it comes with.
-func (v *View) applyConfiguration(next *Snapshot, part Part) bool {
-	for _, object := range part.Objects {
+// applyConfiguration puts a configuration in force if its version is higher than the current one, whatever its revision. It
+// returns false if the configuration is invalid.
+func (v *View) applyConfiguration(next *Snapshot, collection Collection) bool {
+	for _, object := range collection.Objects {
 		if object.Name != platform.NameConfiguration {
 			continue
 		}
 		table, err := platform.ReadConfiguration(object.Value)
 		if err != nil {
-			v.log.Error().Err(err).Uint64("revision", uint64(object.Version)).Msg("configuration refused")
+			v.log.Error().Err(err).Uint64("revision", uint64(object.Version)).Msg("invalid configuration ignored")
 			return false
 		}
 		if next.Table == nil || table.Version > next.Table.Version {
 			next.Table = table
-			v.tableAt = time.Now()
+			v.tableSince = time.Now()
 			v.log.Info().Uint64("version", table.Version).Uint64("revision", uint64(object.Version)).
 				Int("routes", table.RouteCount()).Msg("configuration in force")
 		}
@@ -141,67 +143,68 @@
 	return true
 }
 
-func (v *View) applyServers(next *Snapshot, part Part) {
+func (v *View) applyServers(next *Snapshot, collection Collection) {
 	before := map[backend.Key]backend.Server{}
 	for _, server := range next.Servers {
 		before[server.Key()] = server
 	}
 	next.Servers = nil
 	next.ServersKnown = true
-	v.readServers(part)
-	for _, object := range part.Objects {
-		read := v.read[object.Name]
+	v.decodeServers(collection)
+	for _, object := range collection.Objects {
+		read := v.decoded[object.Name]
 		if read.err != nil {
 			continue
 		}
 		server := read.server
 		next.Servers = append(next.Servers, server)
-		former, known := before[server.Key()]
+		previous, known := before[server.Key()]
 		delete(before, server.Key())
-		if !known || former.Draining != server.Draining {
+		if !known || previous.Draining != server.Draining {
 			v.log.Info().Str("server", server.ID).Str("pool", server.Pool).Bool("draining", server.Draining).
-				Stringer("address", server.Address).Uint64("revision", part.Revision).Msg("server listed")
+				Stringer("address", server.Address).Uint64("revision", collection.Revision).Msg("server added or changed")
 		}
 	}
-	for _, gone := range before {
-		v.log.Info().Str("server", gone.ID).Str("pool", gone.Pool).Uint64("revision", part.Revision).Msg("server gone")
+	for _, removed := range before {
+		v.log.Info().Str("server", removed.ID).Str("pool", removed.Pool).Uint64("revision", collection.Revision).Msg("server removed")
 	}
 }
 
-// readServers decodes the entries that changed; of 2,200 entries a few change at a time, several times a second.
-func (v *View) readServers(part Part) {
-	next := make(map[string]readServer, len(part.Objects))
-	for _, object := range part.Objects {
-		read, known := v.read[object.Name]
+// decodeServers decodes the server records that changed. Only a few of up to 2,200 records change at a time, but several times
+// a second.
+func (v *View) decodeServers(collection Collection) {
+	next := make(map[string]decodedServer, len(collection.Objects))
+	for _, object := range collection.Objects {
+		read, known := v.decoded[object.Name]
 		if !known || read.version != object.Version {
-			read = readServer{version: object.Version}
+			read = decodedServer{version: object.Version}
 			read.server, read.err = platform.ReadServer(object.Name, object.Value)
 			if read.err != nil {
-				v.log.Warn().Err(read.err).Uint64("revision", uint64(object.Version)).Msg("server entry ignored")
+				v.log.Warn().Err(read.err).Uint64("revision", uint64(object.Version)).Msg("invalid server record ignored")
 			}
 		}
 		next[object.Name] = read
 	}
-	v.read = next
+	v.decoded = next
 }
 
-func (v *View) applyVersions(next *Snapshot, part Part) {
+func (v *View) applyVersions(next *Snapshot, collection Collection) {
 	versions := map[string]int{}
-	for _, object := range part.Objects {
+	for _, object := range collection.Objects {
 		model, version, err := platform.ReadModelVersion(object.Value)
 		if err != nil {
-			v.log.Warn().Err(err).Str("object", object.Name).Msg("model version ignored")
+			v.log.Warn().Err(err).Str("object", object.Name).Msg("invalid model version ignored")
 			continue
 		}
 		versions[model] = version
 		if next.Versions[model] != version {
-			v.log.Info().Str("model", model).Int("version", version).Uint64("revision", part.Revision).Msg("weight version named")
+			v.log.Info().Str("model", model).Int("version", version).Uint64("revision", collection.Revision).Msg("weight version changed")
 		}
 	}
 	next.Versions = versions
 }
 
-// State is the dump of a view.
+// State is the view's part of a state dump.
 type State struct {
 	ConfigurationVersion uint64            `json:"configurationVersion"`
 	ConfigurationSince   time.Time         `json:"configurationSince,omitzero"`
@@ -210,7 +213,7 @@
 	Revisions            map[string]uint64 `json:"revisions"`
 }
 
-// State returns the dump; it holds no key material.
+// State returns the state dump, which contains no keys.
 func (v *View) State() any {
 	snapshot := v.Now()
 	state := State{Servers: snapshot.Servers, Versions: snapshot.Versions, Revisions: v.Revisions()}
@@ -218,12 +221,12 @@
 		state.ConfigurationVersion = snapshot.Table.Version
 	}
 	v.mu.Lock()
-	state.ConfigurationSince = v.tableAt
+	state.ConfigurationSince = v.tableSince
 	v.mu.Unlock()
 	return state
 }
 
-// Ready waits until a configuration and a list of servers are known; false if ctx ended first.
+// Ready waits until a configuration and a server list are known. It returns false if ctx ended first.
 func (v *View) Ready(ctx context.Context) bool {
 	for {
 		changed := v.Changed()
--- a/internal/edge/view/view_test.go
+++ b/internal/edge/view/view_test.go
@@ -16,41 +16,45 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-func configuration(revision uint64, version int) Part {
+func configurationCollection(revision uint64, version int) Collection {
 	value := fmt.Sprintf(`{"version":%d,"routes":[],"services":[]}`, version)
-	return Part{Kind: platform.KindConfiguration, Revision: revision, Objects: []product.Object{
+	return Collection{Kind: platform.KindConfiguration, Revision: revision, Objects: []product.Object{
 		{Name: platform.NameConfiguration, Version: product.Version(revision), Value: json.RawMessage(value)},
 	}}
 }
 
-// Two entries tell each other what they know, and one of them is behind. A configuration that was in force must never be replaced
-// by an older one, whatever comes in which order.
-func TestConfigurationsNeverGoBack(t *testing.T) {
+// Guards against an older configuration replacing a newer one when entries exchange what they know, whatever the order in
+// which it arrives.
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		parts []Part
-		want  uint64
+		name        string
+		collections []Collection
+		want        uint64
 	}{
-		{name: "forward", parts: []Part{configuration(2, 3), configuration(5, 9)}, want: 9},
-		{name: "an older revision", parts: []Part{configuration(5, 9), configuration(2, 3)}, want: 9},
-		{name: "an older version under a newer revision", parts: []Part{configuration(5, 9), configuration(7, 3)}, want: 9},
-		{name: "unreadable", parts: []Part{configuration(5, 9), {Kind: platform.KindConfiguration, Revision: 8, Objects: []product.Object{{Name: "main", Value: json.RawMessage(`"x"`)}}}}, want: 9},
+		{name: "newer version and revision", collections: []Collection{configurationCollection(2, 3), configurationCollection(5, 9)}, want: 9},
+		{name: "older revision", collections: []Collection{configurationCollection(5, 9), configurationCollection(2, 3)}, want: 9},
+		{name: "older version with a newer revision", collections: []Collection{configurationCollection(5, 9), configurationCollection(7, 3)},
+			want: 9},
+		{name: "invalid", collections: []Collection{
+			configurationCollection(5, 9),
+			{Kind: platform.KindConfiguration, Revision: 8, Objects: []product.Object{{Name: "main", Value: json.RawMessage(`"x"`)}}},
+		}, want: 9},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			v := New(zerolog.Nop())
-			for _, part := range test.parts {
-				v.Offer(part)
+			for _, collection := range test.collections {
+				v.ApplyIfNewer(collection)
 			}
 			if got := v.Now().Table.Version; got != test.want {
-				t.Errorf("version %d", got)
+				t.Errorf("version = %d, want the highest", got)
 			}
 		})
 	}
 }
 
-func TestChangesOfAPart(t *testing.T) {
-	part := Part{Kind: platform.KindServers, Revision: 4, Objects: []product.Object{{Name: "a"}, {Name: "b"}}}
-	next := part.after(platform.Changes{Revision: 9, Changes: []platform.Change{
+func TestCollectionWithChanges(t *testing.T) {
+	collection := Collection{Kind: platform.KindServers, Revision: 4, Objects: []product.Object{{Name: "a"}, {Name: "b"}}}
+	next := collection.withChanges(platform.Changes{Revision: 9, Changes: []platform.Change{
 		{Object: product.Object{Name: "a"}, Removed: true},
 		{Object: product.Object{Name: "c", Version: 8}},
 		{Object: product.Object{Name: "b", Version: 9}},
@@ -58,16 +62,16 @@
 	if next.Revision != 9 || len(next.Objects) != 2 || next.Objects[0].Version != 9 || next.Objects[1].Name != "c" {
 		t.Errorf("%+v", next)
 	}
-	if len(part.Objects) != 2 || part.Objects[0].Name != "a" {
-		t.Errorf("the former part changed: %+v", part)
+	if len(collection.Objects) != 2 || collection.Objects[0].Name != "a" {
+		t.Errorf("the original collection changed: %+v", collection)
 	}
 }
 
-// Something else than a server wrote into the list. The entry names no server, and the others hold.
-func TestForeignEntriesNameNoServer(t *testing.T) {
+// An object in the server list that is not a server record must be ignored without affecting the valid ones.
+func TestInvalidServerObjectsAreIgnored(t *testing.T) {
 	v := New(zerolog.Nop())
 	good := `{"service":"s","address":"10.0.0.9:80","zone":"a","slots":1,"state":"ready","born":1}`
-	v.Offer(Part{Kind: platform.KindServers, Revision: 3, Objects: []product.Object{
+	v.ApplyIfNewer(Collection{Kind: platform.KindServers, Revision: 3, Objects: []product.Object{
 		{Name: "bad", Value: json.RawMessage(`[1]`)},
 		{Name: "good", Value: json.RawMessage(good)},
 		{Name: "worse", Value: json.RawMessage(`{"service":7}`)},
@@ -77,83 +81,93 @@
 	}
 }
 
-// names returns the objects of a part with their versions.
-func names(p Part) map[string]product.Version {
+// versionsByName returns the versions of a collection's objects by name.
+func versionsByName(c Collection) map[string]product.Version {
 	found := map[string]product.Version{}
-	for _, object := range p.Objects {
+	for _, object := range c.Objects {
 		found[object.Name] = object.Version
 	}
 	return found
 }
 
-// An entry that is behind asks another for what changed, and must have the very same objects afterwards: with what was added, changed,
-// removed, and removed and made again. One that knows nothing, or is so far behind that removals are forgotten, gets everything.
-func TestWhatChangedMakesTheSamePart(t *testing.T) {
+// An entry that fetches only the changes must end up with the same objects as the sender, whether objects were added, changed,
+// removed, or removed and created again. An entry that knows nothing, or is too far behind for the kept removals, receives all
+// objects.
+func TestIncrementalUpdateMatchesSource(t *testing.T) {
 	object := func(name string, version product.Version) product.Object {
 		return product.Object{Name: name, Version: version}
 	}
-	there := newPart(platform.KindServers, 4, []product.Object{object("a", 2), object("b", 4), object("c", 3), object("e", 1)})
+	source := newCollection(platform.KindServers, 4, []product.Object{object("a", 2), object("b", 4), object("c", 3), object("e", 1)})
 	for _, changes := range []platform.Changes{
 		{Revision: 6, Changes: []platform.Change{{Object: object("c", 6), Removed: true}, {Object: object("e", 6), Removed: true}}},
 		{Revision: 9, Changes: []platform.Change{{Object: object("b", 7)}, {Object: object("d", 8)}, {Object: object("e", 9)}}},
 		{Revision: 12, Changes: []platform.Change{{Object: object("f", 10)}, {Object: object("f", 11), Removed: true}}},
 	} {
-		there = there.after(changes)
+		source = source.withChanges(changes)
 	}
 	for _, test := range []struct {
-		name    string
-		here    Part
-		whole   bool
-		changed int
+		name     string
+		known    Collection
+		complete bool
+		changed  int
 	}{
-		{name: "as it was", here: newPart(platform.KindServers, 4, []product.Object{object("a", 2), object("b", 4), object("c", 3), object("e", 1)}), changed: 3},
-		{name: "since the removals", here: newPart(platform.KindServers, 7, []product.Object{object("a", 2), object("b", 7)}), changed: 2},
-		{name: "as it is", here: newPart(platform.KindServers, 12, there.Objects)},
-		{name: "without anything", whole: true, changed: 4},
-		{name: "from before the list", here: newPart(platform.KindServers, 3, []product.Object{object("z", 1)}), whole: true, changed: 4},
+		{name: "at the initial revision", known: newCollection(platform.KindServers, 4, []product.Object{
+			object("a", 2), object("b", 4), object("c", 3), object("e", 1),
+		}), changed: 3},
+		{name: "after the removals", known: newCollection(platform.KindServers, 7, []product.Object{object("a", 2), object("b", 7)}), changed: 2},
+		{name: "up to date", known: newCollection(platform.KindServers, 12, source.Objects)},
+		{name: "empty", complete: true, changed: 4},
+		{name: "before the initial revision", known: newCollection(platform.KindServers, 3, []product.Object{object("z", 1)}),
+			complete: true, changed: 4},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			answer := there.since(test.here.Revision)
-			if answer.Whole != test.whole || len(answer.Changed) != test.changed {
-				t.Errorf("whole %v, %d objects go over the wire", answer.Whole, len(answer.Changed))
+			update := source.changesSince(test.known.Revision)
+			if update.Complete != test.complete || len(update.Changed) != test.changed {
+				t.Errorf("update: complete = %v, changed objects = %d", update.Complete, len(update.Changed))
 			}
-			next := test.here.updated(answer)
-			if diff := cmp.Diff(names(there), names(next)); diff != "" || next.Revision != 12 {
+			next := test.known.withUpdate(update)
+			if diff := cmp.Diff(versionsByName(source), versionsByName(next)); diff != "" || next.Revision != 12 {
 				t.Errorf("revision %d: %s", next.Revision, diff)
 			}
-			if again := there.updated(next.since(12)); len(again.Objects) != len(there.Objects) {
-				t.Errorf("the copy tells %v", names(again))
+			if again := source.withUpdate(next.changesSince(12)); len(again.Objects) != len(source.Objects) {
+				t.Errorf("objects after an update from the copy = %v", versionsByName(again))
 			}
 		})
 	}
 }
 
-// Servers come and go all day. Removals are remembered for a while only, and one who asks for older ones must get everything, or it would keep
-// a server for ever that is gone.
-func TestForgottenRemovalsAreNotMissed(t *testing.T) {
-	there := newPart(platform.KindServers, 1, []product.Object{{Name: "first", Version: 1}})
-	here := there
-	for i := range 3 * removedMost {
+// Guards against an entry keeping a removed server for ever: only recent removals are kept, so that a request for older
+// changes must be answered with all objects.
+func TestTrimmedRemovalsCauseCompleteUpdate(t *testing.T) {
+	source := newCollection(platform.KindServers, 1, []product.Object{{Name: "first", Version: 1}})
+	copied := source
+	for i := range 3 * maxRemovals {
 		revision := product.Version(i + 2)
-		there = there.after(platform.Changes{Revision: revision, Changes: []platform.Change{{Object: product.Object{Name: fmt.Sprint(i), Version: revision}}}})
-		there = there.after(platform.Changes{Revision: revision, Changes: []platform.Change{{Object: product.Object{Name: fmt.Sprint(i)}, Removed: true}}})
+		source = source.withChanges(platform.Changes{Revision: revision, Changes: []platform.Change{
+			{Object: product.Object{Name: fmt.Sprint(i), Version: revision}},
+		}})
+		source = source.withChanges(platform.Changes{Revision: revision, Changes: []platform.Change{
+			{Object: product.Object{Name: fmt.Sprint(i)}, Removed: true},
+		}})
 		if i == 0 {
-			here = newPart(platform.KindServers, uint64(revision), []product.Object{{Name: "first", Version: 1}, {Name: "0", Version: revision}})
+			copied = newCollection(platform.KindServers, uint64(revision), []product.Object{
+				{Name: "first", Version: 1}, {Name: "0", Version: revision},
+			})
 		}
 	}
-	if len(there.removed) > removedMost {
-		t.Errorf("%d removals remembered", len(there.removed))
+	if len(source.removals) > maxRemovals {
+		t.Errorf("%d removals kept, want at most maxRemovals", len(source.removals))
 	}
-	if diff := cmp.Diff(names(there), names(here.updated(there.since(here.Revision)))); diff != "" {
+	if diff := cmp.Diff(versionsByName(source), versionsByName(copied.withUpdate(source.changesSince(copied.Revision)))); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// fakeMembers are the entries that a follower hears of.
+// fakeMembers is a fixed list of entries.
 type fakeMembers struct {
 	self   string
 	others []string
-	// address is shared by all others.
+	// address is the peer address of all others.
 	address netip.AddrPort
 }
 
@@ -167,20 +181,24 @@
 	return members
 }
 
-// All entries of a deployment start at once. Each read and watched everything by itself, a third of a minute's calls to the store; now
-// the first in order read for all, and one that nobody tells anything reads for itself in the end.
-func TestFreshEntriesWaitForEachOther(t *testing.T) {
-	hosts := inOrder(27)
+// Guards against all entries of a deployment reading and watching everything when they start at once, which made up a third of
+// the store calls of that minute. The first in follow order read for all; an entry that receives nothing reads for itself
+// after maxInitialWait.
+func TestStartingEntriesLimitInitialReads(t *testing.T) {
+	hosts := hostsInFollowOrder(27)
 	for i, host := range hosts {
-		f := &Follower{members: fakeMembers{self: host, others: slices.DeleteFunc(slices.Clone(hosts), func(h string) bool { return h == host })}, started: start}
-		if f.begins(start.Add(300*time.Millisecond - time.Millisecond)) {
-			t.Errorf("number %d didn't wait", i)
+		f := &Follower{members: fakeMembers{
+			self:   host,
+			others: slices.DeleteFunc(slices.Clone(hosts), func(h string) bool { return h == host }),
+		}, started: baseTime}
+		if f.shouldReadInitially(baseTime.Add(300*time.Millisecond - time.Millisecond)) {
+			t.Errorf("host %d reads the store before it has waited", i)
 		}
-		if got := f.begins(start.Add(300 * time.Millisecond)); got != (i < standbys) {
-			t.Errorf("number %d reads the store: %v", i, got)
+		if got := f.shouldReadInitially(baseTime.Add(300 * time.Millisecond)); got != (i < standbys) {
+			t.Errorf("host %d: shouldReadInitially = %v", i, got)
 		}
-		if !f.begins(start.Add(beginMost)) {
-			t.Errorf("number %d never reads the store", i)
+		if !f.shouldReadInitially(baseTime.Add(maxInitialWait)) {
+			t.Errorf("host %d does not read the store after maxInitialWait", i)
 		}
 	}
 }
--- a/internal/edge/view/watches.go
+++ b/internal/edge/view/watches.go
@@ -7,50 +7,51 @@
 	"github.com/pkg/errors"
 )
 
-// errRestarted is the error of a watch that was ended to begin anew.
-var errRestarted = errors.New("the watch begins anew")
+// errWatchRestarted is returned when a watch was cancelled in order to be restarted.
+var errWatchRestarted = errors.New("watch restarted")
 
-// watches are the watches that wait at the store.
+// watchSet holds the watches that are waiting at the store.
 //
-// Guard: the store falls silent for seconds. Watches that came to it meanwhile are never answered, while other calls are again once it
-// is back; an entry that relied on them went on with an old configuration for as long as a watch may take, and its probes told all
-// others that it follows the store. So watches begin anew once the store is reached again after a failure, and once an entry is to
-// follow it again.
-type watches struct {
-	mu    sync.Mutex
-	waits map[string]*wait
+// Guards against watches that are never answered. When the store stalls for some seconds, it never answers the watches that
+// arrived meanwhile, although it answers other calls once it recovers. An entry that relied on such a watch kept an old
+// configuration until the watch timed out, while its successful probes told all others that it followed the store. Watches are
+// therefore restarted once the store is reached again after a failure, and once an entry becomes a follower again.
+type watchSet struct {
+	mu      sync.Mutex
+	pending map[string]*pendingWatch
 }
 
-type wait struct {
+type pendingWatch struct {
 	cancel    context.CancelFunc
 	restarted bool
 }
 
-// begin notes a watch of the kind. The context ends when it is to begin anew; done must be called after it, and says whether it was.
-func (w *watches) begin(ctx context.Context, kind string) (watching context.Context, done func() bool) {
-	watching, cancel := context.WithCancel(ctx)
-	began := &wait{cancel: cancel}
+// start registers a watch of the kind. The returned context ends when the watch is to be restarted. The caller must call done
+// after the watch, which reports whether it was to be restarted.
+func (w *watchSet) start(ctx context.Context, kind string) (watchCtx context.Context, done func() bool) {
+	watchCtx, cancel := context.WithCancel(ctx)
+	watch := &pendingWatch{cancel: cancel}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.waits == nil {
-		w.waits = map[string]*wait{}
+	if w.pending == nil {
+		w.pending = map[string]*pendingWatch{}
 	}
-	w.waits[kind] = began
-	return watching, func() bool {
+	w.pending[kind] = watch
+	return watchCtx, func() bool {
 		cancel()
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		delete(w.waits, kind)
-		return began.restarted
+		delete(w.pending, kind)
+		return watch.restarted
 	}
 }
 
-// restart ends all watches so that they begin anew.
-func (w *watches) restart() {
+// restartAll cancels all watches so that their callers restart them.
+func (w *watchSet) restartAll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, each := range w.waits {
-		each.restarted = true
-		each.cancel()
+	for _, watch := range w.pending {
+		watch.restarted = true
+		watch.cancel()
 	}
 }
