--- a/internal/edge/duty/keeper_test.go
+++ b/internal/edge/duty/keeper_test.go
@@ -19,8 +19,8 @@
 
 const zoneDuty = "serverOrders/om-north-a"
 
-// quick is a lease short enough for tests; the order of its parts is that of the default.
-func quick() lease.Timing {
+// shortTiming is a lease short enough for tests, with its times in the same order as in the default.
+func shortTiming() lease.Timing {
 	return lease.Timing{Term: 600 * time.Millisecond, Renew: 150 * time.Millisecond, Margin: 100 * time.Millisecond}
 }
 
@@ -28,11 +28,11 @@
 	return Holder{HostID: id, Address: netip.MustParseAddrPort("127.0.0.1:7400"), Incarnation: incarnation}
 }
 
-// start runs a keeper that ends with the returned function.
-func start(t *testing.T, store platform.Store, self Holder, opts ...Option) (*Keeper, func()) {
+// startKeeper runs a keeper until the returned function is called.
+func startKeeper(t *testing.T, store platform.Store, self Holder, opts ...Option) (*Keeper, func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	k := NewKeeper(ctx, store, zoneDuty, self, append([]Option{WithTiming(quick())}, opts...)...)
+	k := NewKeeper(ctx, store, zoneDuty, self, append([]Option{WithTiming(shortTiming())}, opts...)...)
 	stop := func() {
 		cancel()
 		k.Wait()
@@ -41,12 +41,12 @@
 	return k, stop
 }
 
-// eventually waits for the keeper's changes until ok holds.
+// eventually polls until ok returns true.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for began := time.Now(); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Since(began) > 20*time.Second {
-			t.Fatalf("never: %s", what)
+	for started := time.Now(); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Since(started) > 20*time.Second {
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -56,62 +56,58 @@
 	return ok
 }
 
-// TestTakeoverAfterDeath is a holder's process that is killed.
-//
-// What a user would see: nobody orders servers any more. The holder dies without a release; another
-// contender sees the object unchanged for a term and a margin, takes it and gets a higher number.
+// Guards against a duty that stays unheld, for example no more orders for servers, after its holder's process is killed. The
+// holder dies without a release; another contender sees the lease object unchanged for a term and a margin, takes it over and
+// gets a higher number.
 func TestTakeoverAfterDeath(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewMemory()
-		first, stopFirst := start(t, store, holder("entry-1", 1))
+		first, stopFirst := startKeeper(t, store, holder("entry-1", 1))
 		eventually(t, "first holds", func() bool { return held(first) })
 		before, _ := first.Held(time.Now())
-		second, stopSecond := start(t, store, holder("entry-2", 2))
+		second, stopSecond := startKeeper(t, store, holder("entry-2", 2))
 		stopFirst()
 		eventually(t, "second holds", func() bool { return held(second) })
 		after, _ := second.Held(time.Now())
 		if held(first) || after.Number <= before.Number {
-			t.Errorf("first held %v, numbers %d then %d", held(first), before.Number, after.Number)
+			t.Errorf("first holds: %v; numbers = %d, then %d, want an increase", held(first), before.Number, after.Number)
 		}
 		stopSecond()
 	})
 }
 
-// TestPausedHolderKnowsWithoutCalls is a process that is stopped past its term.
-//
-// What a user would see: an order of a host that is not in charge any more. The process is stopped right
-// after a check; when it goes on its control goroutine hasn't run yet. The clock alone must tell.
+// Guards against an order by a host that is no longer in charge. Its process is paused right after a check until after the end
+// of its term, and its control goroutine has not run since. The clock alone must reveal it.
 func TestPausedHolderKnowsWithoutCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var skipped atomic.Int64
 		clock := func() time.Time { return time.Now().Add(time.Duration(skipped.Load())) }
-		k, _ := start(t, standin.NewMemory(), holder("entry-1", 1), WithClock(clock))
-		eventually(t, "holds", func() bool { _, ok := k.Held(clock()); return ok })
+		k, _ := startKeeper(t, standin.NewMemory(), holder("entry-1", 1), WithClock(clock))
+		eventually(t, "the keeper holds", func() bool { _, ok := k.Held(clock()); return ok })
 		fence, _ := k.Held(clock())
-		woken := clock().Add(30 * time.Second)
-		if _, ok := k.Held(woken); ok {
+		resumed := clock().Add(30 * time.Second)
+		if _, ok := k.Held(resumed); ok {
 			t.Error("held 30 s after the renewal")
 		}
-		if !fence.Deadline.Before(woken) {
-			t.Errorf("deadline %v is not before %v", fence.Deadline, woken)
+		if !fence.Deadline.Before(resumed) {
+			t.Errorf("deadline %v is not before %v", fence.Deadline, resumed)
 		}
 	})
 }
 
-// TestLostAnswers is a platform that loses the answers of writes.
-//
-// What a user would see: a duty that flaps or is never taken. The write that takes the lease, and some
-// renewals, take effect but fail; the keeper reads the object and recognises its own record.
+// Guards against a duty that changes hands again and again or is never taken, while the platform loses the answers to writes.
+// The write that takes the lease and some renewals take effect but fail; the keeper reads the object and recognises its own
+// record.
 func TestLostAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewMemory()
 		store.LoseAnswers(1)
-		k, _ := start(t, store, holder("entry-1", 1))
-		eventually(t, "holds", func() bool { return held(k) })
+		k, _ := startKeeper(t, store, holder("entry-1", 1))
+		eventually(t, "the keeper holds", func() bool { return held(k) })
 		taken, _ := k.Held(time.Now())
 		store.LoseAnswers(2)
-		eventually(t, "renewed", func() bool {
+		eventually(t, "the lease is renewed", func() bool {
 			fence, ok := k.Held(time.Now())
 			return ok && fence.Number > taken.Number+2
 		})
@@ -121,20 +117,18 @@
 		}
 		record, err := lease.ReadRecord(object.Value)
 		if err != nil || record.Holder != k.self {
-			t.Errorf("record %+v, %v", record, err)
+			t.Errorf("record = %+v, error = %v, want one of this holder", record, err)
 		}
 	})
 }
 
-// TestOutage is a platform that is down for longer than a term.
-//
-// What a user would see: a holder that goes on although another could have been told otherwise, or a duty
-// that stays free after the outage. The term runs out; after the outage a contender holds again.
+// Guards against a holder that goes on while the platform is down for longer than a term, although another host may have taken
+// over, and against a duty that stays unheld afterwards. The term must end, and a contender must hold again after the outage.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewMemory()
-		first, _ := start(t, store, holder("entry-1", 1))
-		second, _ := start(t, store, holder("entry-2", 2))
+		first, _ := startKeeper(t, store, holder("entry-1", 1))
+		second, _ := startKeeper(t, store, holder("entry-2", 2))
 		eventually(t, "one holds", func() bool { return held(first) || held(second) })
 		store.Outage(true)
 		eventually(t, "nobody holds", func() bool { return !held(first) && !held(second) })
@@ -143,18 +137,16 @@
 	})
 }
 
-// TestRelease hands a duty over when a host leaves.
-//
-// What a user would see: a graceful restart that leaves a zone without orders for a whole term. The
-// holder gives the object back and the watching contender takes it at once.
+// Guards against a graceful restart that leaves a zone without orders for a whole term. The holder releases the lease object,
+// and the contender that watches it takes over at once.
 func TestRelease(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewMemory()
 		slow := WithTiming(lease.Timing{Term: time.Hour, Renew: time.Minute, Margin: time.Minute})
-		first, stopFirst := start(t, store, holder("entry-1", 1), slow)
+		first, stopFirst := startKeeper(t, store, holder("entry-1", 1), slow)
 		eventually(t, "first holds", func() bool { return held(first) })
-		second, stopSecond := start(t, store, holder("entry-2", 2), slow)
+		second, stopSecond := startKeeper(t, store, holder("entry-2", 2), slow)
 		eventually(t, "second watches", func() bool { _, ok := second.Holder(); return ok })
 		if err := first.Release(context.Background()); err != nil {
 			t.Fatal(err)
@@ -168,40 +160,40 @@
 	})
 }
 
-// TestReleaseInOutage ends with its context and holds nothing all the same.
+// A release in an outage fails when its context ends, and the duty is not held afterwards all the same.
 func TestReleaseInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewMemory()
-		k, _ := start(t, store, holder("entry-1", 1))
-		eventually(t, "holds", func() bool { return held(k) })
+		k, _ := startKeeper(t, store, holder("entry-1", 1))
+		eventually(t, "the keeper holds", func() bool { return held(k) })
 		store.Outage(true)
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		if err := k.Release(ctx); err == nil {
-			t.Error("released in an outage")
+			t.Error("Release succeeded in an outage")
 		}
 		if held(k) {
-			t.Error("held after release")
+			t.Error("duty held after Release")
 		}
 	})
 }
 
-// TestObserver sees the holder and never takes the duty.
+// A keeper that does not contend sees the holder and never takes the duty over.
 func TestObserver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewMemory()
-		observer, _ := start(t, store, holder("entry-9", 9), WithContend(false))
-		first, stop := start(t, store, holder("entry-1", 1))
+		observer, _ := startKeeper(t, store, holder("entry-9", 9), WithContend(false))
+		first, stop := startKeeper(t, store, holder("entry-1", 1))
 		eventually(t, "observer sees the holder", func() bool {
 			seen, ok := observer.Holder()
 			return ok && seen == first.self
 		})
 		stop()
-		never := time.After(3 * quick().Term)
-		for over := false; !over; {
+		timeout := time.After(3 * shortTiming().Term)
+		for ended := false; !ended; {
 			select {
-			case <-never:
-				over = true
+			case <-timeout:
+				ended = true
 			case <-observer.Changed():
 				t.Fatal("the observed holder changed")
 			}
@@ -212,47 +204,47 @@
 	})
 }
 
-// A host that starts reads with the lease what its holder knew at its last renewal, also if the holder is gone by then. The lease itself must be
-// the same with notes and without: the next host takes it over, and its own notes replace the former ones.
-func TestNotesGoWithTheLease(t *testing.T) {
+// A starting host reads from the lease what its holder knew at its last renewal, even if the holder is gone. Notes must not
+// affect the lease: the next host takes it over, and its own notes replace the earlier ones.
+func TestNotesAreStoredWithLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		memory := standin.NewMemory()
-		var open atomic.Pointer[[]string]
-		open.Store(&[]string{"j1"})
-		first, stopFirst := start(t, memory, holder("entry-1", 1), WithNotes(func() []string { return *open.Load() }, func([]string) {}))
+		var openNotes atomic.Pointer[[]string]
+		openNotes.Store(&[]string{"j1"})
+		first, stopFirst := startKeeper(t, memory, holder("entry-1", 1), WithNotes(func() []string { return *openNotes.Load() }, func([]string) {}))
 		eventually(t, "first holds", func() bool { return held(first) })
-		open.Store(&[]string{"j1", "j2"})
-		<-time.After(2 * quick().Renew)
+		openNotes.Store(&[]string{"j1", "j2"})
+		<-time.After(2 * shortTiming().Renew)
 		stopFirst()
 		var read atomic.Pointer[[]string]
-		second, stopSecond := start(t, memory, holder("entry-2", 2),
+		second, stopSecond := startKeeper(t, memory, holder("entry-2", 2),
 			WithNotes(func() []string { return nil }, func(notes []string) { read.Store(&notes) }))
 		eventually(t, "second has read the notes", func() bool { return read.Load() != nil })
 		if diff := cmp.Diff([]string{"j1", "j2"}, *read.Load()); diff != "" {
-			t.Errorf("notes: %s", diff)
+			t.Errorf("notes differ (-want +got):\n%s", diff)
 		}
 		eventually(t, "second holds", func() bool { return held(second) })
 		stopSecond()
-		third, _ := start(t, memory, holder("entry-3", 3),
-			WithNotes(func() []string { return nil }, func(notes []string) { t.Errorf("notes of a former holder: %v", notes) }))
+		third, _ := startKeeper(t, memory, holder("entry-3", 3),
+			WithNotes(func() []string { return nil }, func(notes []string) { t.Errorf("third received the notes of an earlier holder: %v", notes) }))
 		eventually(t, "third holds", func() bool { return held(third) })
 	})
 }
 
-// Guards against reads of the lease at a common start by entries that may not contend for it.
-func TestAKeeperThatMayNotStartMakesNoCalls(t *testing.T) {
+// Guards against reads of the lease by entries that may not contend for it, when all entries start at once.
+func TestKeeperMakesNoCallsBeforeStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		memory := standin.NewMemory()
 		var may atomic.Bool
-		waiting, _ := start(t, memory, holder("entry-1", 1), WithStartIf(may.Load))
-		<-time.After(4 * quick().Term)
+		waiting, _ := startKeeper(t, memory, holder("entry-1", 1), WithStartIf(may.Load))
+		<-time.After(4 * shortTiming().Term)
 		if _, err := memory.Get(t.Context(), ObjectPrefix+zoneDuty); !errors.Is(err, platform.ErrNotFound) {
 			t.Fatalf("lease was written before the start: %v", err)
 		}
 		may.Store(true)
 		eventually(t, "the keeper holds the duty", func() bool { return held(waiting) })
 		may.Store(false)
-		<-time.After(4 * quick().Term)
+		<-time.After(4 * shortTiming().Term)
 		if !held(waiting) {
 			t.Error("a started keeper lost the duty")
 		}
@@ -260,15 +252,15 @@
 }
 
 // Guards against a delayed shutdown of a host whose keeper never started.
-func TestAKeeperThatNeverStartedIsReleasedAtOnce(t *testing.T) {
+func TestReleaseOfUnstartedKeeper(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		waiting, _ := start(t, standin.NewMemory(), holder("entry-1", 1), WithStartIf(func() bool { return false }))
-		began := time.Now()
+		waiting, _ := startKeeper(t, standin.NewMemory(), holder("entry-1", 1), WithStartIf(func() bool { return false }))
+		started := time.Now()
 		if err := waiting.Release(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if took := time.Since(began); took > startPause {
-			t.Errorf("release took %v", took)
+		if took := time.Since(started); took > startCheckInterval {
+			t.Errorf("release took %v, want at most startCheckInterval", took)
 		}
 	})
 }
--- a/internal/edge/duty/run.go
+++ b/internal/edge/duty/run.go
@@ -13,23 +13,23 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/ticker"
 )
 
-// run is the control goroutine: one step of the machine at a time.
-func (k *Keeper) run(ctx, watching context.Context) {
+// run is the control goroutine, which carries out one step of the state machine at a time. Waits and watches end with waitCtx.
+func (k *Keeper) run(ctx, waitCtx context.Context) {
 	for ctx.Err() == nil {
-		k.machine.SetContend(k.may())
+		k.machine.SetContend(k.mayContend())
 		if k.released.Load() {
 			k.machine.Release()
 		}
 		if k.machine.Released() {
 			k.publish(nil)
-			close(k.settled)
+			close(k.releaseDone)
 			return
 		}
 		if !k.tryStart() {
-			ticker.Sleep(watching, startPause)
+			ticker.Sleep(waitCtx, startCheckInterval)
 			continue
 		}
-		err := k.step(ctx, watching)
+		err := k.step(ctx, waitCtx)
 		k.publish(err)
 		if err != nil {
 			ticker.Sleep(ctx, jitter(retryPause))
@@ -37,23 +37,24 @@
 	}
 }
 
-// tryStart starts the keeper if it may start, and reports whether it has been started.
+// tryStart starts the keeper if it may start, and reports whether it has started.
 func (k *Keeper) tryStart() bool {
 	k.started = k.started || k.mayStart()
 	return k.started
 }
 
-func (k *Keeper) step(ctx, watching context.Context) error {
+// step carries out the next step of the state machine.
+func (k *Keeper) step(ctx, waitCtx context.Context) error {
 	step := k.machine.Next(k.instant(k.clock()))
 	switch step.Kind {
 	case lease.StepRead:
 		return k.observe(k.read(ctx))
 	case lease.StepWatch:
-		return k.observe(k.watch(watching, step))
+		return k.observe(k.watch(waitCtx, step))
 	case lease.StepWrite:
 		return k.write(ctx, step)
 	default:
-		ticker.Sleep(watching, step.Wait)
+		ticker.Sleep(waitCtx, step.Wait)
 		return nil
 	}
 }
@@ -70,7 +71,7 @@
 	return k.store.Watch(ctx, k.object, platform.Version(step.IfVersion), step.Wait)
 }
 
-// observe tells the machine what a read returned. A failed read tells nothing.
+// observe passes the result of a read to the state machine. A failed read has no effect on it.
 func (k *Keeper) observe(object platform.Object, err error) error {
 	now := k.instant(k.clock())
 	if errors.Is(err, platform.ErrNotFound) {
@@ -85,8 +86,8 @@
 		return errors.Wrap(err, k.object)
 	}
 	first := now
-	if told := k.heard.Load(); told != nil && told.version == object.Version {
-		first = told.first
+	if reported := k.reported.Load(); reported != nil && reported.version == object.Version {
+		first = reported.firstHeard
 	}
 	k.machine.ObservedSince(first, uint64(object.Version), record)
 	if len(record.Notes) > 0 {
@@ -95,8 +96,8 @@
 	return nil
 }
 
-// write carries out a write and tells the machine its fate. Only errors that exclude an effect count
-// as not written; any other leaves the machine in doubt until it has read the object.
+// write carries out a write and passes its outcome to the state machine. Only errors that rule out any effect count as not
+// written; after any other error the state machine is in doubt until it has read the object.
 func (k *Keeper) write(ctx context.Context, step lease.Step) error {
 	record := step.Record
 	record.Notes = k.writeNotes()
@@ -123,7 +124,7 @@
 	return err
 }
 
-// publish makes the machine's state visible to other goroutines.
+// publish makes the state machine's state, and the error of the last step, visible to other goroutines.
 func (k *Keeper) publish(failure error) {
 	last := k.current.Load()
 	next := &snapshot{changed: last.changed}
@@ -133,8 +134,8 @@
 	if failure != nil {
 		next.lastError = failure.Error()
 	}
-	same := next.held == last.held && next.hasHolder == last.hasHolder && next.holder == last.holder
-	if same {
+	unchanged := next.held == last.held && next.hasHolder == last.hasHolder && next.holder == last.holder
+	if unchanged {
 		k.current.Store(next)
 		return
 	}
@@ -143,7 +144,7 @@
 	close(last.changed)
 }
 
-// State is the keeper's state in the dump.
+// State is the keeper's part of a state dump.
 type State struct {
 	Duty      string    `json:"duty"`
 	Held      bool      `json:"held"`
@@ -153,7 +154,7 @@
 	LastError string    `json:"lastError,omitempty"`
 }
 
-// State returns the keeper's state for the dump.
+// State returns the keeper's state for the state dump.
 func (k *Keeper) State() any {
 	s := k.current.Load()
 	state := State{Duty: k.name, LastError: s.lastError}
@@ -168,6 +169,7 @@
 	return state
 }
 
+// jitter returns a random duration around mean.
 func jitter(mean time.Duration) time.Duration {
-	return time.Duration(float64(mean) * (1 - jitterShare + 2*jitterShare*rand.Float64()))
+	return time.Duration(float64(mean) * (1 - jitterFraction + 2*jitterFraction*rand.Float64()))
 }
