--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -1,5 +1,5 @@
-// Package leader carries out what one entry at a time does for all: it reports usage, orders weight versions, and says which
-// hosts may be taken away. The right to do so is a lease in the platform's store.
+// Package leader does the work that one entry at a time does for all: it reports usage, orders servers to load weight
+// versions, and reports which hosts may be removed. The right to do so is a lease in the platform's store.
 package leader
 
 import (
@@ -17,66 +17,67 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/view"
 )
 
-// Lease is the name of the lease under which all duties of a deployment stand. At this size one holder saves calls to the
-// store; docs/CAPACITY.md says how the duties split.
+// Lease is the name of the single lease for all of this work. One holder needs fewer store calls than one for each kind of
+// work; docs/CAPACITY.md describes how the work could be split.
 const Lease = "duties"
 
-// Timing of the lease. The holder stops 3.3 s after its last renewal began, a taker waits 4.7 s after it saw that renewal;
-// a receiver that ignores fencing numbers counts holders that take turns within 3 s, and an order is under way for less than
-// the second and a half between.
+// Timing returns the timing of the lease. The holder stops 3.3 s after its last renewal began, and a contender waits for 4.7 s
+// after it saw that renewal. A receiver that ignores fencing numbers counts holders that alternate within 3 s as a violation,
+// and an order is under way for less than the second and a half between the two.
 func Timing() lease.Timing {
 	return lease.Timing{Term: 4 * time.Second, Renew: 1300 * time.Millisecond, Margin: 700 * time.Millisecond}
 }
 
 const (
-	// pace is how often the holder looks for work.
-	pace = 200 * time.Millisecond
-	// retirementPause is how often the holder asks for hosts to be emptied.
-	retirementPause = 3 * time.Second
+	// stepInterval is how often the holder checks for work.
+	stepInterval = 200 * time.Millisecond
+	// retirementInterval is how often the holder reads which hosts are to be emptied.
+	retirementInterval = 3 * time.Second
 )
 
-// Deps is what the duties stand on.
+// Deps are the dependencies of a Leader.
 type Deps struct {
 	HostID string
 	Keeper Keeper
 	Store  *store.Store
-	// Reports is the platform's interface that takes usage reports.
+	// Reports sends calls to the platform's interface for usage reports.
 	Reports store.Carrier
-	// Engines returns a carrier to a backend server.
+	// Engines returns the carrier for calls to a backend server.
 	Engines func(backend.Server) store.Carrier
 	View    *view.View
 	Book    *backend.Balancer
 	Ledger  *usage.Ledger
-	// Sweep removes what nobody may ask for any more; SweepPause is how often.
+	// Sweep deletes stored data that can no longer be requested. It runs every SweepPause.
 	Sweep      func(ctx context.Context, now time.Time) error
 	SweepPause time.Duration
-	// Missing says whether an entry fell silent lately, whose counts may still come.
+	// Missing reports whether contact with an entry was lost recently, so that its usage counts may still arrive.
 	Missing func(now time.Time) bool
-	// TokenRates returns the recent peak of the token rate that the jobs of each model require.
+	// TokenRates returns, by model, the recent peak of the token rate that its jobs require.
 	TokenRates func(now time.Time) map[string]float64
-	Window     time.Duration
-	Log        zerolog.Logger
+	// Window is the length of a usage window.
+	Window time.Duration
+	Log    zerolog.Logger
 }
 
-// Leader is the work of the holder.
+// Leader does the holder's work while this entry holds the lease.
 type Leader struct {
 	deps    Deps
 	work    conc.WaitGroup
 	reports *reporter
-	weights *weightOrders
-	turn    *turn
-	// held is set while this entry acts under the lease, for the log.
-	held        bool
-	retirements time.Time
+	orders  *orderSender
+	guard   *takeoverGuard
+	// acting is whether this entry acted under the lease at the last step; changes are logged.
+	acting              bool
+	lastRetirementCheck time.Time
 }
 
-// New carries out the duties whenever the keeper holds them, until ctx ends.
+// New does the work whenever the keeper holds the lease, until ctx ends.
 func New(ctx context.Context, deps Deps) *Leader {
 	l := &Leader{deps: deps}
-	l.turn = newTurn(deps)
-	l.reports = newReporter(deps, l.turn)
-	l.weights = newWeightOrders(deps, l.turn)
-	l.work.Go(func() { ticker.Every(ctx, pace, func(now time.Time) { l.step(ctx, now) }) })
+	l.guard = newTakeoverGuard(deps)
+	l.reports = newReporter(deps, l.guard)
+	l.orders = newOrderSender(deps, l.guard)
+	l.work.Go(func() { ticker.Every(ctx, stepInterval, func(now time.Time) { l.step(ctx, now) }) })
 	l.work.Go(func() { l.followVersions(ctx) })
 	l.work.Go(func() { ticker.Every(ctx, deps.SweepPause, func(now time.Time) { l.sweep(ctx, now) }) })
 	return l
@@ -85,41 +86,44 @@
 // Wait returns once all goroutines have ended, after the context has.
 func (l *Leader) Wait() { l.work.Wait() }
 
+// step reports usage and retirements if this entry may act.
 func (l *Leader) step(ctx context.Context, now time.Time) {
-	fence, held := l.turn.acts(now)
-	if held != l.held {
-		l.held = held
+	fence, held := l.guard.mayAct(now)
+	if held != l.acting {
+		l.acting = held
 		l.deps.Log.Info().Bool("held", held).Uint64("fencing", uint64(fence.Number)).Time("until", fence.Deadline).Msg("duties")
 	}
 	if !held {
-		l.reports.rest()
-		l.weights.rest()
+		l.reports.reset()
+		l.orders.reset()
 		return
 	}
 	l.reports.step(ctx, now)
-	if now.Sub(l.retirements) > retirementPause {
-		l.retirements = now
-		l.retire(ctx)
+	if now.Sub(l.lastRetirementCheck) > retirementInterval {
+		l.lastRetirementCheck = now
+		l.reportRetirements(ctx)
 	}
 }
 
+// sweep deletes obsolete stored data if this entry may act.
 func (l *Leader) sweep(ctx context.Context, now time.Time) {
-	if _, acts := l.turn.acts(now); !acts {
+	if _, acting := l.guard.mayAct(now); !acting {
 		return
 	}
 	if err := l.deps.Sweep(ctx, now); err != nil {
-		l.deps.Log.Warn().Err(err).Msg("sweep broken off")
+		l.deps.Log.Warn().Err(err).Msg("failed to sweep stored data")
 	}
 }
 
-// followVersions gives weight orders as soon as a version is named or a server has loaded, and now and then.
+// followVersions sends weight orders at each change of the view, such as a new version or a server that has loaded one, and at
+// least every stepInterval.
 func (l *Leader) followVersions(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := l.deps.View.Changed()
-		if _, held := l.turn.acts(time.Now()); held {
-			l.weights.step(ctx, time.Now())
+		if _, held := l.guard.mayAct(time.Now()); held {
+			l.orders.step(ctx, time.Now())
 		}
-		timer := time.NewTimer(pace)
+		timer := time.NewTimer(stepInterval)
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -129,15 +133,15 @@
 	}
 }
 
-// retire says of every host to be emptied that it holds nothing: what must last is in the store.
-func (l *Leader) retire(ctx context.Context) {
+// reportRetirements reports every host that is to be emptied as empty: all data that must be kept is in the store.
+func (l *Leader) reportRetirements(ctx context.Context) {
 	hosts, _, err := l.deps.Store.OpenRetirements(ctx)
 	if err != nil {
-		l.deps.Log.Debug().Err(err).Msg("retirements not read")
+		l.deps.Log.Debug().Err(err).Msg("failed to read retirements")
 		return
 	}
 	for _, host := range hosts {
 		err := l.deps.Store.Retired(ctx, host)
-		l.deps.Log.Info().Str("host", host).AnErr("store", err).Msg("host may be taken away")
+		l.deps.Log.Info().Str("host", host).AnErr("store", err).Msg("host reported as empty")
 	}
 }
--- a/internal/edge/leader/report.go
+++ b/internal/edge/leader/report.go
@@ -14,66 +14,66 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// KindUsage holds the frozen figures of usage windows, each under the window's number.
+// KindUsage is the kind of the objects that hold the frozen counts of usage windows, named by window number.
 const KindUsage = "usage"
 
-// reportRetry is the pause after a report or a freeze that failed.
-const reportRetry = 500 * time.Millisecond
+// reportRetryPause is the pause after a failed report.
+const reportRetryPause = 500 * time.Millisecond
 
-// reporter reports each usage window once its figures are frozen.
+// reporter reports each usage window once its counts are frozen.
 type reporter struct {
-	deps Deps
-	turn *turn
-	mu   sync.Mutex
-	// done are the windows reported by this holder.
-	done map[int64]bool
-	next time.Time
+	deps  Deps
+	guard *takeoverGuard
+	mu    sync.Mutex
+	// reported are the windows that this holder has reported.
+	reported    map[int64]bool
+	nextAttempt time.Time
 }
 
-func newReporter(deps Deps, turn *turn) *reporter {
-	return &reporter{deps: deps, turn: turn, done: map[int64]bool{}}
+func newReporter(deps Deps, guard *takeoverGuard) *reporter {
+	return &reporter{deps: deps, guard: guard, reported: map[int64]bool{}}
 }
 
-// rest forgets what was done under an earlier lease; a successor repeats the last windows with the same bytes.
-func (r *reporter) rest() {
+// reset forgets the windows reported under an earlier lease. The next holder repeats the last windows with the same content.
+func (r *reporter) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	clear(r.done)
+	clear(r.reported)
 }
 
-// step reports the windows whose time has come, oldest first.
+// step reports the windows that are due, oldest first.
 func (r *reporter) step(ctx context.Context, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Before(r.next) {
+	if now.Before(r.nextAttempt) {
 		return
 	}
 	for _, window := range usage.DueWindows(now, r.deps.Window, r.deps.Missing(now)) {
-		if r.done[window] {
+		if r.reported[window] {
 			continue
 		}
 		if err := r.report(ctx, window); err != nil {
-			r.deps.Log.Warn().Err(err).Int64("window", window).Msg("usage not reported yet")
-			r.next = now.Add(reportRetry)
+			r.deps.Log.Warn().Err(err).Int64("window", window).Msg("failed to report usage, will retry")
+			r.nextAttempt = now.Add(reportRetryPause)
 			return
 		}
-		r.done[window] = true
+		r.reported[window] = true
 	}
 }
 
-// report freezes the figures of the window and sends them. What counts later is not reported.
+// report freezes the counts of a window and sends them. Requests counted later are not reported.
 func (r *reporter) report(ctx context.Context, window int64) error {
 	counts, err := r.freeze(ctx, window)
 	if err != nil {
 		return err
 	}
-	who, end, held := r.turn.holder()
+	holder, deadline, held := r.guard.actingHolder()
 	if !held {
-		return errors.New("the duty is not held any more")
+		return errors.New("lease not held")
 	}
-	ctx, cancel := context.WithDeadline(ctx, end)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	call, err := platform.UsageReport(who, window, counts)
+	call, err := platform.UsageReport(holder, window, counts)
 	if err != nil {
 		return err
 	}
@@ -81,11 +81,12 @@
 	if err == nil {
 		err = platform.ReadDone(reply)
 	}
-	r.deps.Log.Info().Int64("window", window).Uint64("fencing", uint64(who.Fencing)).Interface("counts", counts).AnErr("answer", err).Msg("usage reported")
+	r.deps.Log.Info().Int64("window", window).Uint64("fencing", uint64(holder.Fencing)).
+		Interface("counts", counts).AnErr("answer", err).Msg("usage reported")
 	return err
 }
 
-// freeze settles the figures of a window for good: those of the object that was created first.
+// freeze returns the final counts of a window: those in its usage object, which the first successful writer determines.
 func (r *reporter) freeze(ctx context.Context, window int64) (map[string]uint64, error) {
 	name := strconv.FormatInt(window, 10)
 	counts := r.deps.Ledger.RequestsInWindow(window * usage.WindowSeconds(r.deps.Window))
--- a/internal/edge/leader/turn.go
+++ b/internal/edge/leader/turn.go
@@ -10,58 +10,61 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// turnTime is the time within which a receiver takes holders that act in the order A, B, A for two that both believe they are in
-// charge. Receivers here don't check fencing numbers, and count three seconds.
-const turnTime = 3500 * time.Millisecond
+// alternationWindow is how long a returning holder must not act after another holder: if holders act in the order A, B, A
+// within three seconds, a receiver concludes that both believe they hold the lease. The receivers do not check fencing
+// numbers.
+const alternationWindow = 3500 * time.Millisecond
 
-// Keeper holds the right to act for all, such as a duty.Keeper.
+// Keeper reports whether this entry holds the lease, as duty.Keeper does.
 type Keeper interface {
 	Held(now time.Time) (duty.Fence, bool)
 }
 
-// turn says whether this entry may act under its lease.
+// takeoverGuard decides whether this entry may act under its lease.
 //
-// Guard: a holder that leaves gives its lease back, the next one acts, leaves as well, and the first one, started again by
-// then, takes the lease back: its own acts from before and after then enclose another's within moments. So a host that takes the duty
-// over from another waits until its own time as the holder, which the lease remembers, is long past.
-type turn struct {
+// Guards against alternating holders: a host that leaves releases its lease, the next holder acts and leaves as well, and the
+// first host, restarted by then, takes the lease back. Its actions before and after then enclose those of the other within
+// moments. A host that takes the lease over from another one therefore waits until its own last tenure, which is recorded in
+// the lease, ended long enough ago.
+type takeoverGuard struct {
 	deps Deps
 	mu   sync.Mutex
 	held bool
-	// from is when this holder may begin.
-	from time.Time
+	// actFrom is when this holder may begin to act.
+	actFrom time.Time
 }
 
-func newTurn(deps Deps) *turn { return &turn{deps: deps} }
+func newTakeoverGuard(deps Deps) *takeoverGuard { return &takeoverGuard{deps: deps} }
 
-// acts returns the fence under which this entry may act at now.
-func (t *turn) acts(now time.Time) (duty.Fence, bool) {
-	fence, held := t.deps.Keeper.Held(now)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if held && !t.held {
-		t.from = now.Add(pauseBefore(fence.Past, t.deps.HostID, now))
+// mayAct returns the fence under which this entry holds the lease, and whether it may act at now.
+func (g *takeoverGuard) mayAct(now time.Time) (duty.Fence, bool) {
+	fence, held := g.deps.Keeper.Held(now)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if held && !g.held {
+		g.actFrom = now.Add(takeoverDelay(fence.Past, g.deps.HostID, now))
 	}
-	t.held = held
-	return fence, held && !now.Before(t.from)
+	g.held = held
+	return fence, held && !now.Before(g.actFrom)
 }
 
-// pauseBefore is how long the host must not act after others held the duty before it. Its own tenure right before doesn't count,
-// since nobody acted in between. A clock that was stepped can't make the pause longer than turnTime.
-func pauseBefore(past []lease.Tenure, hostID string, now time.Time) time.Duration {
+// takeoverDelay returns how long the host must wait before it acts after other hosts held the lease. If the host itself was
+// the most recent holder it need not wait, since nobody else acted in between. The delay is at most alternationWindow, even if
+// a clock was stepped.
+func takeoverDelay(past []lease.Tenure, hostID string, now time.Time) time.Duration {
 	if len(past) == 0 || past[len(past)-1].HostID == hostID {
 		return 0
 	}
 	for _, tenure := range slices.Backward(past) {
 		if tenure.HostID == hostID {
-			return min(turnTime, max(0, turnTime-now.Round(0).Sub(tenure.Until)))
+			return min(alternationWindow, max(0, alternationWindow-now.Round(0).Sub(tenure.Until)))
 		}
 	}
 	return 0
 }
 
-// holder returns who acts under the lease right now, and until when an act may last.
-func (t *turn) holder() (platform.Holder, time.Time, bool) {
-	fence, acts := t.acts(time.Now())
-	return platform.Holder{HostID: t.deps.HostID, Fencing: fence.Number}, fence.Deadline, acts
+// actingHolder returns the holder under whose name to act now and the deadline for doing so; false if this entry may not act.
+func (g *takeoverGuard) actingHolder() (platform.Holder, time.Time, bool) {
+	fence, mayAct := g.mayAct(time.Now())
+	return platform.Holder{HostID: g.deps.HostID, Fencing: fence.Number}, fence.Deadline, mayAct
 }
--- a/internal/edge/leader/weights.go
+++ b/internal/edge/leader/weights.go
@@ -13,85 +13,86 @@
 )
 
 const (
-	// orderTimeout bounds one order to a server.
+	// orderTimeout bounds one order to a server, including the read of the server's state.
 	orderTimeout = 600 * time.Millisecond
-	// orderRetry is how long a server that was busy or could not be reached isn't ordered again.
-	orderRetry = 400 * time.Millisecond
-	// tokenRateDelay is how long a new holder ignores token rates: by then it has received a beat of every entry.
+	// orderRetryPause is how long a server that was busy or unreachable receives no further order.
+	orderRetryPause = 400 * time.Millisecond
+	// tokenRateDelay is how long a new holder ignores token rates: by then it has received a gossip message from every entry.
 	tokenRateDelay = 3 * time.Second
 )
 
-// weightOrders gives the planner's orders to the backend servers.
-type weightOrders struct {
-	deps Deps
-	turn *turn
-	mu   sync.Mutex
-	// planners are kept by pool; accepted is how many orders each server has accepted since its start, as far as known.
+// orderSender sends the planner's orders to load weights to the backend servers.
+type orderSender struct {
+	deps  Deps
+	guard *takeoverGuard
+	mu    sync.Mutex
+	// planners are kept by pool; accepted is the number of orders that each server has accepted since its start, as far as
+	// known.
 	planners map[string]*weights.Planner
 	accepted map[backend.Key]int
-	notNow   map[backend.Key]time.Time
-	// started is the time of this holder's first step with a plan.
-	started time.Time
+	retryAt  map[backend.Key]time.Time
+	// planningSince is when this holder first had weight versions to plan for.
+	planningSince time.Time
 }
 
-func newWeightOrders(deps Deps, turn *turn) *weightOrders {
-	w := &weightOrders{deps: deps, turn: turn}
-	w.forget()
-	return w
+func newOrderSender(deps Deps, guard *takeoverGuard) *orderSender {
+	s := &orderSender{deps: deps, guard: guard}
+	s.clearState()
+	return s
 }
 
-func (w *weightOrders) forget() {
-	w.planners = map[string]*weights.Planner{}
-	w.accepted = map[backend.Key]int{}
-	w.notNow = map[backend.Key]time.Time{}
-	w.started = time.Time{}
+func (s *orderSender) clearState() {
+	s.planners = map[string]*weights.Planner{}
+	s.accepted = map[backend.Key]int{}
+	s.retryAt = map[backend.Key]time.Time{}
+	s.planningSince = time.Time{}
 }
 
-// rest forgets what was known under an earlier lease.
-func (w *weightOrders) rest() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.planners) > 0 {
-		w.forget()
+// reset forgets what was known under an earlier lease.
+func (s *orderSender) reset() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.planners) > 0 {
+		s.clearState()
 	}
 }
 
-// step gives the orders that are due in all pools.
-func (w *weightOrders) step(ctx context.Context, now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	snapshot := w.deps.View.Now()
+// step sends the orders that are due in all pools.
+func (s *orderSender) step(ctx context.Context, now time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	snapshot := s.deps.View.Now()
 	if len(snapshot.Versions) == 0 {
 		return
 	}
-	if w.started.IsZero() {
-		w.started = now
+	if s.planningSince.IsZero() {
+		s.planningSince = now
 	}
 	var rates map[string]float64
-	if now.Sub(w.started) >= tokenRateDelay {
-		rates = w.deps.TokenRates(now)
+	if now.Sub(s.planningSince) >= tokenRateDelay {
+		rates = s.deps.TokenRates(now)
 	}
-	running := w.deps.Book.TotalRunning()
+	running := s.deps.Book.TotalRunning()
 	engines := map[string][]weights.Engine{}
 	for _, server := range snapshot.Servers {
 		if len(server.Models) == 0 {
 			continue
 		}
-		hold := now.Before(w.notNow[server.Key()])
+		hold := now.Before(s.retryAt[server.Key()])
 		engines[server.Pool] = append(engines[server.Pool], weights.Engine{Server: server, Running: running[server.ID], Hold: hold})
 	}
 	for pool, members := range engines {
-		planner, ok := w.planners[pool]
+		planner, ok := s.planners[pool]
 		if !ok {
 			planner = weights.NewPlanner()
-			w.planners[pool] = planner
+			s.planners[pool] = planner
 		}
-		w.give(ctx, now, planner, planner.Next(now, members, snapshot.Versions, rates))
+		s.sendAll(ctx, now, planner, planner.Next(now, members, snapshot.Versions, rates))
 	}
 }
 
-// outcomes of orders, by server.
-type given struct {
+// orderResult is the outcome of one order.
+type orderResult struct {
 	order weights.Order
 	// accepted is the count of accepted orders that was sent with this order.
 	accepted int
@@ -99,51 +100,51 @@
 	err      error
 }
 
-// give sends orders to different servers side by side.
-func (w *weightOrders) give(ctx context.Context, now time.Time, planner *weights.Planner, orders []weights.Order) {
-	results := make([]given, len(orders))
+// sendAll sends orders to different servers concurrently.
+func (s *orderSender) sendAll(ctx context.Context, now time.Time, planner *weights.Planner, orders []weights.Order) {
+	results := make([]orderResult, len(orders))
 	var sends conc.WaitGroup
 	for i, order := range orders {
-		accepted, known := w.accepted[order.Server.Key()]
-		sends.Go(func() { results[i] = w.send(ctx, order, accepted, known) })
+		accepted, known := s.accepted[order.Server.Key()]
+		sends.Go(func() { results[i] = s.send(ctx, order, accepted, known) })
 	}
 	sends.Wait()
 	for _, result := range results {
-		w.take(now, planner, result)
+		s.recordResult(now, planner, result)
 	}
 }
 
-// take learns from the answer to an order.
-func (w *weightOrders) take(now time.Time, planner *weights.Planner, result given) {
+// recordResult updates the planner and the known state of the server after an order.
+func (s *orderSender) recordResult(now time.Time, planner *weights.Planner, result orderResult) {
 	key := result.order.Server.Key()
-	w.deps.Log.Info().Str("server", result.order.Server.ID).Str("model", result.order.Model).Int("version", result.order.Version).
-		Uint8("answer", uint8(result.answer)).AnErr("cause", result.err).Msg("weights ordered")
+	s.deps.Log.Info().Str("server", result.order.Server.ID).Str("model", result.order.Model).Int("version", result.order.Version).
+		Uint8("answer", uint8(result.answer)).AnErr("cause", result.err).Msg("weight version ordered")
 	switch {
 	case result.answer == platform.OrderAccepted:
 		planner.RecordOrder(now, result.order)
-		w.accepted[key] = result.accepted + 1
+		s.accepted[key] = result.accepted + 1
 	case result.answer == platform.OrderHolds:
 		planner.RecordOrder(now, result.order)
 	case result.err != nil:
-		// The order may have been accepted: how many the server has accepted must be asked again.
-		delete(w.accepted, key)
-		w.notNow[key] = now.Add(orderRetry)
+		// The server may have accepted the order, so its count of accepted orders must be read again.
+		delete(s.accepted, key)
+		s.retryAt[key] = now.Add(orderRetryPause)
 	default:
-		delete(w.accepted, key)
+		delete(s.accepted, key)
 		planner.RecordRefusal(result.order)
-		w.notNow[key] = now.Add(orderRetry)
+		s.retryAt[key] = now.Add(orderRetryPause)
 	}
 }
 
-// send gives one order under the lease.
-func (w *weightOrders) send(ctx context.Context, order weights.Order, accepted int, known bool) given {
-	result := given{order: order}
-	server := w.deps.Engines(order.Server)
-	who, end, held := w.turn.holder()
+// send sends one order under the lease. It first reads the server's count of accepted orders if that is not known.
+func (s *orderSender) send(ctx context.Context, order weights.Order, accepted int, known bool) orderResult {
+	result := orderResult{order: order}
+	server := s.deps.Engines(order.Server)
+	holder, deadline, held := s.guard.actingHolder()
 	if !held {
 		return result
 	}
-	ctx, cancel := context.WithDeadline(ctx, end)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	ctx, cancelCall := context.WithTimeout(ctx, orderTimeout)
 	defer cancelCall()
@@ -161,7 +162,8 @@
 		accepted = state.Accepted
 	}
 	result.accepted = accepted
-	call, err := platform.LoadWeights(who, order.Server.ID, platform.WeightOrder{Model: order.Model, Version: order.Version, Accepted: accepted})
+	call, err := platform.LoadWeights(holder, order.Server.ID,
+		platform.WeightOrder{Model: order.Model, Version: order.Version, Accepted: accepted})
 	if err != nil {
 		result.err = err
 		return result
--- a/internal/edge/leader/weights_test.go
+++ b/internal/edge/leader/weights_test.go
@@ -15,8 +15,8 @@
 	"github.com/oleandershelf/oleandershelf/platform/platformtest"
 )
 
-// Guards against a new lease holder counting only its own accepted orders: the server then refuses the holder's second order because
-// the count omits orders accepted from earlier holders.
+// Guards against a new lease holder counting only its own accepted orders: the server would then refuse the holder's second
+// order because the count omits orders accepted from earlier holders.
 func TestOrdersAcceptedAfterHolderChange(t *testing.T) {
 	engine := platformtest.NewServer(t, "engine-0", "engines", map[string]int{"m": 1})
 	client := exchange.NewClient()
@@ -29,7 +29,7 @@
 			HostID: "h1", Keeper: keeper, Log: zerolog.Nop(),
 			Engines: func(backend.Server) store.Carrier { return store.NewHTTP(server.Address, client) },
 		}
-		orders := newWeightOrders(deps, newTurn(deps))
+		orders := newOrderSender(deps, newTakeoverGuard(deps))
 		for range 3 {
 			version++
 			order := weights.Order{Server: server, Model: "m", Version: version}
@@ -38,7 +38,7 @@
 			if result.err != nil || result.answer != platform.OrderAccepted {
 				t.Errorf("holder %d, version %d: answer = %d, error = %v, want accepted", holder, version, result.answer, result.err)
 			}
-			orders.take(time.Now(), weights.NewPlanner(), result)
+			orders.recordResult(time.Now(), weights.NewPlanner(), result)
 		}
 	}
 	if got := len(engine.Orders()); got != version-1 {
