--- a/internal/edge/fleet/fault_test.go
+++ b/internal/edge/fleet/fault_test.go
@@ -17,47 +17,47 @@
 	standin "github.com/oleandershelf/oleandershelf/internal/standin/platform"
 )
 
-// A pool is never made smaller, and idle servers are paid for day and night: the lease is renewed
-// every two seconds, each renewal has a new number, and the runner forgets what it knew at each.
-func TestRenewalsKeepWhatIsKnown(t *testing.T) {
-	f := newFake()
+// Guards against a pool that is never made smaller, so that idle servers are paid for all the time: the lease is renewed every
+// two seconds with a new number each, and the runner discarded its state at each renewal.
+func TestRenewalsKeepPoolState(t *testing.T) {
+	f := newFakeDeps()
 	f.states[0].RefusedLoad, f.states[0].Servers[0].Running, f.states[0].Servers[1].Running = 0, 0, 1
 	f.states[0].Servers[0].Draining = true
 	r := f.runner()
 	for range 70 {
 		f.now = f.now.Add(2 * time.Second)
 		f.deadline = f.now.Add(4 * time.Second)
-		f.number++
+		f.fencing++
 		r.round(t.Context())
 	}
 	if len(f.orders) != 1 || f.orders[0].Count != 1 || f.orders[0].Fencing < 30 {
-		t.Errorf("ordered %v, want one order for one server under a late number", f.orders)
+		t.Errorf("orders = %v, want one order for one server with a late fencing number", f.orders)
 	}
 }
 
-// Two hosts order for one zone: the process is stopped right after it read the clock for the check
-// of its term and goes on after the term. A timeout that is worked out from the old reading begins
-// to run at the wake, and a platform that ignores the fencing number takes the order.
+// Guards against two hosts ordering for one zone: the process is paused right after it read the clock for the check of its
+// term, and resumes after the term. A timeout computed from the earlier reading would start to run only then, and a platform
+// that ignores the fencing number would accept the order.
 func TestPauseAfterTheCheckEndsTheWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const left = 30 * time.Millisecond
-		f := newFake()
+		const remaining = 30 * time.Millisecond
+		f := newFakeDeps()
 		memory := standin.NewMemory(standin.WithFaults(standin.Faults{IgnoreFencing: true}))
-		f.now, f.deadline = time.Now(), time.Now().Add(left)
+		f.now, f.deadline = time.Now(), time.Now().Add(remaining)
 		r := f.runner()
 		r.deps.Orders = memory
 		calls := 0
 		r.clock = func() time.Time {
 			read := f.now
-			// The last reading before the write is the one after the lease was looked at for the order.
+			// The last reading before the write is the one after the lease was checked for the order.
 			if calls++; calls == clockReadings {
-				<-time.After(2 * left)
+				<-time.After(2 * remaining)
 			}
 			return read
 		}
 		r.round(t.Context())
 		if calls < clockReadings {
-			t.Fatalf("the clock was read %d times", calls)
+			t.Fatalf("the clock was read %d times before the write, want clockReadings", calls)
 		}
 		if orders := memory.Orders(); len(orders) != 0 {
 			t.Errorf("ordered after the end of the term: %v", orders)
@@ -65,46 +65,47 @@
 	})
 }
 
-// clockReadings is how often a first round of one pool reads the clock up to its write.
+// clockReadings is how often the first round of one pool reads the clock before its write.
 const clockReadings = 7
 
-// zoneTiming is a lease short enough for tests; the order of its parts is that of the default.
+// zoneTiming is a lease short enough for tests, with its times in the same order as in the default.
 func zoneTiming() lease.Timing {
 	return lease.Timing{Term: 500 * time.Millisecond, Renew: 120 * time.Millisecond, Margin: 80 * time.Millisecond}
 }
 
-// plain shows a keeper as the runner wants it.
-type plain struct{ *duty.Keeper }
+// keeperAdapter adapts a duty.Keeper to the runner's Keeper.
+type keeperAdapter struct{ *duty.Keeper }
 
-func (p plain) Held(now time.Time) (platform.Version, time.Time, bool) {
-	fence, ok := p.Keeper.Held(now)
+func (a keeperAdapter) Held(now time.Time) (platform.Version, time.Time, bool) {
+	fence, ok := a.Keeper.Held(now)
 	return fence.Number, fence.Deadline, ok
 }
 
-// entry is one host that contends for the zone's orders, with its own ways to the platform.
-type entry struct {
-	way   *standin.Disturbed
-	lease *standin.Disturbed
-	kill  func()
-	stop  func()
+// contender is one host that contends for the zone's orders. Its calls to the platform and those of its lease can be disturbed
+// separately.
+type contender struct {
+	platform *standin.Disturbed
+	lease    *standin.Disturbed
+	kill     func()
+	stop     func()
 }
 
-func startEntry(memory *standin.Memory, id string, incarnation uint64) *entry {
+func startContender(memory *standin.Memory, id string, incarnation uint64) *contender {
 	ctx, cancel := context.WithCancel(context.Background())
-	e := &entry{way: standin.NewDisturbed(memory), lease: standin.NewDisturbed(memory)}
+	c := &contender{platform: standin.NewDisturbed(memory), lease: standin.NewDisturbed(memory)}
 	self := duty.Holder{HostID: id, Incarnation: incarnation}
-	keeper := duty.NewKeeper(ctx, e.lease, "serverOrders/a", self, duty.WithTiming(zoneTiming()))
+	keeper := duty.NewKeeper(ctx, c.lease, "serverOrders/a", self, duty.WithTiming(zoneTiming()))
 	load := fleet.State{Pool: "p", MinServers: 1, MaxServers: 4, StartupTime: time.Minute, RefusedLoad: 100}
 	deps := Deps{
-		Keeper: plain{keeper},
-		Orders: e.way,
-		// The load is gathered over the same way, so that the step before the order is disturbed too.
+		Keeper: keeperAdapter{keeper},
+		Orders: c.platform,
+		// The load is read through the same disturbed platform, so that the step before the order is disturbed too.
 		Gather: func(ctx context.Context, _ time.Time) ([]fleet.State, error) {
 			hosts, err := memory.Hosts(ctx)
 			if err != nil {
 				return nil, err
 			}
-			if _, err := e.way.Get(ctx, "load"); err != nil && !isNotFound(err) {
+			if _, err := c.platform.Get(ctx, "load"); err != nil && !isNotFound(err) {
 				return nil, err
 			}
 			state := load
@@ -116,26 +117,27 @@
 		Drain: func(context.Context, Pause) error { return nil },
 	}
 	runner := New(ctx, "a", id, deps, WithInterval(10*time.Millisecond))
-	// A killed process sends nothing more, but what it sent may still be on its way.
-	e.kill = cancel
-	e.stop = func() {
+	// A killed process sends nothing more, but its last call may still be under way.
+	c.kill = cancel
+	c.stop = func() {
 		cancel()
 		runner.Wait()
 		keeper.Wait()
 	}
-	return e
+	return c
 }
 
+// eventually polls until ok returns true.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for began := time.Now(); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Since(began) > 20*time.Second {
-			t.Fatalf("never: %s", what)
+	for started := time.Now(); !ok(); time.Sleep(2 * time.Millisecond) {
+		if time.Since(started) > 20*time.Second {
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// zoneHosts are more servers than are ever ordered.
+// zoneHosts returns more servers than are ever ordered.
 func zoneHosts() []platform.Host {
 	var hosts []platform.Host
 	for i := range 6 {
@@ -144,13 +146,13 @@
 	return hosts
 }
 
-// checkOneInCharge fails if an order of a holder came after one of a later holder.
-func checkOneInCharge(t *testing.T, orders []platform.ServerOrder) {
+// checkSingleHolder fails if an order of a holder came after one of a later holder.
+func checkSingleHolder(t *testing.T, orders []platform.ServerOrder) {
 	t.Helper()
 	ended := map[string]bool{}
 	for i, order := range orders {
 		if ended[order.Holder] {
-			t.Fatalf("order %d is from %s, which was replaced before: %v", i, order.Holder, orders)
+			t.Fatalf("order %d is from %s, which had been replaced: %v", i, order.Holder, orders)
 		}
 		if i > 0 && orders[i-1].Holder != order.Holder {
 			ended[orders[i-1].Holder] = true
@@ -158,30 +160,35 @@
 	}
 }
 
-// ordersCase is one fault of the holder of a zone's duty.
-type ordersCase struct {
-	with standin.Disturbance
-	// call is 0 while the order is prepared, 1 when it is sent or answered.
+// orderCase is one fault of the holder of a zone's duty.
+type orderCase struct {
+	disturbance standin.Disturbance
+	// call is the first disturbed call: 0 while the order is prepared, 1 when it is sent or answered.
 	call int
-	// lapses says that the lease's calls are disturbed as well, so that another host takes over.
-	lapses bool
-	dies   bool
-	down   bool
-	ignore bool
+	// leaseLapses disturbs the calls of the lease as well, so that another host takes over.
+	leaseLapses   bool
+	holderDies    bool
+	platformDown  bool
+	ignoreFencing bool
 }
 
-func orderCases() []ordersCase {
-	var cases []ordersCase
-	both := []bool{false, true}
-	for _, with := range standin.Disturbances() {
+func orderCases() []orderCase {
+	var cases []orderCase
+	bools := []bool{false, true}
+	for _, disturbance := range standin.Disturbances() {
 		for call := range 2 {
-			for _, lapses := range both {
-				for _, dies := range both {
-					for _, down := range both {
-						cases = append(cases, ordersCase{with: with, call: call, lapses: lapses, dies: dies, down: down})
-						// A late order is the window that a receiver which ignores the number leaves open.
-						if with != standin.Late {
-							cases = append(cases, ordersCase{with: with, call: call, lapses: lapses, dies: dies, down: down, ignore: true})
+			for _, leaseLapses := range bools {
+				for _, holderDies := range bools {
+					for _, platformDown := range bools {
+						cases = append(cases, orderCase{
+							disturbance: disturbance, call: call, leaseLapses: leaseLapses, holderDies: holderDies, platformDown: platformDown,
+						})
+						// Late orders are left out: a receiver that ignores the fencing number may accept them.
+						if disturbance != standin.Late {
+							cases = append(cases, orderCase{
+								disturbance: disturbance, call: call, leaseLapses: leaseLapses, holderDies: holderDies,
+								platformDown: platformDown, ignoreFencing: true,
+							})
 						}
 					}
 				}
@@ -191,11 +198,11 @@
 	return cases
 }
 
-// Two hosts order for one zone, or nobody does any more. The holder's calls are disturbed from the
-// preparation of an order on, or from its sending on, in each way, for longer than its term; its
-// lease lapses or not, it is killed or goes on, the platform is down until after that or not, and
-// honours the fencing number or ignores it; another host stands by. The platform must take no order of a
-// host after one of its successor, and the servers needed must be ordered in the end.
+// Guards against two hosts ordering for one zone, and against no host doing so any more. The holder's calls are disturbed in
+// each way for longer than its term, from the preparation or the sending of an order on; its lease lapses or not, it is killed
+// or goes on, the platform is down until then or not, and the platform respects the fencing number or ignores it; a second
+// host is ready to take over. The platform must accept no order of a host after one of its successor, and the servers needed
+// must be ordered in the end.
 func TestOrdersUnderFaults(t *testing.T) {
 	for _, c := range orderCases() {
 		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
@@ -205,7 +212,7 @@
 	}
 }
 
-// Orders come late or from two hosts: each call of the platform takes a good part of the term, or
+// Guards against late orders and orders from two hosts while each call of the platform takes a large part of the term, or
 // longer than the term, so that leases lapse while renewals and orders are under way.
 func TestOrdersWhileThePlatformIsSlow(t *testing.T) {
 	for _, delay := range []time.Duration{zoneTiming().Renew, zoneTiming().Term / 2, zoneTiming().Term} {
@@ -215,58 +222,59 @@
 				memory := standin.NewMemory(standin.WithHosts(zoneHosts()))
 				memory.Delay(delay)
 				for i := range uint64(2) {
-					defer startEntry(memory, fmt.Sprintf("entry-%d", i), i).stop()
+					defer startContender(memory, fmt.Sprintf("entry-%d", i), i).stop()
 				}
 				<-time.After(4 * zoneTiming().Term)
 				memory.Delay(0)
-				eventually(t, "four servers are ordered", func() bool { return enough(memory) })
-				checkOneInCharge(t, memory.Orders())
+				eventually(t, "four servers are ordered", func() bool { return enoughOrdered(memory) })
+				checkSingleHolder(t, memory.Orders())
 			})
 		})
 	}
 }
 
-// leaseFault is one under which the lease lapses: doubled calls renew it.
-func (c ordersCase) leaseFault() standin.Disturbance {
-	if c.with == standin.Doubled {
+// leaseDisturbance returns a disturbance under which the lease lapses. Doubled calls would still renew it.
+func (c orderCase) leaseDisturbance() standin.Disturbance {
+	if c.disturbance == standin.Doubled {
 		return standin.RequestLost
 	}
-	return c.with
+	return c.disturbance
 }
 
-func (c ordersCase) run(t *testing.T) {
-	memory := standin.NewMemory(standin.WithHosts(zoneHosts()), standin.WithFaults(standin.Faults{IgnoreFencing: c.ignore}))
-	first := startEntry(memory, "entry-1", 1)
-	first.way.At(c.call, c.with, true)
+func (c orderCase) run(t *testing.T) {
+	memory := standin.NewMemory(standin.WithHosts(zoneHosts()), standin.WithFaults(standin.Faults{IgnoreFencing: c.ignoreFencing}))
+	first := startContender(memory, "entry-1", 1)
+	first.platform.At(c.call, c.disturbance, true)
 	defer func() { first.stop() }()
-	<-first.way.Reached()
-	if c.lapses {
-		first.lease.At(0, c.leaseFault(), true)
+	<-first.platform.Reached()
+	if c.leaseLapses {
+		first.lease.At(0, c.leaseDisturbance(), true)
 	}
-	memory.Outage(c.down)
-	second := startEntry(memory, "entry-2", 2)
+	memory.Outage(c.platformDown)
+	second := startContender(memory, "entry-2", 2)
 	defer func() { second.stop() }()
-	if c.down {
+	if c.platformDown {
 		<-time.After(zoneTiming().Term)
-	} else if c.lapses {
-		eventually(t, "the other host orders", func() bool { return orderedBy(memory, "entry-2") || enough(memory) })
+	} else if c.leaseLapses {
+		eventually(t, "the other host orders", func() bool { return orderedBy(memory, "entry-2") || enoughOrdered(memory) })
 	}
-	if c.dies {
+	if c.holderDies {
 		first.kill()
 	}
 	first.lease.Heal()
-	first.way.Heal()
+	first.platform.Heal()
 	memory.Outage(false)
-	eventually(t, "four servers are ordered", func() bool { return enough(memory) })
-	checkOneInCharge(t, memory.Orders())
+	eventually(t, "four servers are ordered", func() bool { return enoughOrdered(memory) })
+	checkSingleHolder(t, memory.Orders())
 }
 
+// orderedBy reports whether a host has sent an order.
 func orderedBy(memory *standin.Memory, id string) bool {
 	return slices.ContainsFunc(memory.Orders(), func(o platform.ServerOrder) bool { return o.Holder == id })
 }
 
-// enough reports whether the last order is for all servers that are needed.
-func enough(memory *standin.Memory) bool {
+// enoughOrdered reports whether the last order is for all servers that are needed.
+func enoughOrdered(memory *standin.Memory) bool {
 	orders := memory.Orders()
 	return len(orders) > 0 && orders[len(orders)-1].Count == 4
 }
--- a/internal/edge/fleet/runner.go
+++ b/internal/edge/fleet/runner.go
@@ -1,5 +1,5 @@
-// Package fleet gives the orders for backend servers of one availability zone, as the duty
-// serverOrders/{zone}. The decisions are in core/fleet.
+// Package fleet orders backend servers for one availability zone, as the duty serverOrders/{zone}. The package core/fleet
+// makes the decisions.
 package fleet
 
 import (
@@ -15,35 +15,35 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// defaultInterval between decisions: half the age at which a view counts as stale.
+// defaultInterval is the time between decisions: half the age from which a view counts as stale.
 const defaultInterval = 2 * time.Second
 
-// ErrNotHeld says that the lease isn't held, or ended before the order was written.
-var ErrNotHeld = errors.New("lease for server orders not held")
+// ErrNotHeld is returned if the lease is not held, or ended before the order was written.
+var ErrNotHeld = errors.New("server orders lease not held")
 
-// Keeper tells whether this process holds the duty, with the fencing number and the end of the term.
+// Keeper reports whether this process holds the duty, with the fencing number and the end of the term.
 type Keeper interface {
 	Held(now time.Time) (number platform.Version, deadline time.Time, ok bool)
 }
 
-// Deps are what the runner works with.
+// Deps are the dependencies of a Runner.
 type Deps struct {
 	Keeper Keeper
 	Orders platform.ServerOrders
-	// Gather returns the state of each pool of the zone, without Memory.
+	// Gather returns the state of each pool in the zone, without Memory.
 	Gather func(ctx context.Context, now time.Time) ([]fleet.State, error)
-	// Drain tells an agent to take no new work, or to take work again.
+	// Drain tells an agent to accept no new work, or to accept work again.
 	Drain func(ctx context.Context, pause Pause) error
 }
 
-// Pause is the order to one agent to take no new work, or to take work again.
+// Pause tells one agent to accept no new work, or to accept work again.
 type Pause struct {
 	HostID  string
 	Drain   bool
 	Fencing platform.Version
 }
 
-// Option changes a Runner.
+// Option configures a Runner.
 type Option func(*Runner)
 
 // WithInterval sets the time between decisions.
@@ -51,17 +51,17 @@
 	return func(r *Runner) { r.interval = interval }
 }
 
-// WithLogger sets the log.
+// WithLogger sets the logger.
 func WithLogger(log zerolog.Logger) Option {
 	return func(r *Runner) { r.log = log }
 }
 
-// WithClock sets the source of the time.
+// WithClock replaces the clock.
 func WithClock(clock func() time.Time) Option {
 	return func(r *Runner) { r.clock = clock }
 }
 
-// Runner decides and orders while the lease is held. Its control state belongs to one goroutine.
+// Runner makes decisions and orders servers while it holds the lease. Only one goroutine uses its control state.
 type Runner struct {
 	zone     string
 	hostID   string
@@ -72,24 +72,24 @@
 	workers  conc.WaitGroup
 	status   atomic.Pointer[Status]
 
-	// number is the newest fencing number seen and deadline the end of its term. Both are kept over
-	// renewals, the pools' state with them.
-	number   platform.Version
+	// fencing is the newest fencing number seen and deadline the end of its term. Both, and the state of the pools, are kept
+	// across renewals.
+	fencing  platform.Version
 	deadline time.Time
 	pools    map[string]*poolState
 }
 
-// poolState is what is known about a pool while the lease is held without a gap.
+// poolState is what is known about a pool while the lease is held without interruption.
 type poolState struct {
 	memory fleet.Memory
-	// drained are the hosts that were told to drain.
+	// drained are the hosts that confirmed a request to drain.
 	drained map[string]bool
-	// pending is an order that was decided and not yet confirmed.
+	// pending is an order that was decided on but is not confirmed yet.
 	pending *platform.ServerOrder
 	last    fleet.Decision
 }
 
-// New starts a runner for the zone; it ends with the context.
+// New starts a runner for the zone. It ends with ctx.
 func New(ctx context.Context, zone, hostID string, deps Deps, opts ...Option) *Runner {
 	r := &Runner{
 		zone:     zone,
@@ -119,56 +119,56 @@
 	return r
 }
 
-// Wait returns when the runner has ended.
+// Wait returns once the runner has ended.
 func (r *Runner) Wait() { r.workers.Wait() }
 
-// renewed reports whether the lease is held and was held without a gap since the last look, and
-// takes in the newest fencing number.
+// leaseContinues reports whether the lease has been held without interruption since the last check, and records the newest
+// fencing number.
 //
-// Each renewal has a higher number. A number that is seen before the end of the last known term is a
-// renewal, since a taker waits for longer than that; a later one may follow another holder's term.
-// The clock is read after the lease, so that a pause between both counts as a gap.
-func (r *Runner) renewed() bool {
+// Each renewal has a higher number. A new number seen before the end of the last known term is a renewal, since a contender
+// waits for longer than the term; one seen later may follow another holder's term. The clock is read after the lease, so that
+// a pause between the two counts as an interruption.
+func (r *Runner) leaseContinues() bool {
 	number, deadline, held := r.deps.Keeper.Held(r.clock())
 	now := r.clock()
 	if !held || !now.Before(deadline) {
 		return false
 	}
-	if number != r.number && !now.Before(r.deadline) {
+	if number != r.fencing && !now.Before(r.deadline) {
 		return false
 	}
-	r.number, r.deadline = number, deadline
+	r.fencing, r.deadline = number, deadline
 	return true
 }
 
-// begin forgets what was known under a lease that ended, and reports whether the lease is held anew.
-func (r *Runner) begin() bool {
+// startTerm discards the state from an earlier lease, and reports whether the lease is held now.
+func (r *Runner) startTerm() bool {
 	number, deadline, held := r.deps.Keeper.Held(r.clock())
-	r.number, r.deadline = number, deadline
+	r.fencing, r.deadline = number, deadline
 	r.pools = map[string]*poolState{}
 	return held
 }
 
-// round takes one decision for each pool.
+// round makes one decision for each pool.
 func (r *Runner) round(ctx context.Context) {
-	if !r.renewed() && !r.begin() {
+	if !r.leaseContinues() && !r.startTerm() {
 		r.publish(false)
 		return
 	}
 	states, err := r.deps.Gather(ctx, r.clock())
 	if err != nil {
-		r.log.Warn().Err(err).Str("availabilityZone", r.zone).Msg("gather loads")
+		r.log.Warn().Err(err).Str("availabilityZone", r.zone).Msg("failed to gather server loads")
 		return
 	}
 	for _, state := range states {
 		if err := r.decide(ctx, state); err != nil {
-			r.log.Warn().Err(err).Str("availabilityZone", r.zone).Str("pool", state.Pool).Msg("order servers")
+			r.log.Warn().Err(err).Str("availabilityZone", r.zone).Str("pool", state.Pool).Msg("failed to order servers")
 		}
 	}
 	r.publish(true)
 }
 
-// decide takes the decision for one pool and carries it out.
+// decide makes the decision for one pool and carries it out.
 func (r *Runner) decide(ctx context.Context, state fleet.State) error {
 	pool, ok := r.pools[state.Pool]
 	if !ok {
@@ -179,7 +179,7 @@
 	decision := fleet.Decide(r.clock(), state)
 	pool.memory = decision.Memory
 	pool.last = decision
-	r.drain(ctx, pool, decision)
+	r.updateDrains(ctx, pool, decision)
 	if decision.Hold == fleet.HoldNone {
 		pool.pending = &platform.ServerOrder{
 			AvailabilityZone: r.zone,
@@ -189,11 +189,11 @@
 			Holder:           r.hostID,
 		}
 	}
-	return r.order(ctx, pool)
+	return r.writeOrder(ctx, pool)
 }
 
-// drain tells the hosts whose part changed. Only a host that confirmed counts as told.
-func (r *Runner) drain(ctx context.Context, pool *poolState, decision fleet.Decision) {
+// updateDrains asks hosts to drain or to accept work again, as decided. Only hosts that confirm a drain count as drained.
+func (r *Runner) updateDrains(ctx context.Context, pool *poolState, decision fleet.Decision) {
 	wanted := map[string]bool{}
 	for _, id := range decision.Drain {
 		wanted[id] = true
@@ -202,40 +202,42 @@
 		wanted[stop.HostID] = true
 	}
 	for id := range pool.drained {
-		if !wanted[id] && r.tell(ctx, id, false) {
+		if !wanted[id] && r.sendDrain(ctx, id, false) {
 			delete(pool.drained, id)
 		}
 	}
-	// An agent's pause ends by itself, so it is told in each round.
+	// An agent stops draining by itself after a time, so the request is repeated in each round.
 	for id := range wanted {
-		if r.tell(ctx, id, true) {
+		if r.sendDrain(ctx, id, true) {
 			pool.drained[id] = true
 		}
 	}
 }
 
-func (r *Runner) tell(ctx context.Context, id string, drain bool) bool {
-	if err := r.deps.Drain(ctx, Pause{HostID: id, Drain: drain, Fencing: r.number}); err != nil {
-		r.log.Warn().Err(err).Str("hostId", id).Bool("drain", drain).Msg("tell agent")
+// sendDrain sends a drain request to one agent, and reports whether the agent confirmed it.
+func (r *Runner) sendDrain(ctx context.Context, id string, drain bool) bool {
+	if err := r.deps.Drain(ctx, Pause{HostID: id, Drain: drain, Fencing: r.fencing}); err != nil {
+		r.log.Warn().Err(err).Str("hostId", id).Bool("drain", drain).Msg("failed to send drain request to agent")
 		return false
 	}
 	return true
 }
 
-// order writes the pending order. It guards against two holders: a process paused between decision
-// and write may wake after its term, when another one already orders. The term is checked right
-// before the write, the lease must have been held without a gap since the decision, and the write's
-// deadline is the end of the term, so nothing is written after it. The deadline is a point in time: a
-// timeout worked out before a pause would begin to run after it.
-func (r *Runner) order(ctx context.Context, pool *poolState) error {
+// writeOrder writes the pending order, if there is one.
+//
+// Guards against two holders: a process that is paused between the decision and the write may resume after its term, when
+// another one already sends orders. The term is checked right before the write, the lease must have been held without
+// interruption since the decision, and the write's deadline is the end of the term. The deadline is a point in time because a
+// timeout computed before a pause would only start to run after it.
+func (r *Runner) writeOrder(ctx context.Context, pool *poolState) error {
 	if pool.pending == nil {
 		return nil
 	}
 	order := *pool.pending
-	if !r.renewed() {
+	if !r.leaseContinues() {
 		return errors.Wrapf(ErrNotHeld, "pool %s", order.Pool)
 	}
-	order.Fencing = r.number
+	order.Fencing = r.fencing
 	ctx, cancel := context.WithDeadline(ctx, r.deadline)
 	defer cancel()
 	if err := r.deps.Orders.Order(ctx, order); err != nil {
--- a/internal/edge/fleet/status.go
+++ b/internal/edge/fleet/status.go
@@ -29,8 +29,9 @@
 // State returns the last published status.
 func (r *Runner) State() any { return r.status.Load() }
 
+// publish makes the current status visible to other goroutines.
 func (r *Runner) publish(held bool) {
-	status := &Status{AvailabilityZone: r.zone, Held: held, Fencing: r.number}
+	status := &Status{AvailabilityZone: r.zone, Held: held, Fencing: r.fencing}
 	for _, name := range slices.Sorted(maps.Keys(r.pools)) {
 		pool := r.pools[name]
 		status.Pools = append(status.Pools, PoolStatus{
