--- a/internal/edge/view/follow.go
+++ b/internal/edge/view/follow.go
@@ -97,9 +97,9 @@
 
 // Heard fetches, in the background, each kind of which another entry has a newer revision.
 func (f *Follower) Heard(ctx context.Context, from gossip.Member, revisions map[string]uint64) {
-	mine := f.view.Revisions()
+	known := f.view.Revisions()
 	for _, kind := range Kinds {
-		if revisions[kind] > mine[kind] {
+		if revisions[kind] > known[kind] {
 			f.work.Go(func() { f.fetch(ctx, from.Address, kind) })
 		}
 	}
--- a/internal/edge/view/view.go
+++ b/internal/edge/view/view.go
@@ -230,7 +230,7 @@
 func (v *View) Ready(ctx context.Context) bool {
 	for {
 		changed := v.Changed()
-		if now := v.Now(); now.Table != nil && now.ServersKnown {
+		if snapshot := v.Now(); snapshot.Table != nil && snapshot.ServersKnown {
 			return true
 		}
 		select {
