--- a/internal/edge/fleet/runner.go
+++ b/internal/edge/fleet/runner.go
@@ -33,7 +33,7 @@
 	// Gather returns the state of each pool in the zone, without Memory.
 	Gather func(ctx context.Context, now time.Time) ([]fleet.State, error)
 	// Drain tells an agent to accept no new work, or to accept work again.
-	Drain func(ctx context.Context, pause Pause) error
+	Drain func(ctx context.Context, request Pause) error
 }
 
 // Pause tells one agent to accept no new work, or to accept work again.
--- a/internal/edge/fleet/runner_test.go
+++ b/internal/edge/fleet/runner_test.go
@@ -53,8 +53,8 @@
 	return f.states, nil
 }
 
-func (f *fakeDeps) drain(_ context.Context, pause Pause) error {
-	f.drained = append(f.drained, fmt.Sprint(pause.HostID, " ", pause.Drain))
+func (f *fakeDeps) drain(_ context.Context, request Pause) error {
+	f.drained = append(f.drained, fmt.Sprint(request.HostID, " ", request.Drain))
 	return nil
 }
 
