--- a/internal/edge/gateway/gateway.go
+++ b/internal/edge/gateway/gateway.go
@@ -110,7 +110,7 @@
 		c.Set(fiber.HeaderConnection, "close")
 	}
 	r := callerRequest{caller: platform.ReadCaller(&c.Request().Header), arrived: time.Now()}
-	if r.table = g.deps.View.Now().Table; r.table == nil {
+	if r.table = g.deps.View.Snapshot().Table; r.table == nil {
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonIsolated, noConfigurationRetryAfter, "no configuration is known here yet")
 	}
 	path := string(c.Request().URI().PathOriginal())
@@ -176,7 +176,7 @@
 // logRefusal logs a refusal that logOutcome has not logged, because the request was not forwarded to a backend server.
 func (g *Gateway) logRefusal(c fiber.Ctx, refusal *verdict.Refusal, status int) {
 	line := g.deps.Log.Info()
-	if table := g.deps.View.Now().Table; table != nil {
+	if table := g.deps.View.Snapshot().Table; table != nil {
 		line = line.Uint64("configuration", table.Version)
 	}
 	line.Str("method", c.Method()).Str("path", string(c.Request().URI().PathOriginal())).
--- a/internal/edge/leader/weights.go
+++ b/internal/edge/leader/weights.go
@@ -61,7 +61,7 @@
 func (s *orderSender) step(ctx context.Context, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	snapshot := s.deps.View.Now()
+	snapshot := s.deps.View.Snapshot()
 	if len(snapshot.Versions) == 0 {
 		return
 	}
--- a/internal/edge/view/follow_test.go
+++ b/internal/edge/view/follow_test.go
@@ -113,7 +113,7 @@
 	store.setState(false, 1)
 	time.Sleep(probeInterval)
 	store.setState(false, 2)
-	for deadline := time.Now().Add(2 * time.Second); v.Now().Table == nil || v.Now().Table.Version < 2; {
+	for deadline := time.Now().Add(2 * time.Second); v.Snapshot().Table == nil || v.Snapshot().Table.Version < 2; {
 		if time.Now().After(deadline) {
 			t.Fatal("the configuration is not in force two seconds after it was accepted")
 		}
--- a/internal/edge/view/view.go
+++ b/internal/edge/view/view.go
@@ -59,8 +59,8 @@
 	return v
 }
 
-// Now returns the newest snapshot.
-func (v *View) Now() *Snapshot { return v.current.Load() }
+// Snapshot returns the newest snapshot.
+func (v *View) Snapshot() *Snapshot { return v.current.Load() }
 
 // Changed returns a channel that is closed at the next change of the state.
 func (v *View) Changed() <-chan struct{} {
@@ -215,7 +215,7 @@
 
 // State returns the state dump, which contains no keys.
 func (v *View) State() any {
-	snapshot := v.Now()
+	snapshot := v.Snapshot()
 	state := State{Servers: snapshot.Servers, Versions: snapshot.Versions, Revisions: v.Revisions()}
 	if snapshot.Table != nil {
 		state.ConfigurationVersion = snapshot.Table.Version
@@ -230,7 +230,7 @@
 func (v *View) Ready(ctx context.Context) bool {
 	for {
 		changed := v.Changed()
-		if snapshot := v.Now(); snapshot.Table != nil && snapshot.ServersKnown {
+		if snapshot := v.Snapshot(); snapshot.Table != nil && snapshot.ServersKnown {
 			return true
 		}
 		select {
--- a/internal/edge/view/view_test.go
+++ b/internal/edge/view/view_test.go
@@ -45,7 +45,7 @@
 			for _, collection := range test.collections {
 				v.ApplyIfNewer(collection)
 			}
-			if got := v.Now().Table.Version; got != test.want {
+			if got := v.Snapshot().Table.Version; got != test.want {
 				t.Errorf("version = %d, want the highest", got)
 			}
 		})
@@ -76,7 +76,7 @@
 		{Name: "good", Value: json.RawMessage(good)},
 		{Name: "worse", Value: json.RawMessage(`{"service":7}`)},
 	}})
-	if servers := v.Now().Servers; len(servers) != 1 || servers[0].ID != "good" {
+	if servers := v.Snapshot().Servers; len(servers) != 1 || servers[0].ID != "good" {
 		t.Errorf("%+v", servers)
 	}
 }
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -270,7 +270,7 @@
 
 // demand returns what is trained.
 func (g *Gateway) demand() batch.Demand {
-	snapshot := g.view.Now()
+	snapshot := g.view.Snapshot()
 	demand := batch.Demand{Models: slices.Sorted(maps.Keys(snapshot.Versions))}
 	for _, server := range snapshot.Servers {
 		if len(server.Models) > 0 {
@@ -282,7 +282,7 @@
 
 // route returns the route of a request in the configuration in force.
 func (g *Gateway) route(host, path string) (routing.Route, bool) {
-	table := g.view.Now().Table
+	table := g.view.Snapshot().Table
 	if table == nil {
 		return routing.Route{}, false
 	}
--- a/internal/program/process/gateway_call_test.go
+++ b/internal/program/process/gateway_call_test.go
@@ -169,7 +169,7 @@
 	d := newDeployment(t, 1)
 	d.store.Register(d.services[0], true)
 	d.eventually("the entry knows", func() bool {
-		for _, server := range d.gateways[0].view.Now().Servers {
+		for _, server := range d.gateways[0].view.Snapshot().Servers {
 			if server.ID == "desk-0" {
 				return server.Draining
 			}
@@ -194,7 +194,7 @@
 	d.store.Register(d.services[1], true)
 	d.store.Compact()
 	d.eventually("the change is known", func() bool {
-		for _, server := range d.gateways[0].view.Now().Servers {
+		for _, server := range d.gateways[0].view.Snapshot().Servers {
 			if server.ID == "desk-1" && server.Draining {
 				return true
 			}
--- a/internal/program/process/gateway_duty_test.go
+++ b/internal/program/process/gateway_duty_test.go
@@ -39,7 +39,7 @@
 	}
 	d.engines[1].SetVersion("m", 5)
 	d.eventually("the entry knows the list", func() bool {
-		for _, server := range d.gateways[0].view.Now().Servers {
+		for _, server := range d.gateways[0].view.Snapshot().Servers {
 			if server.Pool == "engines" && server.Models["m"] != 5 {
 				return false
 			}
--- a/internal/program/process/gateway_route_test.go
+++ b/internal/program/process/gateway_route_test.go
@@ -18,7 +18,7 @@
 		{Name: "safe", Kind: platformtest.Idempotent, Pool: "desk", Timeout: 3 * time.Second},
 	}, map[string][]string{"north": {keyNorth}, "south": {keySouth}})
 	d.eventually("the configuration is in force", func() bool {
-		table := d.gateways[0].view.Now().Table
+		table := d.gateways[0].view.Snapshot().Table
 		_, matched := table.Match("other.example", "/safe/x")
 		return matched
 	})
