--- a/internal/edge/view/view.go
+++ b/internal/edge/view/view.go
@@ -226,8 +226,8 @@
 	return state
 }
 
-// Ready waits until a configuration and a server list are known. It returns false if ctx ended first.
-func (v *View) Ready(ctx context.Context) bool {
+// WaitReady waits until a configuration and a server list are known. It returns false if ctx ended first.
+func (v *View) WaitReady(ctx context.Context) bool {
 	for {
 		changed := v.Changed()
 		if snapshot := v.Snapshot(); snapshot.Table != nil && snapshot.ServersKnown {
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -168,7 +168,7 @@
 	g.work.Go(func() { g.register(ctx, self) })
 	g.startDuties(ctx, self, store.NewHTTP(reportsAddress, platformCalls), serverCalls)
 	g.work.Go(func() {
-		if g.view.Ready(ctx) {
+		if g.view.WaitReady(ctx) {
 			g.admin.SetReady(true)
 			g.log.Info().Msg("ready")
 		}
