--- a/internal/edge/view/follow.go
+++ b/internal/edge/view/follow.go
@@ -95,8 +95,8 @@
 // Wait returns once all goroutines have ended, after the context has.
 func (f *Follower) Wait() { f.work.Wait() }
 
-// Heard fetches, in the background, each kind of which another entry has a newer revision.
-func (f *Follower) Heard(ctx context.Context, from gossip.Member, revisions map[string]uint64) {
+// FetchNewer fetches, in the background, each kind of which another entry has a newer revision.
+func (f *Follower) FetchNewer(ctx context.Context, from gossip.Member, revisions map[string]uint64) {
 	known := f.view.Revisions()
 	for _, kind := range Kinds {
 		if revisions[kind] > known[kind] {
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -156,7 +156,7 @@
 // HeartbeatReceived takes in what another entry told.
 func (n *news) HeartbeatReceived(now time.Time, beat gossip.Heartbeat) {
 	g := n.gateway
-	g.follower.Heard(context.Background(), beat.From, beat.Revisions)
+	g.follower.FetchNewer(context.Background(), beat.From, beat.Revisions)
 	for _, count := range beat.Counts {
 		g.ledger.Merge(count)
 	}
