--- a/internal/edge/view/follow.go
+++ b/internal/edge/view/follow.go
@@ -133,8 +133,8 @@
 	return f.contacts.reachesStore(now, host)
 }
 
-// HeardContacts adds the contacts that another entry sent, as ages in milliseconds.
-func (f *Follower) HeardContacts(now time.Time, ages map[string]int64) { f.contacts.merge(now, ages) }
+// MergeContacts adds the contacts that another entry sent, as ages in milliseconds.
+func (f *Follower) MergeContacts(now time.Time, ages map[string]int64) { f.contacts.merge(now, ages) }
 
 // probe checks regularly that this entry reaches the store while it follows it. A watch on a connection that a network
 // partition cut stays silent for seconds, and all entries that rely on it would keep an old configuration meanwhile.
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -161,7 +161,7 @@
 		g.ledger.Merge(count)
 	}
 	g.jobs.ApplyGossip(beat.From, beat.Jobs, beat.Ended, beat.Owners)
-	g.follower.HeardContacts(now, beat.Contacts)
+	g.follower.MergeContacts(now, beat.Contacts)
 	n.hearHolder(beat.DutyHolder)
 	n.observeTokenRates(now, beat.TokenRates)
 	n.note(beat.From.HostID, runningThere{at: now, servers: beat.Running})
