--- a/internal/edge/view/follow.go
+++ b/internal/edge/view/follow.go
@@ -128,8 +128,8 @@
 // Outage reports whether no entry has reached the store recently, so that no call to it can be expected to succeed.
 func (f *Follower) Outage(now time.Time) bool { return f.contacts.outage(now) }
 
-// Reaches reports whether the host is known to have reached the store recently.
-func (f *Follower) Reaches(now time.Time, host string) bool {
+// ReachesStore reports whether the host is known to have reached the store recently.
+func (f *Follower) ReachesStore(now time.Time, host string) bool {
 	return f.contacts.reachesStore(now, host)
 }
 
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -159,7 +159,7 @@
 		Log:     g.log,
 	}, g.registry)
 	g.gossip = gossip.New(ctx, self, g.client, g.registry, g.news, g.log)
-	relay.set(store.NewRelay(g.client, g.gossip, g.follower.Reaches))
+	relay.set(store.NewRelay(g.client, g.gossip, g.follower.ReachesStore))
 	members.set(g.gossip)
 	g.gossip.Meet(g.set.Seeds...)
 	if err := g.serve(ctx, metrics); err != nil {
