--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -17,9 +17,9 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/view"
 )
 
-// Lease is the name of the single lease for all of this work. One holder needs fewer store calls than one for each kind of
+// LeaseName is the name of the single lease for all of this work. One holder needs fewer store calls than one for each kind of
 // work; docs/CAPACITY.md describes how the work could be split.
-const Lease = "duties"
+const LeaseName = "duties"
 
 // Timing returns the timing of the lease. The holder stops 3.3 s after its last renewal began, and a contender waits for 4.7 s
 // after it saw that renewal. A receiver that ignores fencing numbers counts holders that alternate within 3 s as a violation,
