--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -21,10 +21,10 @@
 // work; docs/CAPACITY.md describes how the work could be split.
 const LeaseName = "duties"
 
-// Timing returns the timing of the lease. The holder stops 3.3 s after its last renewal began, and a contender waits for 4.7 s
+// LeaseTiming returns the timing of the lease. The holder stops 3.3 s after its last renewal began, and a contender waits for 4.7 s
 // after it saw that renewal. A receiver that ignores fencing numbers counts holders that alternate within 3 s as a violation,
 // and an order is under way for less than the second and a half between the two.
-func Timing() lease.Timing {
+func LeaseTiming() lease.Timing {
 	return lease.Timing{Term: 4 * time.Second, Renew: 1300 * time.Millisecond, Margin: 700 * time.Millisecond}
 }
 
