--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -50,8 +50,8 @@
 	// Sweep deletes stored data that can no longer be requested. It runs every SweepPause.
 	Sweep      func(ctx context.Context, now time.Time) error
 	SweepPause time.Duration
-	// Missing reports whether contact with an entry was lost recently, so that its usage counts may still arrive.
-	Missing func(now time.Time) bool
+	// CountsMissing reports whether contact with an entry was lost recently, so that its usage counts may still arrive.
+	CountsMissing func(now time.Time) bool
 	// TokenRates returns, by model, the recent peak of the token rate that its jobs require.
 	TokenRates func(now time.Time) map[string]float64
 	// Window is the length of a usage window.
--- a/internal/edge/leader/report.go
+++ b/internal/edge/leader/report.go
@@ -48,7 +48,7 @@
 	if now.Before(r.nextAttempt) {
 		return
 	}
-	for _, window := range usage.DueWindows(now, r.deps.Window, r.deps.Missing(now)) {
+	for _, window := range usage.DueWindows(now, r.deps.Window, r.deps.CountsMissing(now)) {
 		if r.reported[window] {
 			continue
 		}
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -239,7 +239,7 @@
 		Ledger:     g.ledger,
 		Sweep:      g.jobs.Sweep,
 		SweepPause: batchjob.SweepInterval,
-		Missing:    g.news.missing,
+		CountsMissing:    g.news.missing,
 		TokenRates: g.news.tokenRates,
 		Window:     g.set.UsageWindow,
 		Log:        g.log,
