--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -42,8 +42,8 @@
 	Store  *store.Store
 	// Reports sends calls to the platform's interface for usage reports.
 	Reports store.Carrier
-	// Engines returns the carrier for calls to a backend server.
-	Engines func(backend.Server) store.Carrier
+	// ServerCarrier returns the carrier for calls to a backend server.
+	ServerCarrier func(backend.Server) store.Carrier
 	View    *view.View
 	Book    *backend.Balancer
 	Ledger  *usage.Ledger
--- a/internal/edge/leader/weights.go
+++ b/internal/edge/leader/weights.go
@@ -139,7 +139,7 @@
 // send sends one order under the lease. It first reads the server's count of accepted orders if that is not known.
 func (s *orderSender) send(ctx context.Context, order weights.Order, accepted int, known bool) orderResult {
 	result := orderResult{order: order}
-	server := s.deps.Engines(order.Server)
+	server := s.deps.ServerCarrier(order.Server)
 	holder, deadline, held := s.guard.actingHolder()
 	if !held {
 		return result
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -233,7 +233,7 @@
 		Keeper:     g.keeper,
 		Store:      g.store,
 		Reports:    reports,
-		Engines:    func(server backend.Server) store.Carrier { return store.NewHTTP(server.Address, serverCalls) },
+		ServerCarrier:    func(server backend.Server) store.Carrier { return store.NewHTTP(server.Address, serverCalls) },
 		View:       g.view,
 		Book:       g.book,
 		Ledger:     g.ledger,
