--- a/internal/edge/fleet/fault_test.go
+++ b/internal/edge/fleet/fault_test.go
@@ -114,7 +114,7 @@
 			}
 			return []fleet.State{state}, nil
 		},
-		Drain: func(context.Context, Pause) error { return nil },
+		Drain: func(context.Context, DrainRequest) error { return nil },
 	}
 	runner := New(ctx, "a", id, deps, WithInterval(10*time.Millisecond))
 	// A killed process sends nothing more, but its last call may still be under way.
--- a/internal/edge/fleet/runner.go
+++ b/internal/edge/fleet/runner.go
@@ -33,11 +33,11 @@
 	// Gather returns the state of each pool in the zone, without Memory.
 	Gather func(ctx context.Context, now time.Time) ([]fleet.State, error)
 	// Drain tells an agent to accept no new work, or to accept work again.
-	Drain func(ctx context.Context, request Pause) error
+	Drain func(ctx context.Context, request DrainRequest) error
 }
 
-// Pause tells one agent to accept no new work, or to accept work again.
-type Pause struct {
+// DrainRequest tells one agent to accept no new work, or to accept work again.
+type DrainRequest struct {
 	HostID  string
 	Drain   bool
 	Fencing platform.Version
@@ -216,7 +216,7 @@
 
 // sendDrain sends a drain request to one agent, and reports whether the agent confirmed it.
 func (r *Runner) sendDrain(ctx context.Context, id string, drain bool) bool {
-	if err := r.deps.Drain(ctx, Pause{HostID: id, Drain: drain, Fencing: r.fencing}); err != nil {
+	if err := r.deps.Drain(ctx, DrainRequest{HostID: id, Drain: drain, Fencing: r.fencing}); err != nil {
 		r.log.Warn().Err(err).Str("hostId", id).Bool("drain", drain).Msg("failed to send drain request to agent")
 		return false
 	}
--- a/internal/edge/fleet/runner_test.go
+++ b/internal/edge/fleet/runner_test.go
@@ -53,7 +53,7 @@
 	return f.states, nil
 }
 
-func (f *fakeDeps) drain(_ context.Context, request Pause) error {
+func (f *fakeDeps) drain(_ context.Context, request DrainRequest) error {
 	f.drained = append(f.drained, fmt.Sprint(request.HostID, " ", request.Drain))
 	return nil
 }
--- a/internal/program/process/zone.go
+++ b/internal/program/process/zone.go
@@ -92,7 +92,7 @@
 }
 
 // drain tells an agent to take no new work, or to take work again.
-func (z zone) drain(ctx context.Context, order fleet.Pause) error {
+func (z zone) drain(ctx context.Context, order fleet.DrainRequest) error {
 	host, ok := z.host(order.HostID)
 	if !ok {
 		return errors.Wrap(errUnknownHost, order.HostID)
--- a/internal/program/process/zone_test.go
+++ b/internal/program/process/zone_test.go
@@ -222,7 +222,7 @@
 			defer w.rounds.Add(1)
 			return w.seen.gather(ctx, now)
 		},
-		Drain: func(context.Context, fleet.Pause) error { return nil },
+		Drain: func(context.Context, fleet.DrainRequest) error { return nil },
 	}, fleet.WithInterval(10*time.Millisecond))
 	t.Cleanup(func() {
 		cancel()
