--- a/internal/edge/duty/keeper.go
+++ b/internal/edge/duty/keeper.go
@@ -125,9 +125,9 @@
 	firstHeard lease.Instant
 }
 
-// Heard records the holder's announcement that its renewal wrote this version of the lease object. A contender that reads that
-// version later counts the term from this call, not from the read: otherwise, after an outage of the store in which the holder
-// died, the duty would stay unheld for another whole term.
+// Heard records the holder's announcement that its renewal wrote this version of the lease object. A contender that
+// reads that version later counts the term from this call, not from the read: otherwise, after an outage of the store in which
+// the holder died, the duty would stay unheld for another whole term.
 func (k *Keeper) Heard(version platform.Version) {
 	if last := k.reported.Load(); last == nil || version > last.version {
 		k.reported.Store(&reportedVersion{version: version, firstHeard: k.instant(k.clock())})
@@ -142,7 +142,7 @@
 	holder    Holder
 	hasHolder bool
 	lastError string
-	// changed is closed when a snapshot with another holder or another held is published.
+	// changed is closed when a snapshot that differs in holder, hasHolder or held is published.
 	changed chan struct{}
 }
 
--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -1,5 +1,6 @@
-// Package leader does the work that one entry at a time does for all: it reports usage, orders servers to load weight
-// versions, and reports which hosts may be removed. The right to do so is a lease in the platform's store.
+// Package leader does the work that one entry, a process that accepts client requests, does at a time for all entries: it
+// reports usage, orders servers to load weight versions, and reports which hosts may be removed. The right to do so is a lease
+// in the platform's store.
 package leader
 
 import (
@@ -21,9 +22,9 @@
 // work; docs/CAPACITY.md describes how the work could be split.
 const LeaseName = "duties"
 
-// LeaseTiming returns the timing of the lease. The holder stops 3.3 s after its last renewal began, and a contender waits for 4.7 s
-// after it saw that renewal. A receiver that ignores fencing numbers counts holders that alternate within 3 s as a violation,
-// and an order is under way for less than the second and a half between the two.
+// LeaseTiming returns the timing of the lease. The holder stops 3.3 s after its last renewal began, and a contender waits for
+// 4.7 s after it saw that renewal. A receiver that ignores fencing numbers treats holders that alternate within 3 s as two
+// concurrent holders, and an order is under way for less than the second and a half between the two times.
 func LeaseTiming() lease.Timing {
 	return lease.Timing{Term: 4 * time.Second, Renew: 1300 * time.Millisecond, Margin: 700 * time.Millisecond}
 }
@@ -44,9 +45,9 @@
 	Reports store.Carrier
 	// ServerCarrier returns the carrier for calls to a backend server.
 	ServerCarrier func(backend.Server) store.Carrier
-	View    *view.View
-	Book    *backend.Balancer
-	Ledger  *usage.Ledger
+	View          *view.View
+	Book          *backend.Balancer
+	Ledger        *usage.Ledger
 	// Sweep deletes stored data that can no longer be requested. It runs every SweepPause.
 	Sweep      func(ctx context.Context, now time.Time) error
 	SweepPause time.Duration
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -229,20 +229,20 @@
 		duty.WithContendIf(func() bool { return !heard() }))
 	g.duties.Store(g.keeper)
 	g.leader = leader.New(ctx, leader.Deps{
-		HostID:     self.HostID,
-		Keeper:     g.keeper,
-		Store:      g.store,
-		Reports:    reports,
-		ServerCarrier:    func(server backend.Server) store.Carrier { return store.NewHTTP(server.Address, serverCalls) },
-		View:       g.view,
-		Book:       g.book,
-		Ledger:     g.ledger,
-		Sweep:      g.jobs.Sweep,
-		SweepPause: batchjob.SweepInterval,
-		CountsMissing:    g.news.missing,
-		TokenRates: g.news.tokenRates,
-		Window:     g.set.UsageWindow,
-		Log:        g.log,
+		HostID:        self.HostID,
+		Keeper:        g.keeper,
+		Store:         g.store,
+		Reports:       reports,
+		ServerCarrier: func(server backend.Server) store.Carrier { return store.NewHTTP(server.Address, serverCalls) },
+		View:          g.view,
+		Book:          g.book,
+		Ledger:        g.ledger,
+		Sweep:         g.jobs.Sweep,
+		SweepPause:    batchjob.SweepInterval,
+		CountsMissing: g.news.missing,
+		TokenRates:    g.news.tokenRates,
+		Window:        g.set.UsageWindow,
+		Log:           g.log,
 	})
 }
 
