--- a/internal/core/ticket/bench_test.go
+++ b/internal/core/ticket/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// largeView has five keys an organisation.
-func largeView(b *testing.B, organisations int) (*View, store) {
+// largeView returns a view of organisations with five keys each, and the content of its parts.
+func largeView(b *testing.B, organisations int) (*View, partStore) {
 	b.Helper()
 	t := Ticket{}
 	for i := range organisations {
@@ -16,12 +16,12 @@
 		}
 		t.Organisations = append(t.Organisations, organisation)
 	}
-	kept := store{}
-	view, err := kept.accept(Empty(), t)
+	parts := partStore{}
+	view, err := parts.applyTicket(Empty(), t)
 	if err != nil {
 		b.Fatal(err)
 	}
-	return view, kept
+	return view, parts
 }
 
 func BenchmarkAuthenticate(b *testing.B) {
@@ -40,14 +40,14 @@
 func BenchmarkNewView(b *testing.B) {
 	for _, organisations := range []int{8, 100, 1000} {
 		b.Run(fmt.Sprintf("organisations=%d", organisations), func(b *testing.B) {
-			view, kept := largeView(b, organisations)
+			view, parts := largeView(b, organisations)
 			head := view.Head()
 			value, err := head.Value()
 			if err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				if _, err := NewView(2, head, kept); err != nil {
+				if _, err := NewView(2, head, parts); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/core/ticket/change.go
+++ b/internal/core/ticket/change.go
@@ -4,25 +4,26 @@
 	"encoding/json"
 )
 
-// Part is one immutable piece of the configuration, stored under its content's hash.
+// Part is the configuration of one organisation, pool or trainer job. Parts are immutable and stored under
+// the hash of their content.
 type Part struct {
-	// Name is the kind and the own name, such as "pool/billdesk".
+	// Name is the kind and the name of the entry, such as "pool/billdesk".
 	Name    string
 	Hash    string
 	Content json.RawMessage
 }
 
-// Change is a head to be written and the parts that have to be written before it.
+// Change is a new head and the parts that have to be stored before it.
 type Change struct {
 	Head Head
-	// Parts holds only the parts whose content differs from the view's.
+	// Parts holds only the parts whose content differs from that in the current view.
 	Parts []Part
 }
 
-// Apply returns the change that makes the ticket the next one after the view, or FieldErrors if
-// the ticket does not fit the view.
+// Apply returns the change that accepts the ticket as the next one after the view, or FieldErrors if
+// the ticket contradicts the configuration in the view.
 func (v *View) Apply(t Ticket) (Change, error) {
-	next := v.with(t)
+	next := v.withTicket(t)
 	if err := next.check(v, t); err != nil {
 		return Change{}, err
 	}
@@ -31,17 +32,18 @@
 		return Change{}, err
 	}
 	change := Change{Head: v.head.clone()}
-	if err := change.setAll(t); err != nil {
+	if err := change.setAllParts(t); err != nil {
 		return Change{}, err
 	}
 	for _, version := range t.ModelVersions {
 		change.Head.ModelVersions[version.Model] = version
 	}
-	change.Head.record(digest)
+	change.Head.recordTicket(digest)
 	return change, nil
 }
 
-// WithModelVersion returns the head with a newer version of one model under the same last ticket.
+// WithModelVersion returns the head with a newer version of one model. The number of the last ticket stays
+// the same. It returns FieldErrors if the version isn't newer or no pool serves the model.
 func (v *View) WithModelVersion(version ModelVersion) (Head, error) {
 	if err := v.checkModelVersion("modelVersion", version); err != nil {
 		return Head{}, err
@@ -51,76 +53,76 @@
 	return head, nil
 }
 
-// WithUpcoming returns the head with a version that servers are to load beside the one they serve. It must be
-// above both that one and any that was announced before.
+// WithUpcoming returns the head with a version that servers load in advance while they serve the current one.
+// It returns FieldErrors unless the version is above both the current and the previously announced one.
 func (v *View) WithUpcoming(version ModelVersion) (Head, error) {
 	if err := v.checkModelVersion("modelVersion", version); err != nil {
 		return Head{}, err
 	}
 	if announced, ok := v.Upcoming(version.Model); ok && version.Version <= announced.Version && version != announced {
-		return Head{}, FieldErrors{notAbove("modelVersion", version, announced)}
+		return Head{}, FieldErrors{versionNotAbove("modelVersion", version, announced)}
 	}
 	head := v.head.clone()
 	head.Upcoming[version.Model] = version
 	return head, nil
 }
 
-// with returns a view with the ticket's parts in place of the old ones; its indexes of keys and
-// models are not filled.
-func (v *View) with(t Ticket) *View {
-	next := emptyView(v.revision, v.head)
-	merge(next.organisations, v.organisations, t.Organisations, Organisation.entry)
-	merge(next.pools, v.pools, t.Pools, Pool.entry)
-	merge(next.trainerJobs, v.trainerJobs, t.TrainerJobs, TrainerJob.entry)
+// withTicket returns a view in which the ticket's entries replace the old ones. Its indexes of keys and
+// models stay empty.
+func (v *View) withTicket(t Ticket) *View {
+	next := viewWithoutParts(v.revision, v.head)
+	mergeEntries(next.organisations, v.organisations, t.Organisations, Organisation.nameAndRemoved)
+	mergeEntries(next.pools, v.pools, t.Pools, Pool.nameAndRemoved)
+	mergeEntries(next.trainerJobs, v.trainerJobs, t.TrainerJobs, TrainerJob.nameAndRemoved)
 	return next
 }
 
-func merge[T any](into, old map[string]T, changed []T, entry func(T) (string, bool)) {
+func mergeEntries[T any](merged, old map[string]T, changed []T, nameAndRemoved func(T) (string, bool)) {
 	for name, value := range old {
-		into[name] = value
+		merged[name] = value
 	}
 	for _, value := range changed {
-		name, removed := entry(value)
+		name, removed := nameAndRemoved(value)
 		if removed {
-			delete(into, name)
+			delete(merged, name)
 			continue
 		}
-		into[name] = value
+		merged[name] = value
 	}
 }
 
-func (o Organisation) entry() (name string, removed bool) { return o.Name, o.Removed }
+func (o Organisation) nameAndRemoved() (name string, removed bool) { return o.Name, o.Removed }
 
-func (p Pool) entry() (name string, removed bool) { return p.Name, p.Removed }
+func (p Pool) nameAndRemoved() (name string, removed bool) { return p.Name, p.Removed }
 
-func (j TrainerJob) entry() (name string, removed bool) { return j.Name, j.Removed }
+func (j TrainerJob) nameAndRemoved() (name string, removed bool) { return j.Name, j.Removed }
 
-func (c *Change) setAll(t Ticket) error {
-	if err := setParts(c, organisationPart, t.Organisations, Organisation.entry); err != nil {
+func (c *Change) setAllParts(t Ticket) error {
+	if err := setParts(c, organisationPart, t.Organisations, Organisation.nameAndRemoved); err != nil {
 		return err
 	}
-	if err := setParts(c, poolPart, t.Pools, Pool.entry); err != nil {
+	if err := setParts(c, poolPart, t.Pools, Pool.nameAndRemoved); err != nil {
 		return err
 	}
-	return setParts(c, trainerJobPart, t.TrainerJobs, TrainerJob.entry)
+	return setParts(c, trainerJobPart, t.TrainerJobs, TrainerJob.nameAndRemoved)
 }
 
-func setParts[T any](c *Change, kind string, values []T, entry func(T) (string, bool)) error {
+func setParts[T any](c *Change, kind string, values []T, nameAndRemoved func(T) (string, bool)) error {
 	for _, value := range values {
-		own, removed := entry(value)
-		name := kind + "/" + own
+		entryName, removed := nameAndRemoved(value)
+		partName := kind + "/" + entryName
 		if removed {
-			delete(c.Head.Parts, name)
+			delete(c.Head.Parts, partName)
 			continue
 		}
-		part, err := newPart(name, value)
+		part, err := newPart(partName, value)
 		if err != nil {
 			return err
 		}
-		if c.Head.Parts[name] == part.Hash {
+		if c.Head.Parts[partName] == part.Hash {
 			continue
 		}
-		c.Head.Parts[name] = part.Hash
+		c.Head.Parts[partName] = part.Hash
 		c.Parts = append(c.Parts, part)
 	}
 	return nil
--- a/internal/core/ticket/check.go
+++ b/internal/core/ticket/check.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// check finds contradictions between the ticket and the configuration that it would lead to.
-// The receiver is that configuration, before is the present one.
+// check returns FieldErrors for contradictions between the ticket and the configuration that would result
+// from it. The receiver is the resulting configuration, before is the current one.
 func (v *View) check(before *View, t Ticket) error {
 	var found findings
 	v.checkKeys(&found, t)
 	v.checkPools(&found, t)
 	v.checkJobs(&found, t)
-	v.checkRemovals(&found, before, t)
+	v.checkDependents(&found, before, t)
 	for i, version := range t.ModelVersions {
 		if err := v.modelVersionError(fmt.Sprintf("modelVersions[%d]", i), version); err != nil {
 			found.list = append(found.list, err)
@@ -22,16 +22,16 @@
 	return found.err()
 }
 
-// checkKeys refuses a key of two organisations: its requests could run for the wrong one.
+// checkKeys rejects a key that belongs to two organisations: its requests could run for the wrong one.
 func (v *View) checkKeys(found *findings, t Ticket) {
 	owners := map[string]string{}
-	touched := map[string]bool{}
+	changed := map[string]bool{}
 	for _, organisation := range t.Organisations {
-		touched[organisation.Name] = true
+		changed[organisation.Name] = true
 	}
 	for name, organisation := range v.organisations {
 		for _, keyHash := range organisation.KeyHashes {
-			if !touched[name] {
+			if !changed[name] {
 				owners[keyHash] = name
 			}
 		}
@@ -58,13 +58,13 @@
 			found.require(known, fmt.Sprintf("%s.organisations[%d]", path, j),
 				fmt.Sprintf("there is no organisation %q", name), "the name of an organisation")
 		}
-		if other := v.otherModelPool(pool); other != "" {
+		if other := v.conflictingModelPool(pool); other != "" {
 			found.add(path+".model", fmt.Sprintf("model %q is served by pool %q", pool.Model, other), "one pool a model")
 		}
 	}
 }
 
-func (v *View) otherModelPool(pool Pool) string {
+func (v *View) conflictingModelPool(pool Pool) string {
 	if pool.Kind != KindModel {
 		return ""
 	}
@@ -108,32 +108,33 @@
 	return false
 }
 
-// checkRemovals refuses to take out, or to change into something else, what parts that the ticket
-// doesn't touch still need.
-func (v *View) checkRemovals(found *findings, before *View, t Ticket) {
+// checkDependents rejects removals and changes of kind or model that break a part which the ticket doesn't
+// change itself.
+func (v *View) checkDependents(found *findings, before *View, t Ticket) {
 	for i, organisation := range t.Organisations {
-		if user := v.userOf(organisation); user != "" {
+		if referrer := v.referrerOf(organisation); referrer != "" {
 			found.add(fmt.Sprintf("organisations[%d].removed", i),
-				fmt.Sprintf("%s still names organisation %q", user, organisation.Name), "a ticket that changes both")
+				fmt.Sprintf("%s still names organisation %q", referrer, organisation.Name), "a ticket that changes both")
 		}
 	}
-	touched := map[string]bool{}
+	changed := map[string]bool{}
 	for _, job := range t.TrainerJobs {
-		touched[job.Name] = true
+		changed[job.Name] = true
 	}
 	for _, job := range before.TrainerJobs() {
-		if touched[job.Name] {
+		if changed[job.Name] {
 			continue
 		}
 		pool, known := v.pools[job.ScoringPool]
-		intact := v.servesModel(job.Model) && (job.ScoringPool == "" || known && pool.Kind == KindScoring)
-		found.require(intact, "pools", fmt.Sprintf("trainer job %q needs model %q and scoring pool %q",
+		satisfied := v.servesModel(job.Model) && (job.ScoringPool == "" || known && pool.Kind == KindScoring)
+		found.require(satisfied, "pools", fmt.Sprintf("trainer job %q needs model %q and scoring pool %q",
 			job.Name, job.Model, job.ScoringPool), "a ticket that changes both")
 	}
 }
 
-// userOf returns what still names a removed organisation.
-func (v *View) userOf(organisation Organisation) string {
+// referrerOf describes a trainer job or pool that still refers to an organisation which the ticket removes. It
+// returns "" if there is none.
+func (v *View) referrerOf(organisation Organisation) string {
 	if !organisation.Removed {
 		return ""
 	}
@@ -157,8 +158,8 @@
 	return nil
 }
 
-// modelVersionError refuses a version that would go back: samples of the newer one would be counted
-// as older than they are, and engines would switch to and fro.
+// modelVersionError rejects a version that is lower than the current one. If versions went back, samples of the
+// newer one would be counted as older than they are, and engines would switch back and forth.
 func (v *View) modelVersionError(path string, version ModelVersion) *FieldError {
 	if !v.servesModel(version.Model) {
 		return &FieldError{
@@ -170,10 +171,10 @@
 	if !known || version.Version > current.Version || version == current {
 		return nil
 	}
-	return notAbove(path, version, current)
+	return versionNotAbove(path, version, current)
 }
 
-func notAbove(path string, version, current ModelVersion) *FieldError {
+func versionNotAbove(path string, version, current ModelVersion) *FieldError {
 	return &FieldError{
 		Path: path + ".version", Problem: fmt.Sprintf("version %d of %q is not above %d", version.Version, version.Model, current.Version),
 		Expected: fmt.Sprintf("a version from %d on", current.Version+1),
--- a/internal/core/ticket/delta.go
+++ b/internal/core/ticket/delta.go
@@ -2,20 +2,20 @@
 
 import "maps"
 
-// Delta is what leads from one head to a later one. A head of a thousand organisations takes 100 KB;
-// a relay that sent it to 58 followers at each ticket would send several megabytes.
+// Delta is the difference between a head and a later one. A head of a thousand organisations takes 100 KB, so
+// that a relay that sent whole heads to 58 followers would send several megabytes for each ticket.
 type Delta struct {
 	LastTicket int `json:"lastTicket"`
-	// Digests are those of the tickets in between, oldest first.
+	// Digests are the digests of the tickets accepted in between, oldest first.
 	Digests []string `json:"digests,omitempty"`
-	// Parts are those with another content; Removed names those that are gone.
+	// Parts maps the names of new and changed parts to their content hashes; Removed names the removed ones.
 	Parts         map[string]string       `json:"parts,omitempty"`
 	Removed       []string                `json:"removed,omitempty"`
 	ModelVersions map[string]ModelVersion `json:"modelVersions,omitempty"`
 	Upcoming      map[string]ModelVersion `json:"upcoming,omitempty"`
 }
 
-// DeltaTo returns what leads from this head to a later one.
+// DeltaTo returns the difference between this head and a later one.
 func (h Head) DeltaTo(next Head) Delta {
 	delta := Delta{
 		LastTicket:    next.LastTicket,
@@ -37,7 +37,7 @@
 	return delta
 }
 
-// changedVersions returns the versions that differ; a version is never taken out again.
+// changedVersions returns the versions that are new or differ. Versions are never removed.
 func changedVersions(old, next map[string]ModelVersion) map[string]ModelVersion {
 	changed := map[string]ModelVersion{}
 	for model, version := range next {
@@ -48,7 +48,7 @@
 	return changed
 }
 
-// Patch returns the head that the delta leads to.
+// Patch returns the head with the delta applied.
 func (h Head) Patch(delta Delta) Head {
 	next := h.clone()
 	next.LastTicket = delta.LastTicket
--- a/internal/core/ticket/digest.go
+++ b/internal/core/ticket/digest.go
@@ -11,25 +11,25 @@
 	"github.com/pkg/errors"
 )
 
-// PartObjectPrefix starts the object names of parts; the content hash follows.
+// PartObjectPrefix is the prefix of the object names of parts. The content hash follows it.
 const PartObjectPrefix = "part/"
 
-// PartObject is the object name of a part with the given content hash.
+// PartObject returns the object name of the part with the given content hash.
 func PartObject(hash string) string {
 	return PartObjectPrefix + hash
 }
 
-// KeyHash returns the lower-case hexadecimal SHA-256 of a key, as tickets carry it.
+// KeyHash returns the lower-case hexadecimal SHA-256 of a key, the form in which tickets contain keys.
 func KeyHash(key string) string {
-	return hashOf([]byte(key))
+	return hexSHA256([]byte(key))
 }
 
-func hashOf(data []byte) string {
+func hexSHA256(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
-// Digest names the content of a ticket: two tickets that say the same have the same digest, whatever
+// Digest returns a hash of the ticket's content. Tickets with the same content have the same digest, whatever
 // the order of their fields and entries.
 func Digest(t Ticket) (string, error) {
 	t.Organisations = sortedBy(t.Organisations, func(o Organisation) string { return o.Name })
@@ -40,23 +40,24 @@
 	if err != nil {
 		return "", errors.Wrap(err, "ticket digest")
 	}
-	return hashOf(data), nil
+	return hexSHA256(data), nil
 }
 
-// ContentHash hashes JSON independently of spaces and of the order of fields, since the object API
-// may hand a value back in another form than it was written. Numbers keep their digits.
+// ContentHash returns a hash of JSON that doesn't depend on whitespace or on the order of fields, since the
+// object API may return a value formatted differently from how it was written. Numbers are hashed with the
+// digits that they are written with.
 func ContentHash(content []byte) (string, error) {
 	decoder := json.NewDecoder(bytes.NewReader(content))
 	decoder.UseNumber()
-	var tree any
-	if err := decoder.Decode(&tree); err != nil {
+	var value any
+	if err := decoder.Decode(&value); err != nil {
 		return "", errors.Wrap(err, "content hash")
 	}
-	canonical, err := json.Marshal(tree)
+	canonical, err := json.Marshal(value)
 	if err != nil {
 		return "", errors.Wrap(err, "content hash")
 	}
-	return hashOf(canonical), nil
+	return hexSHA256(canonical), nil
 }
 
 func sortedBy[T any](list []T, name func(T) string) []T {
--- a/internal/core/ticket/duration.go
+++ b/internal/core/ticket/duration.go
@@ -1,11 +1,15 @@
-// Package ticket holds the configuration that operators change by numbered tickets:
-// its parts, the order of tickets, and the immutable view that traffic reads.
+// Package ticket holds the configuration that operators change with numbered tickets: its parts, the
+// numbering of tickets, and the immutable view that each request reads.
 //
-// Load pattern: a few tickets a minute from operators that race one another, read on thousands of hosts at
-// each request, with cuts and outages between. Head.Order decides which ticket gets a number: without it two
-// operators could both be told that theirs was accepted. Freshness decides whether a host may serve by its
-// view: without it a host that is cut off would serve a withdrawn key for as long as the cut lasts, or an
-// outage of the platform would stop all traffic. The grounds of the figures stand at the constants.
+// Load pattern: competing operators submit a few tickets a minute, and thousands of hosts read the
+// configuration at each request, through network partitions and outages of the platform. The platform stores
+// the configuration. Relays are hosts that read it there and forward it to the other hosts.
+//
+// Head.Order decides whether a ticket may be accepted under its number. Without it two operators could both be
+// told that their ticket was accepted under the same number. Freshness decides whether a host may serve
+// requests from its view. Without it a partitioned host would accept a withdrawn key for as long as the
+// partition lasts, or an outage of the platform would stop all traffic. The constants document the reasons for
+// their values.
 package ticket
 
 import (
@@ -18,12 +22,12 @@
 // Duration is a time.Duration written as a string such as "90s" in tickets.
 type Duration time.Duration
 
-// MarshalJSON writes the duration as a string.
+// MarshalJSON encodes the duration as a string.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads a string such as "90s".
+// UnmarshalJSON decodes a string such as "90s".
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
--- a/internal/core/ticket/fielderror.go
+++ b/internal/core/ticket/fielderror.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// FieldError says which field of a ticket is wrong and what would be right.
+// FieldError describes an invalid field of a ticket and what is valid there.
 type FieldError struct {
-	// Path leads to the field, such as "pools[1].minServers".
+	// Path is the path of the field, such as "pools[1].minServers".
 	Path string
-	// Problem is what is wrong; it never holds the value of a key or a key's hash.
+	// Problem describes the error. It never contains a key or the hash of a key.
 	Problem string
-	// Expected is what would be right.
+	// Expected describes a valid value.
 	Expected string
 }
 
-// Error returns path, problem and remedy in one line.
+// Error returns the path, the problem and the expected value in one line.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("%s: %s; expected %s", e.Path, e.Problem, e.Expected)
 }
 
-// FieldErrors is everything that is wrong with a ticket, sorted by path.
+// FieldErrors holds all errors of a ticket, sorted by path.
 type FieldErrors []*FieldError
 
 // Error returns all errors, separated by semicolons.
@@ -34,21 +34,21 @@
 	return strings.Join(lines, "; ")
 }
 
-// findings gathers field errors.
+// findings collects field errors.
 type findings struct{ list FieldErrors }
 
 func (f *findings) add(path, problem, expected string) {
 	f.list = append(f.list, &FieldError{Path: path, Problem: problem, Expected: expected})
 }
 
-// require adds an error unless ok holds.
+// require adds an error unless ok is true.
 func (f *findings) require(ok bool, path, problem, expected string) {
 	if !ok {
 		f.add(path, problem, expected)
 	}
 }
 
-// err returns the findings as one error, or nil.
+// err returns the collected errors as FieldErrors, or nil if there are none.
 func (f *findings) err() error {
 	if len(f.list) == 0 {
 		return nil
--- a/internal/core/ticket/freshness.go
+++ b/internal/core/ticket/freshness.go
@@ -2,69 +2,73 @@
 
 import "time"
 
-// FreshFor is how long a view may be served by after the platform last confirmed that it is the
-// newest. A key is to be refused everywhere within 5 s of its withdrawal's acceptance: 3 s leave 2 s
-// for cancelling streams and for the clocks' rounding. It is nearly twice the age that a host sees
-// in normal running (up to 0.6 s at a relay, one second more at the hosts that follow it).
+// FreshFor is how long a host may serve requests from a view after the platform last confirmed that the view
+// is the newest. Every host must reject a key within 5 s after its withdrawal was accepted; 3 s leave 2 s for
+// cancelling streams and for the rounding of clocks. It is nearly twice the age that a confirmation reaches in
+// normal operation: up to 0.6 s at a relay, and one second more at the hosts that follow it.
 const FreshFor = 3 * time.Second
 
-// OutageAfter is how old the confirmations of all relays that answer must be for an outage of the
-// platform. A relay asks every 0.3 s, so that its confirmation is at most about 0.6 s old in normal
-// running. The outage is established up to 0.8 s after that age is reached (a round that came too early and
-// the next one: 0.25 s each for relays that don't answer, 0.3 s between), before the first view is older than
-// FreshFor, so that nobody refuses at its start.
+// OutageAfter is the age that the confirmations of all answering relays must exceed for an outage of the
+// platform to be established. A relay polls the platform every 0.3 s, so that its confirmation is at most about
+// 0.6 s old in normal operation. The outage is established up to 0.8 s after that age is reached: a round of
+// queries that came too early and the next one wait up to 0.25 s each for relays that don't answer, with 0.3 s
+// in between. That is before the first view gets older than FreshFor, so that no host rejects requests when an
+// outage starts.
 const OutageAfter = time.Second
 
-// Freshness is what a host knows about how new its view is. Both times are safe bounds: the moment
-// before the question was asked whose answer they come from.
+// Freshness holds the evidence that a host's view is still the newest. Both times are conservative: each is
+// taken before the query was sent that gave the evidence.
 type Freshness struct {
-	// Confirmed is when the platform last confirmed the view, here or at a relay that passed it on.
+	// Confirmed is when the platform last confirmed the view to this host, or to a relay that forwarded the
+	// confirmation.
 	Confirmed time.Time
-	// Outage is when an outage of the platform was last established, here or at a relay.
+	// Outage is when this host or a relay last established an outage of the platform.
 	Outage time.Time
 }
 
-// Fresh reports whether requests may be served at now.
+// Fresh reports whether requests may be served from the view at now.
 //
-// It guards against a host that is cut off while a key is withdrawn elsewhere: it would go on serving
-// the key for as long as the cut lasts. Such a host hears neither the platform nor most of the relays,
-// so both times grow old and it refuses. In an outage of the platform no ticket can be accepted, so
-// the view stays the newest however old its confirmation is.
+// It guards against a partitioned host that goes on accepting a key which was withdrawn elsewhere, for as long
+// as the partition lasts. Such a host reaches neither the platform nor most of the relays, so that both times
+// get too old and it rejects requests. In an outage of the platform no ticket can be accepted, so that the view
+// stays the newest however old its confirmation is.
 func (f Freshness) Fresh(now time.Time) bool {
-	return within(now, f.Confirmed, FreshFor) || within(now, f.Outage, FreshFor)
+	return isRecent(now, f.Confirmed, FreshFor) || isRecent(now, f.Outage, FreshFor)
 }
 
 // InOutage reports whether an outage of the platform is established at now.
-func (f Freshness) InOutage(now time.Time) bool { return within(now, f.Outage, FreshFor) }
+func (f Freshness) InOutage(now time.Time) bool { return isRecent(now, f.Outage, FreshFor) }
 
-// Later returns the newer of both kinds of knowledge.
+// Later returns the later of both confirmations and the later of both outages.
 func (f Freshness) Later(other Freshness) Freshness {
 	return Freshness{Confirmed: later(f.Confirmed, other.Confirmed), Outage: later(f.Outage, other.Outage)}
 }
 
-// OutageEstablished judges one round of questions to all relays: relays is their number, asked the
-// moment before the round, and confirmed the confirmation times of those that answered and are
-// voters, this host included if it is one. More than half have to answer, since a minority could be cut off together
-// with this host, and none may hold a confirmation from OutageAfter before asked or later.
+// OutageEstablished reports whether one round of queries to all relays establishes an outage of the platform.
+// Relays is the number of relays, and asked is a time before the round. Confirmed holds the confirmation times
+// of the voters, the relays that count for this decision, that answered, including this host if it is a voter.
+// More than half of the relays have to answer, since a minority could be partitioned together with this host,
+// and no confirmation may be from the period OutageAfter before asked, or later.
 func OutageEstablished(asked time.Time, relays int, confirmed []time.Time) bool {
 	if 2*len(confirmed) <= relays {
 		return false
 	}
-	for _, at := range confirmed {
-		if within(asked, at, OutageAfter) {
+	for _, confirmation := range confirmed {
+		if isRecent(asked, confirmation, OutageAfter) {
 			return false
 		}
 	}
 	return true
 }
 
-// within measures by both clocks: the monotonic one misses a suspended machine, the wall clock a step.
-func within(now, since time.Time, span time.Duration) bool {
+// isRecent reports whether since is at most maxAge before now by both clocks. The monotonic clock may stop
+// while the machine is suspended, and the wall clock may be set back.
+func isRecent(now, since time.Time, maxAge time.Duration) bool {
 	if since.IsZero() {
 		return false
 	}
 	age := max(now.Sub(since), now.Round(0).Sub(since.Round(0)))
-	return age <= span
+	return age <= maxAge
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/core/ticket/head.go
+++ b/internal/core/ticket/head.go
@@ -9,29 +9,31 @@
 )
 
 const (
-	// HeadObject is the name of the one object whose conditional update accepts a ticket.
+	// HeadObject is the name of the object that stores the head. A conditional update of it accepts a ticket.
 	HeadObject = "head"
-	// KeptDigests is how many tickets back a repeated ticket is still told from another one with the
-	// same number. A client repeats within seconds; 64 tickets are about 18 minutes at 0.06 a second.
+	// KeptDigests is the number of ticket digests that a head keeps. They tell a repeated ticket from another
+	// one with the same number. A client repeats a ticket within seconds; 64 tickets take about 18 minutes at
+	// 0.06 a second.
 	KeptDigests = 64
 )
 
-// Head is the root of the configuration: which ticket came last and which content each part has.
+// Head is the root of the configuration. It holds the number of the last accepted ticket and the content hash
+// of each part.
 type Head struct {
 	LastTicket int `json:"lastTicket"`
-	// Digests of the last tickets, oldest first; the last one is that of LastTicket.
+	// Digests are the digests of the last tickets, oldest first, up to that of LastTicket.
 	Digests []string `json:"digests,omitempty"`
 	// Parts maps the name of each part to the hash of its content.
 	Parts map[string]string `json:"parts,omitempty"`
-	// ModelVersions holds the version to serve by model.
+	// ModelVersions maps each model to the version to serve.
 	ModelVersions map[string]ModelVersion `json:"modelVersions,omitempty"`
-	// Upcoming holds the version that servers are to load beside the one they serve, by model. An entry that is
-	// not above the version to serve has no meaning any more.
+	// Upcoming maps models to the version that servers load in advance while they serve the current one. An
+	// entry that isn't above the version to serve is obsolete.
 	Upcoming map[string]ModelVersion `json:"upcoming,omitempty"`
 }
 
-// ReadHead decodes the value of the head object. Fields of later releases are ignored, so that
-// hosts of two releases can run side by side.
+// ReadHead decodes the value of the head object. It ignores fields that later releases add, so that hosts of
+// two releases can run side by side. It returns an error if the number of digests is impossible.
 func ReadHead(value []byte) (Head, error) {
 	var head Head
 	if err := json.Unmarshal(value, &head); err != nil {
@@ -49,7 +51,7 @@
 	return value, errors.Wrap(err, HeadObject)
 }
 
-// clone returns a copy that shares nothing that a change would write to.
+// clone returns a copy that shares no map or slice with the head. Its maps are never nil.
 func (h Head) clone() Head {
 	h.Digests = slices.Clone(h.Digests)
 	h.Parts = maps.Clone(h.Parts)
@@ -67,8 +69,9 @@
 	return h
 }
 
-// record appends the digest of the next ticket and drops the oldest one beyond KeptDigests.
-func (h *Head) record(digest string) {
+// recordTicket advances the head by one ticket with the given digest and drops the oldest digest beyond
+// KeptDigests.
+func (h *Head) recordTicket(digest string) {
 	h.LastTicket++
 	h.Digests = append(h.Digests, digest)
 	if extra := len(h.Digests) - KeptDigests; extra > 0 {
--- a/internal/core/ticket/order.go
+++ b/internal/core/ticket/order.go
@@ -1,26 +1,26 @@
 package ticket
 
-// Order says how a numbered ticket stands to the tickets accepted so far.
+// Order tells whether a ticket may be accepted under its number, given the tickets accepted so far.
 type Order uint8
 
-// The ways in which a ticket stands to a head.
+// The results of the check of a ticket's number against a head.
 const (
-	// OrderNext: the ticket is the next one and may be accepted.
+	// OrderNext means that the ticket is the next one and may be accepted.
 	OrderNext Order = iota + 1
-	// OrderAccepted: the same ticket was accepted already under this number.
+	// OrderAccepted means that the same ticket was already accepted under this number.
 	OrderAccepted
-	// OrderTaken: another ticket was accepted under this number.
+	// OrderTaken means that another ticket was accepted under this number.
 	OrderTaken
-	// OrderEarly: a ticket with a lower number has to come first.
+	// OrderEarly means that a ticket with a lower number has to be accepted first.
 	OrderEarly
-	// OrderForgotten: the number is older than the digests that are kept, so it can't be told
-	// whether it is the same ticket.
+	// OrderForgotten means that the number is older than the digests that the head keeps, so that it is unknown
+	// whether the same ticket was accepted.
 	OrderForgotten
-	// OrderInvalid: numbers start at 1.
+	// OrderInvalid means that the number is below 1.
 	OrderInvalid
 )
 
-// String returns the name of the order.
+// String returns the name of the result.
 func (o Order) String() string {
 	switch o {
 	case OrderNext:
@@ -38,8 +38,8 @@
 	}
 }
 
-// Order says how the ticket with this number and digest stands to the head. Because the head changes
-// by conditional update only, the answer for a number that is not above LastTicket is final.
+// Order checks the number of a ticket with the given digest against the head. Because the head changes only by
+// conditional update, the result for a number that isn't above LastTicket is final.
 func (h Head) Order(number int, digest string) Order {
 	if number < 1 {
 		return OrderInvalid
@@ -60,11 +60,11 @@
 	return OrderAccepted
 }
 
-// Digest returns the digest of an accepted ticket, if it is still kept.
+// Digest returns the digest of the accepted ticket with the given number; false if the head doesn't keep it.
 func (h Head) Digest(number int) (string, bool) {
-	at := len(h.Digests) - 1 - (h.LastTicket - number)
-	if at < 0 || at >= len(h.Digests) {
+	index := len(h.Digests) - 1 - (h.LastTicket - number)
+	if index < 0 || index >= len(h.Digests) {
 		return "", false
 	}
-	return h.Digests[at], true
+	return h.Digests[index], true
 }
--- a/internal/core/ticket/parse.go
+++ b/internal/core/ticket/parse.go
@@ -13,17 +13,17 @@
 	"github.com/pkg/errors"
 )
 
-// MaxSize is the largest ticket that is read, in bytes: the largest value that the platform stores.
+// MaxSize is the maximum size of a ticket in bytes: the size of the largest value that the platform stores.
 const MaxSize = 1 << 20
 
-// maxDepth bounds nesting; a ticket needs four levels.
+// maxDepth is the maximum nesting depth of a ticket's JSON. Valid tickets need four levels.
 const maxDepth = 16
 
-// ErrNotJSON is returned for a ticket that is not one JSON object.
+// ErrNotJSON is returned for a ticket that isn't exactly one JSON object or is too large.
 var ErrNotJSON = errors.New("ticket is not one JSON object")
 
-// Parse reads and validates a ticket. It returns ErrNotJSON, or FieldErrors with all that is wrong.
-// encoding/json alone would pass over a doubled field and give no path for an unknown one.
+// Parse decodes and validates a ticket. It returns ErrNotJSON, or FieldErrors for all invalid fields. It checks
+// the JSON before decoding it, since encoding/json accepts duplicate fields and reports no path for unknown ones.
 func Parse(data []byte) (Ticket, error) {
 	if len(data) > MaxSize {
 		return Ticket{}, errors.Wrapf(ErrNotJSON, "%d bytes, at most %d", len(data), MaxSize)
@@ -47,7 +47,7 @@
 	return parsed, nil
 }
 
-// ParseReader reads a ticket of at most MaxSize bytes.
+// ParseReader reads and parses a ticket of at most MaxSize bytes.
 func ParseReader(r io.Reader) (Ticket, error) {
 	data, err := io.ReadAll(io.LimitReader(r, MaxSize+1))
 	if err != nil {
@@ -56,10 +56,10 @@
 	return Parse(data)
 }
 
-// object is a JSON object that remembers doubled fields.
+// object is a decoded JSON object with the names of its duplicate fields.
 type object struct {
-	fields  map[string]any
-	doubled []string
+	fields     map[string]any
+	duplicates []string
 }
 
 func readTree(data []byte) (any, error) {
@@ -73,7 +73,7 @@
 		return nil, errors.Wrapf(ErrNotJSON, "byte %d: more after the ticket", decoder.InputOffset())
 	}
 	if _, ok := tree.(object); !ok {
-		return nil, errors.Wrapf(ErrNotJSON, "it is %s", kindOf(tree))
+		return nil, errors.Wrapf(ErrNotJSON, "it is %s", describeValue(tree))
 	}
 	return tree, nil
 }
@@ -97,7 +97,7 @@
 }
 
 func readObject(decoder *json.Decoder, depth int) (any, error) {
-	read := object{fields: map[string]any{}}
+	decoded := object{fields: map[string]any{}}
 	for decoder.More() {
 		token, err := decoder.Token()
 		if err != nil {
@@ -108,13 +108,13 @@
 		if err != nil {
 			return nil, err
 		}
-		if _, ok := read.fields[name]; ok {
-			read.doubled = append(read.doubled, name)
+		if _, ok := decoded.fields[name]; ok {
+			decoded.duplicates = append(decoded.duplicates, name)
 		}
-		read.fields[name] = value
+		decoded.fields[name] = value
 	}
 	_, err := decoder.Token()
-	return read, err
+	return decoded, err
 }
 
 func readList(decoder *json.Decoder, depth int) (any, error) {
@@ -130,7 +130,7 @@
 	return list, err
 }
 
-// matchType adds an error for each place where the JSON value doesn't fit the type.
+// matchType adds an error for each place where the decoded JSON value doesn't match the Go type.
 func matchType(f *findings, path string, value any, want reflect.Type) {
 	switch {
 	case want == reflect.TypeFor[Duration]():
@@ -145,36 +145,36 @@
 }
 
 func matchObject(f *findings, path string, value any, want reflect.Type) {
-	read, ok := value.(object)
+	decoded, ok := value.(object)
 	if !ok {
-		f.add(path, "it is "+kindOf(value), "an object")
+		f.add(path, "it is "+describeValue(value), "an object")
 		return
 	}
 	types := map[string]reflect.Type{}
-	names := []string{}
+	known := []string{}
 	for i := range want.NumField() {
 		name, _, _ := strings.Cut(want.Field(i).Tag.Get("json"), ",")
 		types[name] = want.Field(i).Type
-		names = append(names, name)
+		known = append(known, name)
 	}
-	slices.Sort(names)
-	for _, name := range read.doubled {
-		f.add(join(path, name), "the field comes twice", "each field once")
+	slices.Sort(known)
+	for _, name := range decoded.duplicates {
+		f.add(joinPath(path, name), "the field comes twice", "each field once")
 	}
-	for name, field := range read.fields {
-		known, ok := types[name]
+	for name, field := range decoded.fields {
+		fieldType, ok := types[name]
 		if !ok {
-			f.add(join(path, name), "unknown field", "one of "+strings.Join(names, ", "))
+			f.add(joinPath(path, name), "unknown field", "one of "+strings.Join(known, ", "))
 			continue
 		}
-		matchType(f, join(path, name), field, known)
+		matchType(f, joinPath(path, name), field, fieldType)
 	}
 }
 
 func matchList(f *findings, path string, value any, want reflect.Type) {
 	list, ok := value.([]any)
 	if !ok {
-		f.add(path, "it is "+kindOf(value), "a list")
+		f.add(path, "it is "+describeValue(value), "a list")
 		return
 	}
 	for i, entry := range list {
@@ -185,12 +185,12 @@
 func matchDuration(f *findings, path string, value any) {
 	text, ok := value.(string)
 	if !ok {
-		f.add(path, "it is "+kindOf(value), `a duration such as "90s"`)
+		f.add(path, "it is "+describeValue(value), `a duration such as "90s"`)
 		return
 	}
-	var read Duration
+	var parsed Duration
 	quoted := strconv.Quote(text)
-	if read.UnmarshalJSON([]byte(quoted)) != nil {
+	if parsed.UnmarshalJSON([]byte(quoted)) != nil {
 		f.add(path, fmt.Sprintf("%.40q is no duration", text), `a duration such as "90s"`)
 	}
 }
@@ -200,20 +200,20 @@
 	switch want.Kind() {
 	case reflect.String:
 		_, ok := value.(string)
-		f.require(ok, path, "it is "+kindOf(value), "a string")
+		f.require(ok, path, "it is "+describeValue(value), "a string")
 	case reflect.Bool:
 		_, ok := value.(bool)
-		f.require(ok, path, "it is "+kindOf(value), "true or false")
+		f.require(ok, path, "it is "+describeValue(value), "true or false")
 	case reflect.Int:
 		_, err := strconv.ParseInt(number.String(), 10, want.Bits())
-		f.require(isNumber && err == nil, path, "it is "+kindOf(value), "a whole number")
+		f.require(isNumber && err == nil, path, "it is "+describeValue(value), "a whole number")
 	default:
 		_, err := strconv.ParseFloat(number.String(), 64)
-		f.require(isNumber && err == nil, path, "it is "+kindOf(value), "a number")
+		f.require(isNumber && err == nil, path, "it is "+describeValue(value), "a number")
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	name = fmt.Sprintf("%.80s", name)
 	if path == "" {
 		return name
@@ -221,9 +221,10 @@
 	return path + "." + name
 }
 
-// kindOf names a JSON value for people; strings are not shown, since they may be key material.
-func kindOf(value any) string {
-	switch read := value.(type) {
+// describeValue describes a JSON value for an error message. It doesn't show strings, since they may contain
+// key material.
+func describeValue(value any) string {
+	switch typed := value.(type) {
 	case nil:
 		return "null"
 	case string:
@@ -231,7 +232,7 @@
 	case bool:
 		return "true or false"
 	case json.Number:
-		return fmt.Sprintf("the number %.40s", read.String())
+		return fmt.Sprintf("the number %.40s", typed.String())
 	case []any:
 		return "a list"
 	default:
--- a/internal/core/ticket/parse_test.go
+++ b/internal/core/ticket/parse_test.go
@@ -14,8 +14,8 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// golden compares with a file under testdata.
-func golden(t *testing.T, name, got string) {
+// compareGolden compares got with a file under testdata; the flag -update rewrites the file.
+func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -34,8 +34,8 @@
 
 var hashA = KeyHash("key-a")
 
-// broken are tickets that are refused; the golden file shows what an operator reads.
-var broken = []struct{ name, text string }{
+// invalidTickets are tickets that Parse rejects. The golden file holds the errors that an operator reads.
+var invalidTickets = []struct{ name, text string }{
 	{"no JSON", `{"organisations":`},
 	{"not an object", `[1]`},
 	{"two objects", `{} {}`},
@@ -66,7 +66,7 @@
 
 func TestParseRefuses(t *testing.T) {
 	var lines strings.Builder
-	for _, test := range broken {
+	for _, test := range invalidTickets {
 		_, err := Parse([]byte(test.text))
 		if err == nil {
 			t.Errorf("%s: accepted", test.name)
@@ -75,12 +75,12 @@
 		lines.WriteString(test.name + ": " + err.Error() + "\n")
 	}
 	if strings.Contains(lines.String(), "my-secret-key") {
-		t.Error("a message holds a key")
+		t.Error("an error message contains a key")
 	}
-	golden(t, "refused.txt", lines.String())
+	compareGolden(t, "refused.txt", lines.String())
 }
 
-const whole = `{
+const completeTicketJSON = `{
 	"organisations": [{"name":"sahil","weight":3,"requestsPerSecond":20,"burst":5,"keyHashes":["KEY"]}],
 	"pools": [
 		{"name":"draftmodel","kind":"model","model":"fees","maxServers":4,"minServers":1,"startupTime":"90s"},
@@ -90,9 +90,9 @@
 	"modelVersions": [{"model":"fees","version":1}]
 }`
 
-func wholeTicket(t *testing.T) Ticket {
+func parseCompleteTicket(t *testing.T) Ticket {
 	t.Helper()
-	parsed, err := Parse([]byte(strings.ReplaceAll(whole, "KEY", hashA)))
+	parsed, err := Parse([]byte(strings.ReplaceAll(completeTicketJSON, "KEY", hashA)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,12 +100,12 @@
 }
 
 func TestParseAccepts(t *testing.T) {
-	parsed := wholeTicket(t)
+	parsed := parseCompleteTicket(t)
 	if got := time.Duration(parsed.Pools[0].StartupTime); got != 90*time.Second {
-		t.Errorf("startupTime %v", got)
+		t.Errorf("startupTime %v, want 90s", got)
 	}
 	if parsed.Organisations[0].KeyHashes[0] != hashA {
-		t.Error("key hash was changed")
+		t.Error("Parse changed the key hash")
 	}
 }
 
@@ -123,14 +123,14 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if same := digest(t, test.a) == digest(t, test.b); same != test.same {
+			if same := parseDigest(t, test.a) == parseDigest(t, test.b); same != test.same {
 				t.Errorf("same digest %v, want %v", same, test.same)
 			}
 		})
 	}
 }
 
-func digest(t *testing.T, text string) string {
+func parseDigest(t *testing.T, text string) string {
 	t.Helper()
 	parsed, err := Parse([]byte(text))
 	if err != nil {
@@ -143,29 +143,30 @@
 	return sum
 }
 
-// FuzzParse: whatever is read either is refused, or survives being written and read again.
+// FuzzParse checks that Parse either rejects its input, or returns a ticket that keeps its digest when it is
+// encoded and parsed again.
 func FuzzParse(f *testing.F) {
-	for _, test := range broken {
+	for _, test := range invalidTickets {
 		f.Add([]byte(test.text))
 	}
-	f.Add([]byte(strings.ReplaceAll(whole, "KEY", hashA)))
+	f.Add([]byte(strings.ReplaceAll(completeTicketJSON, "KEY", hashA)))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		parsed, err := Parse(data)
 		if err != nil {
 			return
 		}
-		written, err := json.Marshal(parsed)
+		encoded, err := json.Marshal(parsed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := Parse(written)
+		reparsed, err := Parse(encoded)
 		if err != nil {
-			t.Fatalf("%s: %v", written, err)
+			t.Fatalf("%s: %v", encoded, err)
 		}
 		before, _ := Digest(parsed)
-		after, _ := Digest(again)
+		after, _ := Digest(reparsed)
 		if before != after {
-			t.Errorf("digest %s then %s", before, after)
+			t.Errorf("digest %s, and %s after encoding", before, after)
 		}
 		if change, err := Empty().Apply(parsed); err == nil && change.Head.LastTicket != 1 {
 			t.Errorf("last ticket %d", change.Head.LastTicket)
--- a/internal/core/ticket/part.go
+++ b/internal/core/ticket/part.go
@@ -1,27 +1,28 @@
 package ticket
 
-// PoolKind is what the backend servers of a pool do.
+// PoolKind says what the backend servers of a pool do.
 type PoolKind string
 
-// The kinds of pools.
+// The kinds of pools: servers that generate with a model, servers of another service, and servers that score
+// samples.
 const (
 	KindModel   PoolKind = "model"
 	KindService PoolKind = "service"
 	KindScoring PoolKind = "scoring"
 )
 
-// Organisation is a tenant with its keys, its fair share and its limits.
+// Organisation is a tenant with its API keys, its share of the pools and its rate limit.
 type Organisation struct {
 	Name string `json:"name"`
-	// Weight is the share in a full pool relative to the other organisations; 1 if absent.
+	// Weight is the organisation's share of a fully used pool relative to the other organisations; 1 if absent.
 	Weight float64 `json:"weight,omitempty"`
-	// RequestsPerSecond is the limit at each pool over all hosts; 0 is no limit.
+	// RequestsPerSecond is the rate limit for each pool, summed over all hosts; 0 means no limit.
 	RequestsPerSecond float64 `json:"requestsPerSecond,omitempty"`
-	// Burst is how many requests may come at once beyond the rate.
+	// Burst is how many requests may arrive at once in excess of the rate.
 	Burst int `json:"burst,omitempty"`
 	// KeyHashes are the lower-case hexadecimal SHA-256 sums of the organisation's keys.
 	KeyHashes []string `json:"keyHashes,omitempty"`
-	// Removed takes the organisation out.
+	// Removed removes the organisation from the configuration.
 	Removed bool `json:"removed,omitempty"`
 }
 
@@ -29,25 +30,25 @@
 type Pool struct {
 	Name string   `json:"name"`
 	Kind PoolKind `json:"kind"`
-	// Model is what a model pool serves.
+	// Model is the model that a pool of kind "model" serves.
 	Model string `json:"model,omitempty"`
-	// Organisations that may use the pool; empty means all.
+	// Organisations are the organisations that may use the pool; empty means all.
 	Organisations []string `json:"organisations,omitempty"`
-	// AvailabilityZones in which servers are ordered.
+	// AvailabilityZones are the zones in which servers are ordered from the platform.
 	AvailabilityZones []string `json:"availabilityZones,omitempty"`
-	// MinServers and MaxServers bound the servers of one availability zone.
+	// MinServers and MaxServers bound the number of servers in each availability zone.
 	MinServers int `json:"minServers,omitempty"`
 	MaxServers int `json:"maxServers,omitempty"`
-	// Concurrency is the number of requests that one server runs at a time at first.
+	// Concurrency is the initial number of requests that one server runs at a time.
 	Concurrency int `json:"concurrency,omitempty"`
-	// StartupTime is how long an ordered server takes until it serves.
+	// StartupTime is the time from the order of a server until it serves requests.
 	StartupTime Duration `json:"startupTime,omitempty"`
-	// IdempotentPaths are paths whose POST and PATCH calls, and those of the paths below them, may be repeated.
+	// IdempotentPaths are paths at and below which POST and PATCH requests may be retried.
 	IdempotentPaths []string `json:"idempotentPaths,omitempty"`
 	Removed         bool     `json:"removed,omitempty"`
 }
 
-// TrainerJob is one trainer with its model, scoring pool and batch shape.
+// TrainerJob is the configuration of one trainer: its model, its scoring pool and the batches that it gets.
 type TrainerJob struct {
 	Name         string `json:"name"`
 	Organisation string `json:"organisation"`
@@ -55,22 +56,23 @@
 	ScoringPool  string `json:"scoringPool,omitempty"`
 	// BatchSize is the number of samples in a batch.
 	BatchSize int `json:"batchSize"`
-	// StalenessBound is how many versions older than the current one the oldest span of a sample may be.
+	// StalenessBound is how many versions behind the current one the oldest span of a sample may be.
 	StalenessBound int `json:"stalenessBound"`
-	// MaxTokens bounds a sample's length.
+	// MaxTokens is the maximum length of a sample in tokens.
 	MaxTokens int  `json:"maxTokens,omitempty"`
 	Removed   bool `json:"removed,omitempty"`
 }
 
-// ModelVersion is the weight version that a model's servers are to serve.
+// ModelVersion is the version of the weights that the servers of a model serve.
 type ModelVersion struct {
 	Model   string `json:"model"`
 	Version int    `json:"version"`
-	// Weights names the weights in the weight store.
+	// Weights is the name of the weights in the weight store.
 	Weights string `json:"weights,omitempty"`
 }
 
-// Ticket is a numbered change; each entry carries the whole new state of what it touches.
+// Ticket is a change of the configuration that is accepted under a number. Each entry holds the complete new
+// state of what it changes.
 type Ticket struct {
 	Organisations []Organisation `json:"organisations,omitempty"`
 	Pools         []Pool         `json:"pools,omitempty"`
--- a/internal/core/ticket/upcoming_test.go
+++ b/internal/core/ticket/upcoming_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A trainer announces versions, and servers load them beside the one they serve. An announcement that goes back,
-// or that is not above what is served, would make servers load weights that nobody will switch to.
-func TestUpcomingOnlyGrows(t *testing.T) {
+// A trainer announces model versions, which servers load in advance. If an announcement could be below an
+// earlier one, or not above the version being served, servers would load weights that are never served.
+func TestUpcomingVersionMustIncrease(t *testing.T) {
 	change, err := Empty().Apply(Ticket{
 		Pools:         []Pool{{Name: "draftmodel", Kind: KindModel, Model: "draftmodel"}},
 		ModelVersions: []ModelVersion{{Model: "draftmodel", Version: 3}},
@@ -22,11 +22,11 @@
 		version int
 		wantErr bool
 	}{
-		{"below what is served", 2, true},
-		{"above", 5, false},
-		{"again", 5, false},
-		{"back", 4, true},
-		{"further", 6, false},
+		{"below the served version", 2, true},
+		{"above the served version", 5, false},
+		{"repeated", 5, false},
+		{"below the announced version", 4, true},
+		{"above the announced version", 6, false},
 	} {
 		view, err := NewView(1, head, parts)
 		if err != nil {
@@ -34,10 +34,10 @@
 		}
 		next, err := view.WithUpcoming(ModelVersion{Model: "draftmodel", Version: step.version})
 		if (err != nil) != step.wantErr {
-			t.Errorf("%s: error %v, want one: %v", step.name, err, step.wantErr)
+			t.Errorf("%s: error %v, want an error: %v", step.name, err, step.wantErr)
 		}
 		if err == nil {
-			// Followers get the difference only.
+			// Followers receive only the difference between heads.
 			head = head.Patch(head.DeltaTo(next))
 		}
 	}
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	if upcoming, ok := view.Upcoming("draftmodel"); !ok || upcoming.Version != 6 {
-		t.Errorf("upcoming %+v, %v", upcoming, ok)
+		t.Errorf("upcoming version %+v, %v; want 6", upcoming, ok)
 	}
 	head, err = view.WithModelVersion(ModelVersion{Model: "draftmodel", Version: 6})
 	if err != nil {
@@ -56,6 +56,6 @@
 		t.Fatal(err)
 	}
 	if upcoming, ok := view.Upcoming("draftmodel"); ok {
-		t.Errorf("still upcoming after the switch: %+v", upcoming)
+		t.Errorf("upcoming version %+v after the switch to it", upcoming)
 	}
 }
--- a/internal/core/ticket/view.go
+++ b/internal/core/ticket/view.go
@@ -12,18 +12,18 @@
 	"github.com/pkg/errors"
 )
 
-// ErrPartMissing is returned when a head names a part whose content is not at hand.
+// ErrPartMissing is returned when a head refers to a part whose content wasn't passed.
 var ErrPartMissing = errors.New("part is missing")
 
-// The kinds of parts; a part's name is its kind, a slash and its own name.
+// The kinds of parts. The name of a part consists of its kind, a slash and the name of the entry.
 const (
 	organisationPart = "organisation"
 	poolPart         = "pool"
 	trainerJobPart   = "trainerJob"
 )
 
-// View is the whole configuration at one revision. It never changes, so that any number of
-// goroutines may read it; a new revision is a new View.
+// View is the complete configuration at one revision. It is immutable, so that any number of goroutines may
+// read it; each new revision gets a new View.
 type View struct {
 	revision      uint64
 	head          Head
@@ -34,24 +34,25 @@
 	keys          map[keyPrefix][]keyOwner
 }
 
-// keyPrefix is the part of a key's hash that the table of keys is indexed by.
+// keyPrefix is the start of a key's hash, which indexes the keys of a View.
 type keyPrefix [8]byte
 
+// keyOwner is the hash of a key and the organisation that owns the key.
 type keyOwner struct {
 	sum          [sha256.Size]byte
 	organisation string
 }
 
-// NewView reads the parts that head names from parts, which is indexed by content hash.
-// Revision is the version of the head object.
+// NewView builds the view of a head. Revision is the version of the head object, and parts maps content hashes
+// to the content of parts. It returns ErrPartMissing if parts lacks one that the head refers to.
 func NewView(revision uint64, head Head, parts map[string][]byte) (*View, error) {
-	view := emptyView(revision, head.clone())
+	view := viewWithoutParts(revision, head.clone())
 	for name, hash := range head.Parts {
 		content, ok := parts[hash]
 		if !ok {
 			return nil, errors.Wrapf(ErrPartMissing, "%s, content %s", name, hash)
 		}
-		if err := view.readPart(name, content); err != nil {
+		if err := view.addPart(name, content); err != nil {
 			return nil, err
 		}
 	}
@@ -61,12 +62,12 @@
 	return view, nil
 }
 
-// Empty is the view before the first ticket.
+// Empty returns the view before the first ticket.
 func Empty() *View {
-	return emptyView(0, Head{}.clone())
+	return viewWithoutParts(0, Head{}.clone())
 }
 
-func emptyView(revision uint64, head Head) *View {
+func viewWithoutParts(revision uint64, head Head) *View {
 	return &View{
 		revision:      revision,
 		head:          head,
@@ -78,34 +79,34 @@
 	}
 }
 
-func (v *View) readPart(name string, content []byte) error {
+func (v *View) addPart(name string, content []byte) error {
 	kind, _, _ := strings.Cut(name, "/")
 	switch kind {
 	case organisationPart:
-		return readInto(v.organisations, name, content, func(o Organisation) string { return o.Name })
+		return decodePart(v.organisations, name, content, func(o Organisation) string { return o.Name })
 	case poolPart:
-		return readInto(v.pools, name, content, func(p Pool) string { return p.Name })
+		return decodePart(v.pools, name, content, func(p Pool) string { return p.Name })
 	case trainerJobPart:
-		return readInto(v.trainerJobs, name, content, func(j TrainerJob) string { return j.Name })
+		return decodePart(v.trainerJobs, name, content, func(j TrainerJob) string { return j.Name })
 	default:
 		return errors.Errorf("part %s: unknown kind", name)
 	}
 }
 
-func readInto[T any](table map[string]T, name string, content []byte, nameOf func(T) string) error {
-	var part T
-	if err := json.Unmarshal(content, &part); err != nil {
-		return errors.Wrapf(err, "part %s", name)
+func decodePart[T any](table map[string]T, partName string, content []byte, nameOf func(T) string) error {
+	var entry T
+	if err := json.Unmarshal(content, &entry); err != nil {
+		return errors.Wrapf(err, "part %s", partName)
 	}
-	_, own, _ := strings.Cut(name, "/")
-	if nameOf(part) != own {
-		return errors.Errorf("part %s holds %q", name, nameOf(part))
+	_, entryName, _ := strings.Cut(partName, "/")
+	if nameOf(entry) != entryName {
+		return errors.Errorf("part %s holds %q", partName, nameOf(entry))
 	}
-	table[own] = part
+	table[entryName] = entry
 	return nil
 }
 
-// index builds the tables that are derived from the parts.
+// index builds the lookup tables for the pools of models and for keys.
 func (v *View) index() error {
 	for _, pool := range v.pools {
 		if pool.Kind == KindModel {
@@ -114,7 +115,7 @@
 	}
 	for _, organisation := range v.organisations {
 		for _, keyHash := range organisation.KeyHashes {
-			sum, err := readSum(keyHash)
+			sum, err := decodeKeyHash(keyHash)
 			if err != nil {
 				return errors.Wrapf(err, "organisation %s", organisation.Name)
 			}
@@ -125,48 +126,47 @@
 	return nil
 }
 
-func readSum(keyHash string) ([sha256.Size]byte, error) {
+func decodeKeyHash(keyHash string) ([sha256.Size]byte, error) {
 	var sum [sha256.Size]byte
-	raw, err := hex.DecodeString(keyHash)
-	if err != nil || len(raw) != len(sum) {
+	decoded, err := hex.DecodeString(keyHash)
+	if err != nil || len(decoded) != len(sum) {
 		return sum, errors.Errorf("key hash of %d characters is not a SHA-256 in hexadecimal", len(keyHash))
 	}
-	copy(sum[:], raw)
+	copy(sum[:], decoded)
 	return sum, nil
 }
 
-// Revision is the version of the head object that the view was built from; 0 for none.
+// Revision returns the version of the head object that the view was built from; 0 if there is none.
 func (v *View) Revision() uint64 { return v.revision }
 
-// LastTicket is the number of the last ticket in the view.
+// LastTicket returns the number of the last ticket that the view includes.
 func (v *View) LastTicket() int { return v.head.LastTicket }
 
 // Head returns a copy of the head that the view was built from.
 func (v *View) Head() Head { return v.head.clone() }
 
-// Authenticate returns the organisation that owns the key, and the key's hash.
-// Only hashes are compared, and those in constant time, so that the time taken tells a caller
-// nothing about how near a guess came.
+// Authenticate returns the organisation that owns the key, and the key's hash; false if the key is unknown.
+// It compares hashes in constant time, so that its duration doesn't reveal how close a guessed key is.
 func (v *View) Authenticate(key string) (Organisation, string, bool) {
 	sum := sha256.Sum256([]byte(key))
-	owner, ok := v.owner(sum)
+	owner, ok := v.ownerOf(sum)
 	if !ok {
 		return Organisation{}, "", false
 	}
 	return v.organisations[owner], hex.EncodeToString(sum[:]), true
 }
 
-// KeyValid reports whether the key with this hash still belongs to the organisation.
+// KeyValid reports whether the key with the given hash belongs to the organisation.
 func (v *View) KeyValid(organisation, keyHash string) bool {
-	sum, err := readSum(keyHash)
+	sum, err := decodeKeyHash(keyHash)
 	if err != nil {
 		return false
 	}
-	owner, ok := v.owner(sum)
+	owner, ok := v.ownerOf(sum)
 	return ok && owner == organisation
 }
 
-func (v *View) owner(sum [sha256.Size]byte) (string, bool) {
+func (v *View) ownerOf(sum [sha256.Size]byte) (string, bool) {
 	found := ""
 	ok := false
 	for _, candidate := range v.keys[keyPrefix(sum[:len(keyPrefix{})])] {
@@ -177,7 +177,7 @@
 	return found, ok
 }
 
-// Organisation returns the organisation of that name.
+// Organisation returns the organisation with the given name; false if there is none.
 func (v *View) Organisation(name string) (Organisation, bool) {
 	organisation, ok := v.organisations[name]
 	return organisation, ok
@@ -186,7 +186,7 @@
 // Organisations returns all organisations, sorted by name.
 func (v *View) Organisations() []Organisation { return sortedValues(v.organisations) }
 
-// Pool returns the pool of that name.
+// Pool returns the pool with the given name; false if there is none.
 func (v *View) Pool(name string) (Pool, bool) {
 	pool, ok := v.pools[name]
 	return pool, ok
@@ -195,7 +195,7 @@
 // Pools returns all pools, sorted by name.
 func (v *View) Pools() []Pool { return sortedValues(v.pools) }
 
-// ModelPool returns the pool that serves the model.
+// ModelPool returns the pool that serves the model; false if there is none.
 func (v *View) ModelPool(model string) (Pool, bool) {
 	name, ok := v.modelPools[model]
 	if !ok {
@@ -204,7 +204,7 @@
 	return v.Pool(name)
 }
 
-// TrainerJob returns the trainer job of that name.
+// TrainerJob returns the trainer job with the given name; false if there is none.
 func (v *View) TrainerJob(name string) (TrainerJob, bool) {
 	job, ok := v.trainerJobs[name]
 	return job, ok
@@ -213,13 +213,14 @@
 // TrainerJobs returns all trainer jobs, sorted by name.
 func (v *View) TrainerJobs() []TrainerJob { return sortedValues(v.trainerJobs) }
 
-// ModelVersion returns the version that the model's servers are to serve.
+// ModelVersion returns the version that the model's servers serve; false if there is none.
 func (v *View) ModelVersion(model string) (ModelVersion, bool) {
 	version, ok := v.head.ModelVersions[model]
 	return version, ok
 }
 
-// Upcoming returns the version that the model's servers are to load beside the one they serve, if there is one.
+// Upcoming returns the version that the model's servers load in advance while they serve the current one; false
+// if there is none.
 func (v *View) Upcoming(model string) (ModelVersion, bool) {
 	version, ok := v.head.Upcoming[model]
 	return version, ok && version.Version > v.head.ModelVersions[model].Version
--- a/internal/core/ticket/view_test.go
+++ b/internal/core/ticket/view_test.go
@@ -10,11 +10,11 @@
 	"github.com/pkg/errors"
 )
 
-// store keeps what changes write.
-type store map[string][]byte
+// partStore holds the content of parts by content hash.
+type partStore map[string][]byte
 
-// accept applies the ticket and returns the next view.
-func (s store) accept(view *View, t Ticket) (*View, error) {
+// applyTicket applies the ticket, stores the new parts and returns the next view.
+func (s partStore) applyTicket(view *View, t Ticket) (*View, error) {
 	change, err := view.Apply(t)
 	if err != nil {
 		return view, err
@@ -33,21 +33,21 @@
 	return NewView(view.Revision()+1, head, s)
 }
 
-func wholeView(t *testing.T) (store, *View) {
+func newTestView(t *testing.T) (partStore, *View) {
 	t.Helper()
-	kept := store{}
-	view, err := kept.accept(Empty(), wholeTicket(t))
+	parts := partStore{}
+	view, err := parts.applyTicket(Empty(), parseCompleteTicket(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return kept, view
+	return parts, view
 }
 
 func TestView(t *testing.T) {
-	_, view := wholeView(t)
+	_, view := newTestView(t)
 	organisation, keyHash, ok := view.Authenticate("key-a")
 	if !ok || organisation.Name != "sahil" || keyHash != hashA || !view.KeyValid("sahil", hashA) {
-		t.Errorf("authenticated %q, %q, %v", organisation.Name, keyHash, ok)
+		t.Errorf("authenticated as %q with hash %q, %v", organisation.Name, keyHash, ok)
 	}
 	for _, key := range []string{"", "key-b", hashA} {
 		if _, _, ok := view.Authenticate(key); ok {
@@ -72,22 +72,22 @@
 	}
 }
 
-// TestWithdrawnKey covers the ticket that takes a key out.
+// TestWithdrawnKey checks that a ticket without a key withdraws the key, and that the older view still accepts it.
 func TestWithdrawnKey(t *testing.T) {
-	kept, view := wholeView(t)
-	next, err := kept.accept(view, Ticket{Organisations: []Organisation{{Name: "sahil", Weight: 3}}})
+	parts, view := newTestView(t)
+	next, err := parts.applyTicket(view, Ticket{Organisations: []Organisation{{Name: "sahil", Weight: 3}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, _, ok := next.Authenticate("key-a"); ok || next.KeyValid("sahil", hashA) {
-		t.Error("a withdrawn key is valid")
+		t.Error("the withdrawn key is still valid")
 	}
 	if _, _, ok := view.Authenticate("key-a"); !ok {
 		t.Error("the older view changed")
 	}
 }
 
-func TestApplyChecksTheView(t *testing.T) {
+func TestApplyRejectsContradictions(t *testing.T) {
 	remove := func(name string) []Organisation { return []Organisation{{Name: name, Removed: true}} }
 	tests := []struct {
 		name   string
@@ -108,8 +108,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			kept, view := wholeView(t)
-			_, err := kept.accept(view, test.ticket)
+			parts, view := newTestView(t)
+			_, err := parts.applyTicket(view, test.ticket)
 			if test.want == "" && err != nil {
 				t.Fatal(err)
 			}
@@ -120,25 +120,25 @@
 	}
 }
 
-func TestUnchangedPartsAreNotWritten(t *testing.T) {
-	_, view := wholeView(t)
-	change, err := view.Apply(wholeTicket(t))
+func TestApplyOmitsUnchangedParts(t *testing.T) {
+	_, view := newTestView(t)
+	change, err := view.Apply(parseCompleteTicket(t))
 	if err != nil || len(change.Parts) != 0 {
-		t.Errorf("%d parts, %v", len(change.Parts), err)
+		t.Errorf("change has %d parts, error %v; want none", len(change.Parts), err)
 	}
 }
 
 func TestMissingPart(t *testing.T) {
-	_, view := wholeView(t)
+	_, view := newTestView(t)
 	if _, err := NewView(2, view.Head(), nil); !errors.Is(err, ErrPartMissing) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want ErrPartMissing", err)
 	}
 }
 
 func TestOrder(t *testing.T) {
 	head := Head{}
 	for number := 1; number <= KeptDigests+10; number++ {
-		head.record(fmt.Sprintf("digest %d", number))
+		head.recordTicket(fmt.Sprintf("digest %d", number))
 	}
 	tests := []struct {
 		name   string
@@ -167,20 +167,20 @@
 	now := time.Unix(1000, 0)
 	ago := func(age time.Duration) time.Time { return now.Add(-age) }
 	tests := []struct {
-		name  string
-		known Freshness
-		want  bool
+		name      string
+		freshness Freshness
+		want      bool
 	}{
 		{"nothing known", Freshness{}, false},
 		{"just confirmed", Freshness{Confirmed: ago(0)}, true},
 		{"at the bound", Freshness{Confirmed: ago(FreshFor)}, true},
-		{"cut off", Freshness{Confirmed: ago(FreshFor + 1)}, false},
+		{"partitioned", Freshness{Confirmed: ago(FreshFor + 1)}, false},
 		{"outage", Freshness{Confirmed: ago(time.Hour), Outage: ago(time.Second)}, true},
-		{"cut off in an outage", Freshness{Confirmed: ago(time.Hour), Outage: ago(FreshFor + 1)}, false},
+		{"partitioned in an outage", Freshness{Confirmed: ago(time.Hour), Outage: ago(FreshFor + 1)}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := test.known.Fresh(now); got != test.want {
+			if got := test.freshness.Fresh(now); got != test.want {
 				t.Errorf("fresh %v, want %v", got, test.want)
 			}
 		})
@@ -189,20 +189,20 @@
 
 func TestOutageEstablished(t *testing.T) {
 	now := time.Unix(1000, 0)
-	old, fresh := now.Add(-OutageAfter-1), now.Add(-OutageAfter)
+	old, recent := now.Add(-OutageAfter-1), now.Add(-OutageAfter)
 	tests := []struct {
 		name      string
 		relays    int
 		confirmed []time.Time
 		want      bool
 	}{
-		{"all answer, none fresh", 4, []time.Time{old, old, old, old}, true},
+		{"all answer, none confirmed lately", 4, []time.Time{old, old, old, old}, true},
 		{"more than half", 4, []time.Time{old, old, old}, true},
 		{"half", 4, []time.Time{old, old}, false},
-		{"one is fresh", 4, []time.Time{old, old, old, fresh}, false},
+		{"one confirmed lately", 4, []time.Time{old, old, old, recent}, false},
 		{"never confirmed", 3, []time.Time{{}, {}}, true},
 		{"only relay", 1, []time.Time{old}, true},
-		{"alone of many", 44, []time.Time{old}, false},
+		{"one of many", 44, []time.Time{old}, false},
 		{"no relays", 0, nil, false},
 	}
 	for _, test := range tests {
