--- a/internal/core/rollout/hedge.go
+++ b/internal/core/rollout/hedge.go
@@ -6,59 +6,62 @@
 	"time"
 )
 
-// straggler is a sample with the time that a copy would save.
+// straggler is a slow sample and the time that a copy would save.
 type straggler struct {
-	sample *sampleState
-	gain   time.Duration
+	sample    *sampleState
+	timeSaved time.Duration
 }
 
-// Hedge returns the samples to start a second copy of, the greatest gain first. It guards against
-// one slow or stalled engine deciding the length of a step: such a sample's tokens come slower than
-// others' while its group waits for nothing else. Each sample is copied twice at most, and all copies of
-// a job together stay within the share of its work, so copies can't become a load of their own.
+// Hedge returns the copies to start, those that save the most time first. It prevents that one slow or stalled
+// engine determines the length of a step. It copies samples whose tokens arrive more slowly than those of others
+// while their group, or their step, waits for little else. Each sample is copied at most twice, and the copies of
+// a job together stay within a share of the job's work, so that copies can't overload the engines.
 //
-// A stalled sample isn't charged to that share: its engine makes no tokens, so the copy, which resumes from those
-// that are known, is the only work. Charged, the samples of one stalled engine would use the share up, and the
-// step would wait for the rest of them for ever.
+// The copy of a stalled sample isn't charged to that share. The stalled engine produces no tokens, so that the
+// copy, which resumes from the known tokens, is the only work. If such copies were charged, the samples of one
+// stalled engine would exhaust the share, and the step would wait forever for those that aren't copied.
 func (p *Planner) Hedge(now time.Time) []Work {
 	if p.copyShare <= 0 {
 		return nil
 	}
-	var out []Work
+	var copies []Work
 	for _, s := range p.stragglers(now) {
 		job := s.sample.group.step.job
 		if !job.stalled(now, s.sample) {
 			cost := p.copyCost(s.sample)
-			if job.copies+cost > p.copyShare*job.work {
+			if job.copyTokens+cost > p.copyShare*job.primaryTokens {
 				continue
 			}
-			job.copies += cost
+			job.copyTokens += cost
 		}
 		s.sample.copies++
-		out = append(out, s.sample.work(true))
+		copies = append(copies, s.sample.generation(true))
 	}
-	return out
+	return copies
 }
 
+// copyCost returns the expected number of tokens that a copy of the sample generates.
 func (p *Planner) copyCost(sample *sampleState) float64 {
-	if p.wholeCopies {
-		return sample.expected()
+	if p.copiesFromScratch {
+		return sample.expectedTokens()
 	}
-	return sample.rest()
+	return sample.remainingTokens()
 }
 
+// stragglers returns the slow samples of nearly finished groups and steps, those whose copy saves the most time
+// first.
 func (p *Planner) stragglers(now time.Time) []straggler {
 	var found []straggler
 	for _, sample := range p.samples {
-		if sample.done || sample.running == 0 || sample.copies >= maxCopies || !sample.group.nearlyWhole() {
+		if sample.done || sample.running == 0 || sample.copies >= maxCopies || !sample.group.nearlyDone() {
 			continue
 		}
-		if gain := sample.group.step.job.gain(now, sample); gain > 0 {
-			found = append(found, straggler{sample: sample, gain: gain})
+		if saved := sample.group.step.job.timeSaved(now, sample); saved > 0 {
+			found = append(found, straggler{sample: sample, timeSaved: saved})
 		}
 	}
 	slices.SortFunc(found, func(a, b straggler) int {
-		return cmp.Or(cmp.Compare(b.gain, a.gain), cmp.Compare(a.sample.id, b.sample.id))
+		return cmp.Or(cmp.Compare(b.timeSaved, a.timeSaved), cmp.Compare(a.sample.id, b.sample.id))
 	})
 	return found
 }
--- a/internal/core/rollout/job.go
+++ b/internal/core/rollout/job.go
@@ -5,29 +5,33 @@
 	"time"
 )
 
-// speedHistory is how many finished samples give a job's typical speed: enough for a steady
-// median, few enough to follow a new weight version within one step.
+// speedHistory is the number of finished samples that determine a job's typical speed and length: enough for
+// a stable median, and few enough to adapt to a new weight version within one step.
 const speedHistory = 32
 
-// jobState is what is known about a trainer job.
+// jobState is the scheduling state of a trainer job.
 type jobState struct {
 	name   string
 	weight float64
-	// tag is the virtual time at which the job's next sample may start.
-	tag   float64
-	steps []*stepState
-	// work and copies sum up the expected tokens started first and as copies.
-	work   float64
-	copies float64
-	speeds []float64
-	at     int
-	// part is the average length of finished samples over their cost, of lengths samples.
-	part    float64
-	lengths float64
+	// startTag is the virtual time at which the job's next sample may start, as in start-time fair queueing.
+	startTag float64
+	steps    []*stepState
+	// primaryTokens is the sum of the expected tokens of generations that aren't copies, and copyTokens that of
+	// charged copies.
+	primaryTokens float64
+	copyTokens    float64
+	// speeds holds the tokens per second of the samples finished last; once it is full, the one at nextSpeedIndex
+	// is replaced next.
+	speeds         []float64
+	nextSpeedIndex int
+	// lengthRatio is the average ratio of length to cost of finished samples. The field lengthCount counts them up
+	// to speedHistory; from then on the average is an exponential moving average.
+	lengthRatio float64
+	lengthCount float64
 }
 
-// next returns the first step with samples to start, or nil.
-func (j *jobState) next() *stepState {
+// nextStep returns the first step with samples that wait to be started, or nil.
+func (j *jobState) nextStep() *stepState {
 	for _, step := range j.steps {
 		if step.waiting > 0 {
 			return step
@@ -36,8 +40,8 @@
 	return nil
 }
 
-// learn takes in the speed of a finished sample.
-func (j *jobState) learn(speed float64) {
+// recordSpeed adds the speed of a finished sample in tokens per second.
+func (j *jobState) recordSpeed(speed float64) {
 	if speed <= 0 {
 		return
 	}
@@ -45,53 +49,55 @@
 		j.speeds = append(j.speeds, speed)
 		return
 	}
-	j.speeds[j.at] = speed
-	j.at = (j.at + 1) % speedHistory
+	j.speeds[j.nextSpeedIndex] = speed
+	j.nextSpeedIndex = (j.nextSpeedIndex + 1) % speedHistory
 }
 
-// learnLength takes in the length of a finished sample over its cost.
-func (j *jobState) learnLength(part float64) {
-	if part <= 0 {
+// recordLength adds the ratio of a finished sample's length to its cost.
+func (j *jobState) recordLength(ratio float64) {
+	if ratio <= 0 {
 		return
 	}
-	j.lengths = min(j.lengths+1, speedHistory)
-	j.part += (part - j.part) / j.lengths
+	j.lengthCount = min(j.lengthCount+1, speedHistory)
+	j.lengthRatio += (ratio - j.lengthRatio) / j.lengthCount
 }
 
-// lengthPart is the usual length of a sample over its cost; 1 if too few are known.
-func (j *jobState) lengthPart() float64 {
-	if j.lengths < leastSpeeds {
+// typicalLengthRatio returns the average ratio of a sample's length to its cost; 1 if too few samples have
+// finished.
+func (j *jobState) typicalLengthRatio() float64 {
+	if j.lengthCount < minFinishedSamples {
 		return 1
 	}
-	return j.part
+	return j.lengthRatio
 }
 
-// typicalSpeed is the median speed of the samples finished last; 0 if too few are known.
+// typicalSpeed returns the median speed of the samples finished last in tokens per second; 0 if too few samples
+// have finished.
 func (j *jobState) typicalSpeed() float64 {
-	if len(j.speeds) < leastSpeeds {
+	if len(j.speeds) < minFinishedSamples {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(j.speeds))
 	return sorted[len(sorted)/2]
 }
 
-// gain is the time that a copy of the sample would save; 0 if it isn't a straggler, or hasn't run for the
-// usual time of a whole sample yet: the first tokens wait for the prompt.
-func (j *jobState) gain(now time.Time, sample *sampleState) time.Duration {
-	typical := j.typicalSpeed()
-	if typical == 0 || now.Sub(sample.started).Seconds() < sample.expected()/typical {
+// timeSaved returns the time that a copy of the sample would save. It returns 0 if the sample isn't a straggler,
+// or hasn't run for the usual time of a complete sample yet: before the first token the prompt is processed.
+func (j *jobState) timeSaved(now time.Time, sample *sampleState) time.Duration {
+	typicalSpeed := j.typicalSpeed()
+	if typicalSpeed == 0 || now.Sub(sample.started).Seconds() < sample.expectedTokens()/typicalSpeed {
 		return 0
 	}
-	speed := max(sample.speed(now), typical*leastSpeedPart)
-	own := sample.rest() / speed
-	fresh := sample.rest() / typical
-	if own < stragglerFactor*fresh {
+	ownSpeed := max(sample.speed(now), typicalSpeed*minSpeedRatio)
+	ownTime := sample.remainingTokens() / ownSpeed
+	copyTime := sample.remainingTokens() / typicalSpeed
+	if ownTime < stragglerFactor*copyTime {
 		return 0
 	}
-	return time.Duration((own - fresh) * float64(time.Second))
+	return time.Duration((ownTime - copyTime) * float64(time.Second))
 }
 
-// stalled says that no token has come for the usual time of a whole sample.
+// stalled reports whether no token has arrived for the usual time of a complete sample.
 func (j *jobState) stalled(now time.Time, sample *sampleState) bool {
-	return now.Sub(sample.moved).Seconds()*j.typicalSpeed() >= sample.expected()
+	return now.Sub(sample.lastProgress).Seconds()*j.typicalSpeed() >= sample.expectedTokens()
 }
--- a/internal/core/rollout/planner.go
+++ b/internal/core/rollout/planner.go
@@ -7,46 +7,48 @@
 	"time"
 )
 
-// Figures of the policy; the package comment gives the grounds.
+// Limits of the policy. The package comment gives the reasons.
 const (
 	defaultCopyShare = 0.05
 	stragglerFactor  = 2
-	// nearlyWholePart: a group is nearly whole when at most a quarter of it is left.
-	nearlyWholePart = 4
-	// maxCopies is how many copies of a sample are started: the first may be slow too.
+	// nearlyDoneDivisor means that a group is nearly done when at most a quarter of its samples is unfinished.
+	nearlyDoneDivisor = 4
+	// maxCopies is the maximum number of copies of a sample. It is above 1 since the first copy may be slow too.
 	maxCopies = 2
-	// leastSpeeds is how many finished samples are needed to judge others.
-	leastSpeeds = 4
-	// leastSpeedPart keeps the gain of a stalled sample finite.
-	leastSpeedPart = 0.01
-	// leastRest is the share of its cost that a sample is taken to need still, however long it is.
-	leastRest = 0.1
+	// minFinishedSamples is the number of finished samples that a typical speed and length require.
+	minFinishedSamples = 4
+	// minSpeedRatio is the minimum speed assumed for a sample, as a share of the typical speed. It keeps the time
+	// that a copy of a stalled sample saves finite.
+	minSpeedRatio = 0.01
+	// minRemainingShare is the minimum of the remaining tokens, as a share of the expected ones. It applies to
+	// samples that are longer than expected.
+	minRemainingShare = 0.1
 )
 
-// Option changes a Planner.
+// Option configures a Planner.
 type Option func(*Planner)
 
-// WithCopyShare sets the work of copies as a share of all work.
+// WithCopyShare sets the maximum work of copies as a share of a job's work. No copies are started at 0.
 func WithCopyShare(share float64) Option {
 	return func(p *Planner) { p.copyShare = share }
 }
 
-// WithWholeCopies says that copies begin anew instead of going on from the tokens that are known, so that each
-// is charged for the whole sample.
-func WithWholeCopies() Option {
-	return func(p *Planner) { p.wholeCopies = true }
+// WithCopiesFromScratch makes each copy be charged for the complete sample. It is for callers whose copies start
+// from scratch instead of resuming from the known tokens.
+func WithCopiesFromScratch() Option {
+	return func(p *Planner) { p.copiesFromScratch = true }
 }
 
-// Planner orders the samples of all jobs that share the engines of a model. It is owned by one goroutine.
+// Planner orders the samples of all jobs that share the engines of a model. It isn't safe for concurrent use.
 type Planner struct {
 	copyShare float64
-	// wholeCopies is set by WithWholeCopies.
-	wholeCopies bool
-	slots       int
-	jobs        map[string]*jobState
-	samples     map[string]*sampleState
-	// clock is the virtual time of the last start.
-	clock float64
+	// copiesFromScratch charges each copy for the complete sample.
+	copiesFromScratch bool
+	slots             int
+	jobs              map[string]*jobState
+	samples           map[string]*sampleState
+	// virtualTime is the virtual time at which the last sample was started, as in start-time fair queueing.
+	virtualTime float64
 }
 
 // NewPlanner returns a planner without jobs.
@@ -62,17 +64,17 @@
 	return p
 }
 
-// SetSlots sets how many generations may run at a time; 0 leaves it to the caller.
+// SetSlots sets the maximum number of generations that run at a time; 0 leaves the limit to the caller.
 func (p *Planner) SetSlots(slots int) { p.slots = slots }
 
-// Add takes in a step. Samples that are known already are left as they are.
+// Add adds a step. Samples that the planner already knows are left unchanged.
 func (p *Planner) Add(step Step) {
 	job := p.job(step)
 	state := &stepState{number: step.Number, job: job}
 	for index, group := range step.Groups {
 		state.groups = append(state.groups, p.addGroup(state, index, group))
 	}
-	if state.left > 0 {
+	if state.unfinished > 0 {
 		job.steps = append(job.steps, state)
 	}
 }
@@ -84,8 +86,8 @@
 		p.jobs[step.Job] = job
 	}
 	job.weight = cmp.Or(step.Weight, 1)
-	if job.next() == nil {
-		job.tag = max(job.tag, p.clock)
+	if job.nextStep() == nil {
+		job.startTag = max(job.startTag, p.virtualTime)
 	}
 	return job
 }
@@ -96,21 +98,21 @@
 		if _, known := p.samples[sample.ID]; known {
 			continue
 		}
-		added := &sampleState{id: sample.ID, cost: cmp.Or(sample.Cost, 1), tokens: sample.Tokens, group: state}
-		p.samples[sample.ID] = added
-		state.waiting = append(state.waiting, added)
+		created := &sampleState{id: sample.ID, cost: cmp.Or(sample.Cost, 1), tokens: sample.Tokens, group: state}
+		p.samples[sample.ID] = created
+		state.waiting = append(state.waiting, created)
 	}
-	slices.SortFunc(state.waiting, startOrder)
+	slices.SortFunc(state.waiting, compareStartOrder)
 	state.size = len(state.waiting)
-	state.left = state.size
+	state.unfinished = state.size
 	step.waiting += state.size
-	step.left += state.size
+	step.unfinished += state.size
 	step.size += state.size
 	return state
 }
 
-// Next returns the sample to start next while running generations are at work; false if none
-// waits or all slots are taken. The sample counts as waiting until Started is called.
+// Next returns the next generation to start; false if no sample is waiting or all slots are taken. The parameter
+// running is the number of running generations. The sample counts as waiting until Started is called.
 func (p *Planner) Next(_ time.Time, running int) (Work, bool) {
 	if p.slots > 0 && running >= p.slots {
 		return Work{}, false
@@ -119,70 +121,73 @@
 	if job == nil {
 		return Work{}, false
 	}
-	group := job.next().next()
+	group := job.nextStep().nextGroup()
 	if group == nil {
 		return Work{}, false
 	}
-	return group.waiting[0].work(false), true
+	return group.waiting[0].generation(false), true
 }
 
-// nextJob returns the job with the earliest tag.
+// nextJob returns the job with the earliest start tag that has samples to start, or nil.
 func (p *Planner) nextJob() *jobState {
 	var best *jobState
 	for _, name := range slices.Sorted(maps.Keys(p.jobs)) {
 		job := p.jobs[name]
-		if job.next() == nil {
+		if job.nextStep() == nil {
 			continue
 		}
-		if best == nil || job.tag < best.tag {
+		if best == nil || job.startTag < best.startTag {
 			best = job
 		}
 	}
 	return best
 }
 
-// Started says that the sample returned by Next or Hedge is running. Calls for others are ignored.
-func (p *Planner) Started(now time.Time, work Work) {
-	sample, ok := p.samples[work.SampleID]
+// Started records that the generation returned by Next or Hedge is running. It ignores samples that are unknown
+// or finished.
+func (p *Planner) Started(now time.Time, generation Work) {
+	sample, ok := p.samples[generation.SampleID]
 	if !ok || sample.done {
 		return
 	}
 	sample.running++
 	sample.started = now
-	sample.moved = now
+	sample.lastProgress = now
 	sample.startedTokens = sample.tokens
-	if work.Copy || !sample.take() {
+	if generation.Copy || !sample.removeFromWaiting() {
 		return
 	}
 	job := sample.group.step.job
-	p.clock = max(p.clock, job.tag)
-	job.tag += sample.rest() / job.weight
-	job.work += sample.rest()
+	p.virtualTime = max(p.virtualTime, job.startTag)
+	job.startTag += sample.remainingTokens() / job.weight
+	job.primaryTokens += sample.remainingTokens()
 }
 
-// take removes the sample from those that wait in its group.
-func (s *sampleState) take() bool {
-	at := slices.Index(s.group.waiting, s)
-	if at < 0 {
+// removeFromWaiting removes the sample from those of its group that wait to be started. It returns false if the
+// sample isn't one of them.
+func (s *sampleState) removeFromWaiting() bool {
+	index := slices.Index(s.group.waiting, s)
+	if index < 0 {
 		return false
 	}
-	s.group.waiting = slices.Delete(s.group.waiting, at, at+1)
+	s.group.waiting = slices.Delete(s.group.waiting, index, index+1)
 	s.group.step.waiting--
 	return true
 }
 
-// Progress takes in how many tokens of a running sample exist.
+// Progress records the number of known tokens of a running sample.
 func (p *Planner) Progress(now time.Time, sampleID string, tokens int) {
 	sample, ok := p.samples[sampleID]
 	if !ok || tokens <= sample.tokens {
 		return
 	}
 	sample.tokens = tokens
-	sample.moved = now
+	sample.lastProgress = now
 }
 
-// Finished says that a sample is whole, with its length in tokens, 0 if it is given up. It returns how many copies
-// still run, which the caller cancels; -1 if the sample was whole before.
+// Finished records that a sample is complete, with its length in tokens, or that it was abandoned, with 0 tokens.
+// It returns how many other generations of the sample are running, for the caller to cancel; -1 if the sample is
+// unknown or already finished.
 func (p *Planner) Finished(now time.Time, sampleID string, tokens int) int {
 	sample, ok := p.samples[sampleID]
 	if !ok || sample.done {
@@ -190,21 +195,21 @@
 	}
 	sample.done = true
 	job := sample.group.step.job
-	job.learnLength(float64(tokens) / sample.cost)
+	job.recordLength(float64(tokens) / sample.cost)
 	if sample.copies == 0 {
 		sample.tokens = max(sample.tokens, tokens)
-		job.learn(sample.speed(now))
+		job.recordSpeed(sample.speed(now))
 	}
-	sample.take()
-	sample.group.left--
-	sample.group.step.left--
-	p.forget(sample.group.step)
+	sample.removeFromWaiting()
+	sample.group.unfinished--
+	sample.group.step.unfinished--
+	p.dropIfFinished(sample.group.step)
 	return max(0, sample.running-1)
 }
 
-// forget drops a step that is whole, so that memory follows what is unfinished.
-func (p *Planner) forget(step *stepState) {
-	if step.left > 0 {
+// dropIfFinished removes the step if it is finished, so that memory use depends only on unfinished steps.
+func (p *Planner) dropIfFinished(step *stepState) {
+	if step.unfinished > 0 {
 		return
 	}
 	job := step.job
@@ -212,8 +217,8 @@
 	maps.DeleteFunc(p.samples, func(_ string, s *sampleState) bool { return s.group.step == step })
 }
 
-// Lost says that a generation ended without a whole sample, with the length of the prefix that is
-// known. The sample waits again, to be resumed from there, unless a copy still runs.
+// Lost records that a generation ended before its sample was complete, with the length of the known prefix. The
+// sample waits again, to be resumed from there, unless another generation of it is running.
 func (p *Planner) Lost(_ time.Time, sampleID string, tokensSoFar int) {
 	sample, ok := p.samples[sampleID]
 	if !ok || sample.done {
@@ -222,13 +227,13 @@
 	sample.tokens = max(sample.tokens, tokensSoFar)
 	sample.running = max(0, sample.running-1)
 	if sample.running == 0 && !slices.Contains(sample.group.waiting, sample) {
-		sample.wait()
+		sample.requeue()
 	}
 }
 
-// Drop forgets a job's unfinished steps up to a number, as when they are too stale; it returns the
-// samples that are running.
-func (p *Planner) Drop(job string, number int) []string {
+// DropSteps removes a job's steps up to and including a number, for example because they are too stale. It returns
+// the ids of their running samples, sorted.
+func (p *Planner) DropSteps(job string, number int) []string {
 	state, ok := p.jobs[job]
 	if !ok {
 		return nil
--- a/internal/core/rollout/sample.go
+++ b/internal/core/rollout/sample.go
@@ -8,33 +8,35 @@
 
 // sampleState is the progress of a sample.
 type sampleState struct {
-	id      string
-	cost    float64
-	tokens  int
-	group   *groupState
+	id     string
+	cost   float64
+	tokens int
+	group  *groupState
+	// running is the number of running generations; copies is how many of the copies were returned by Hedge.
 	running int
 	copies  int
 	done    bool
-	// started is when the sample or its last copy started; with the tokens at that time it gives the speed.
+	// started is when the sample or its last copy started, and startedTokens is the number of known tokens at that
+	// time. They determine the speed.
 	started       time.Time
 	startedTokens int
-	// moved is when the sample's last token came, or its last generation started.
-	moved time.Time
+	// lastProgress is when the last token of the sample arrived or its last generation started.
+	lastProgress time.Time
 }
 
-// expected is the expected length: the caller's cost is often the most that a sample may have, so
-// it is corrected by what the job's samples had of theirs.
-func (s *sampleState) expected() float64 {
-	return s.cost * s.group.step.job.lengthPart()
+// expectedTokens returns the expected length in tokens. The caller's cost is often the maximum length of a sample,
+// so that it is corrected by the usual ratio of length to cost of the job's samples.
+func (s *sampleState) expectedTokens() float64 {
+	return s.cost * s.group.step.job.typicalLengthRatio()
 }
 
-// rest is the expected work left.
-func (s *sampleState) rest() float64 {
-	expected := s.expected()
-	return max(expected-float64(s.tokens), expected*leastRest)
+// remainingTokens returns the expected number of tokens that are still to be generated.
+func (s *sampleState) remainingTokens() float64 {
+	expected := s.expectedTokens()
+	return max(expected-float64(s.tokens), expected*minRemainingShare)
 }
 
-// speed is the tokens a second of the running generation.
+// speed returns the tokens per second since the last generation started.
 func (s *sampleState) speed(now time.Time) float64 {
 	elapsed := now.Sub(s.started).Seconds()
 	if elapsed <= 0 {
@@ -43,8 +45,8 @@
 	return float64(s.tokens-s.startedTokens) / elapsed
 }
 
-// work describes a start of the sample.
-func (s *sampleState) work(isCopy bool) Work {
+// generation returns a generation of the sample that resumes from the known tokens.
+func (s *sampleState) generation(isCopy bool) Work {
 	return Work{
 		Job:      s.group.step.job.name,
 		Step:     s.group.step.number,
@@ -55,18 +57,18 @@
 	}
 }
 
-// startOrder puts the most work left first, so that the longest sample isn't the last to start.
-func startOrder(a, b *sampleState) int {
-	return cmp.Or(cmp.Compare(b.rest(), a.rest()), cmp.Compare(a.id, b.id))
+// compareStartOrder sorts samples by remaining tokens, most first, so that the longest sample doesn't start last.
+func compareStartOrder(a, b *sampleState) int {
+	return cmp.Or(cmp.Compare(b.remainingTokens(), a.remainingTokens()), cmp.Compare(a.id, b.id))
 }
 
-// wait puts the sample back in its group's order.
-func (s *sampleState) wait() {
+// requeue adds the sample to those of its group that wait to be started, at its place in the order.
+func (s *sampleState) requeue() {
 	group := s.group
-	at, _ := slices.BinarySearchFunc(group.waiting, s, startOrder)
-	group.waiting = slices.Insert(group.waiting, at, s)
+	index, _ := slices.BinarySearchFunc(group.waiting, s, compareStartOrder)
+	group.waiting = slices.Insert(group.waiting, index, s)
 	group.step.waiting++
-	if group.index < group.step.untouched && !slices.Contains(group.step.begun, group) {
-		group.step.begun = append(group.step.begun, group)
+	if group.index < group.step.firstUntouched && !slices.Contains(group.step.partlyStarted, group) {
+		group.step.partlyStarted = append(group.step.partlyStarted, group)
 	}
 }
--- a/internal/core/rollout/step.go
+++ b/internal/core/rollout/step.go
@@ -1,38 +1,38 @@
 package rollout
 
-// Sample is one sample to be generated.
+// Sample is a sample to generate.
 type Sample struct {
-	// ID is unique over all jobs and steps.
+	// ID is unique across all jobs and steps.
 	ID string
 	// Cost is the expected number of tokens; 0 counts as 1.
 	Cost float64
-	// Tokens is the length of a prefix that exists already, as after a change of coordinator.
+	// Tokens is the length of a prefix that was already generated, for example before the job's coordinator changed.
 	Tokens int
 }
 
-// Group is a set of samples that are used together.
+// Group is a set of samples that a trainer uses together.
 type Group struct {
 	Samples []Sample
 }
 
-// Step is what a trainer asks for at once.
+// Step holds the groups of samples that a trainer requests at once.
 type Step struct {
 	Job    string
 	Number int
-	// Weight is the job's share of the engines; 0 counts as 1.
+	// Weight is the job's share of the engines relative to other jobs; 0 counts as 1.
 	Weight float64
 	Groups []Group
 }
 
-// Work is one generation to start.
+// Work is a generation of a sample that is to be started.
 type Work struct {
 	Job      string
 	Step     int
 	Group    int
 	SampleID string
-	// Tokens is the length of the prefix to resume from.
+	// Tokens is the length of the prefix that the generation resumes from.
 	Tokens int
-	// Copy says that the sample is running elsewhere too; the first to finish counts.
+	// Copy reports that another generation of the sample is running. The result of the first to finish is used.
 	Copy bool
 }
 
@@ -41,60 +41,61 @@
 	number int
 	job    *jobState
 	groups []*groupState
-	// begun holds the groups that have been started in part and have samples to start.
-	begun []*groupState
-	// untouched is the index of the first group of which no sample was started.
-	untouched int
-	waiting   int
-	left      int
-	size      int
+	// partlyStarted holds the groups of which samples were started and others wait to be started.
+	partlyStarted []*groupState
+	// firstUntouched is the index of the first group of which no sample was ever started.
+	firstUntouched int
+	waiting        int
+	unfinished     int
+	size           int
 }
 
 // groupState is the progress of a group.
 type groupState struct {
 	index int
 	step  *stepState
-	// waiting is sorted by the order of starting.
-	waiting []*sampleState
-	size    int
-	left    int
+	// waiting holds the samples to start, in their order.
+	waiting    []*sampleState
+	size       int
+	unfinished int
 }
 
-// next returns the group whose sample is to start next, or nil.
-func (s *stepState) next() *groupState {
-	if group := s.leastLeft(); group != nil {
+// nextGroup returns the group whose sample is to be started next, or nil.
+func (s *stepState) nextGroup() *groupState {
+	if group := s.fewestUnfinished(); group != nil {
 		return group
 	}
-	if s.untouched >= len(s.groups) {
+	if s.firstUntouched >= len(s.groups) {
 		return nil
 	}
-	group := s.groups[s.untouched]
-	s.untouched++
-	s.begun = append(s.begun, group)
+	group := s.groups[s.firstUntouched]
+	s.firstUntouched++
+	s.partlyStarted = append(s.partlyStarted, group)
 	return group
 }
 
-// leastLeft returns the group already begun that needs the fewest samples to be whole.
-func (s *stepState) leastLeft() *groupState {
+// fewestUnfinished returns the partly started group with the fewest unfinished samples, or nil.
+func (s *stepState) fewestUnfinished() *groupState {
 	var best *groupState
-	kept := s.begun[:0]
-	for _, group := range s.begun {
+	remaining := s.partlyStarted[:0]
+	for _, group := range s.partlyStarted {
 		if len(group.waiting) == 0 {
 			continue
 		}
-		kept = append(kept, group)
-		if best == nil || group.left < best.left || group.left == best.left && group.index < best.index {
+		remaining = append(remaining, group)
+		if best == nil || group.unfinished < best.unfinished || group.unfinished == best.unfinished && group.index < best.index {
 			best = group
 		}
 	}
-	s.begun = kept
+	s.partlyStarted = remaining
 	return best
 }
 
-// nearlyWhole says that the group, or the step round it, only waits for its last quarter, which runs.
-func (g *groupState) nearlyWhole() bool {
+// nearlyDone reports whether all samples of the group were started, and at most a quarter of the group or of its
+// step is unfinished.
+func (g *groupState) nearlyDone() bool {
 	if len(g.waiting) > 0 {
 		return false
 	}
-	return g.left*nearlyWholePart <= g.size || g.step.left*nearlyWholePart <= g.step.size
+	return g.unfinished*nearlyDoneDivisor <= g.size || g.step.unfinished*nearlyDoneDivisor <= g.step.size
 }
