--- a/internal/core/ticket/order.go
+++ b/internal/core/ticket/order.go
@@ -5,8 +5,8 @@
 
 // The results of the check of a ticket's number against a head.
 const (
-	// OrderNext means that the ticket is the next one and may be accepted.
-	OrderNext Order = iota + 1
+	// NumberNext means that the ticket is the next one and may be accepted.
+	NumberNext Order = iota + 1
 	// OrderAccepted means that the same ticket was already accepted under this number.
 	OrderAccepted
 	// OrderTaken means that another ticket was accepted under this number.
@@ -23,7 +23,7 @@
 // String returns the name of the result.
 func (o Order) String() string {
 	switch o {
-	case OrderNext:
+	case NumberNext:
 		return "next"
 	case OrderAccepted:
 		return "accepted"
@@ -45,7 +45,7 @@
 		return OrderInvalid
 	}
 	if number == h.LastTicket+1 {
-		return OrderNext
+		return NumberNext
 	}
 	if number > h.LastTicket {
 		return OrderEarly
--- a/internal/core/ticket/view_test.go
+++ b/internal/core/ticket/view_test.go
@@ -147,7 +147,7 @@
 		want   Order
 	}{
 		{"zero", 0, "", OrderInvalid},
-		{"next", 75, "any", OrderNext},
+		{"next", 75, "any", NumberNext},
 		{"early", 76, "any", OrderEarly},
 		{"last again", 74, "digest 74", OrderAccepted},
 		{"last taken", 74, "other", OrderTaken},
--- a/internal/edge/configuration/proposal.go
+++ b/internal/edge/configuration/proposal.go
@@ -25,7 +25,7 @@
 func (n *numbered) decide(view *ticket.View, now time.Time, doubted bool) (decision, error) {
 	head := view.Head()
 	switch head.Order(n.number, n.digest) {
-	case ticket.OrderNext:
+	case ticket.NumberNext:
 		change, err := view.Apply(n.ticket)
 		if err != nil {
 			return decision{}, refuseTicket(n.number, err)
