--- a/internal/core/ticket/order.go
+++ b/internal/core/ticket/order.go
@@ -7,8 +7,8 @@
 const (
 	// NumberNext means that the ticket is the next one and may be accepted.
 	NumberNext Order = iota + 1
-	// OrderAccepted means that the same ticket was already accepted under this number.
-	OrderAccepted
+	// NumberAccepted means that the same ticket was already accepted under this number.
+	NumberAccepted
 	// OrderTaken means that another ticket was accepted under this number.
 	OrderTaken
 	// OrderEarly means that a ticket with a lower number has to be accepted first.
@@ -25,7 +25,7 @@
 	switch o {
 	case NumberNext:
 		return "next"
-	case OrderAccepted:
+	case NumberAccepted:
 		return "accepted"
 	case OrderTaken:
 		return "taken"
@@ -57,7 +57,7 @@
 	if kept != digest {
 		return OrderTaken
 	}
-	return OrderAccepted
+	return NumberAccepted
 }
 
 // Digest returns the digest of the accepted ticket with the given number; false if the head doesn't keep it.
--- a/internal/core/ticket/view_test.go
+++ b/internal/core/ticket/view_test.go
@@ -149,9 +149,9 @@
 		{"zero", 0, "", OrderInvalid},
 		{"next", 75, "any", NumberNext},
 		{"early", 76, "any", OrderEarly},
-		{"last again", 74, "digest 74", OrderAccepted},
+		{"last again", 74, "digest 74", NumberAccepted},
 		{"last taken", 74, "other", OrderTaken},
-		{"oldest kept", 11, "digest 11", OrderAccepted},
+		{"oldest kept", 11, "digest 11", NumberAccepted},
 		{"forgotten", 10, "digest 10", OrderForgotten},
 	}
 	for _, test := range tests {
--- a/internal/edge/configuration/proposal.go
+++ b/internal/edge/configuration/proposal.go
@@ -31,7 +31,7 @@
 			return decision{}, refuseTicket(n.number, err)
 		}
 		return decision{change: change}, nil
-	case ticket.OrderAccepted:
+	case ticket.NumberAccepted:
 		return decision{done: true}, nil
 	case ticket.OrderEarly:
 		return n.decideEarly(head, now)
