--- a/internal/core/ticket/order.go
+++ b/internal/core/ticket/order.go
@@ -9,8 +9,8 @@
 	NumberNext Order = iota + 1
 	// NumberAccepted means that the same ticket was already accepted under this number.
 	NumberAccepted
-	// OrderTaken means that another ticket was accepted under this number.
-	OrderTaken
+	// NumberTaken means that another ticket was accepted under this number.
+	NumberTaken
 	// OrderEarly means that a ticket with a lower number has to be accepted first.
 	OrderEarly
 	// OrderForgotten means that the number is older than the digests that the head keeps, so that it is unknown
@@ -27,7 +27,7 @@
 		return "next"
 	case NumberAccepted:
 		return "accepted"
-	case OrderTaken:
+	case NumberTaken:
 		return "taken"
 	case OrderEarly:
 		return "early"
@@ -55,7 +55,7 @@
 		return OrderForgotten
 	}
 	if kept != digest {
-		return OrderTaken
+		return NumberTaken
 	}
 	return NumberAccepted
 }
--- a/internal/core/ticket/view_test.go
+++ b/internal/core/ticket/view_test.go
@@ -150,7 +150,7 @@
 		{"next", 75, "any", NumberNext},
 		{"early", 76, "any", OrderEarly},
 		{"last again", 74, "digest 74", NumberAccepted},
-		{"last taken", 74, "other", OrderTaken},
+		{"last taken", 74, "other", NumberTaken},
 		{"oldest kept", 11, "digest 11", NumberAccepted},
 		{"forgotten", 10, "digest 10", OrderForgotten},
 	}
--- a/internal/edge/configuration/proposal.go
+++ b/internal/edge/configuration/proposal.go
@@ -35,7 +35,7 @@
 		return decision{done: true}, nil
 	case ticket.OrderEarly:
 		return n.decideEarly(head, now)
-	case ticket.OrderTaken:
+	case ticket.NumberTaken:
 		return decision{}, verdict.Refuse(verdict.NotRun, verdict.ReasonTicketTaken, 0,
 			"ticket %d was accepted with another content; the next number is %d", n.number, head.LastTicket+1)
 	case ticket.OrderForgotten:
