--- a/internal/core/ticket/order.go
+++ b/internal/core/ticket/order.go
@@ -11,8 +11,8 @@
 	NumberAccepted
 	// NumberTaken means that another ticket was accepted under this number.
 	NumberTaken
-	// OrderEarly means that a ticket with a lower number has to be accepted first.
-	OrderEarly
+	// NumberEarly means that a ticket with a lower number has to be accepted first.
+	NumberEarly
 	// OrderForgotten means that the number is older than the digests that the head keeps, so that it is unknown
 	// whether the same ticket was accepted.
 	OrderForgotten
@@ -29,7 +29,7 @@
 		return "accepted"
 	case NumberTaken:
 		return "taken"
-	case OrderEarly:
+	case NumberEarly:
 		return "early"
 	case OrderForgotten:
 		return "forgotten"
@@ -48,7 +48,7 @@
 		return NumberNext
 	}
 	if number > h.LastTicket {
-		return OrderEarly
+		return NumberEarly
 	}
 	kept, ok := h.Digest(number)
 	if !ok {
--- a/internal/core/ticket/view_test.go
+++ b/internal/core/ticket/view_test.go
@@ -148,7 +148,7 @@
 	}{
 		{"zero", 0, "", OrderInvalid},
 		{"next", 75, "any", NumberNext},
-		{"early", 76, "any", OrderEarly},
+		{"early", 76, "any", NumberEarly},
 		{"last again", 74, "digest 74", NumberAccepted},
 		{"last taken", 74, "other", NumberTaken},
 		{"oldest kept", 11, "digest 11", NumberAccepted},
--- a/internal/edge/configuration/proposal.go
+++ b/internal/edge/configuration/proposal.go
@@ -33,7 +33,7 @@
 		return decision{change: change}, nil
 	case ticket.NumberAccepted:
 		return decision{done: true}, nil
-	case ticket.OrderEarly:
+	case ticket.NumberEarly:
 		return n.decideEarly(head, now)
 	case ticket.NumberTaken:
 		return decision{}, verdict.Refuse(verdict.NotRun, verdict.ReasonTicketTaken, 0,
