--- a/internal/core/ticket/order.go
+++ b/internal/core/ticket/order.go
@@ -13,9 +13,9 @@
 	NumberTaken
 	// NumberEarly means that a ticket with a lower number has to be accepted first.
 	NumberEarly
-	// OrderForgotten means that the number is older than the digests that the head keeps, so that it is unknown
+	// NumberForgotten means that the number is older than the digests that the head keeps, so that it is unknown
 	// whether the same ticket was accepted.
-	OrderForgotten
+	NumberForgotten
 	// OrderInvalid means that the number is below 1.
 	OrderInvalid
 )
@@ -31,7 +31,7 @@
 		return "taken"
 	case NumberEarly:
 		return "early"
-	case OrderForgotten:
+	case NumberForgotten:
 		return "forgotten"
 	default:
 		return "invalid"
@@ -52,7 +52,7 @@
 	}
 	kept, ok := h.Digest(number)
 	if !ok {
-		return OrderForgotten
+		return NumberForgotten
 	}
 	if kept != digest {
 		return NumberTaken
--- a/internal/core/ticket/view_test.go
+++ b/internal/core/ticket/view_test.go
@@ -152,7 +152,7 @@
 		{"last again", 74, "digest 74", NumberAccepted},
 		{"last taken", 74, "other", NumberTaken},
 		{"oldest kept", 11, "digest 11", NumberAccepted},
-		{"forgotten", 10, "digest 10", OrderForgotten},
+		{"forgotten", 10, "digest 10", NumberForgotten},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/edge/configuration/proposal.go
+++ b/internal/edge/configuration/proposal.go
@@ -38,7 +38,7 @@
 	case ticket.NumberTaken:
 		return decision{}, verdict.Refuse(verdict.NotRun, verdict.ReasonTicketTaken, 0,
 			"ticket %d was accepted with another content; the next number is %d", n.number, head.LastTicket+1)
-	case ticket.OrderForgotten:
+	case ticket.NumberForgotten:
 		if doubted {
 			return decision{}, n.unsettled(errSuperseded)
 		}
