--- a/internal/core/ticket/order.go
+++ b/internal/core/ticket/order.go
@@ -16,8 +16,8 @@
 	// NumberForgotten means that the number is older than the digests that the head keeps, so that it is unknown
 	// whether the same ticket was accepted.
 	NumberForgotten
-	// OrderInvalid means that the number is below 1.
-	OrderInvalid
+	// NumberInvalid means that the number is below 1.
+	NumberInvalid
 )
 
 // String returns the name of the result.
@@ -42,7 +42,7 @@
 // conditional update, the result for a number that isn't above LastTicket is final.
 func (h Head) Order(number int, digest string) Order {
 	if number < 1 {
-		return OrderInvalid
+		return NumberInvalid
 	}
 	if number == h.LastTicket+1 {
 		return NumberNext
--- a/internal/core/ticket/view_test.go
+++ b/internal/core/ticket/view_test.go
@@ -146,7 +146,7 @@
 		digest string
 		want   Order
 	}{
-		{"zero", 0, "", OrderInvalid},
+		{"zero", 0, "", NumberInvalid},
 		{"next", 75, "any", NumberNext},
 		{"early", 76, "any", NumberEarly},
 		{"last again", 74, "digest 74", NumberAccepted},
