--- a/internal/core/ticket/order.go
+++ b/internal/core/ticket/order.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// Order checks the number of a ticket with the given digest against the head. Because the head changes only by
+// NumberStatus checks the number of a ticket with the given digest against the head. Because the head changes only by
 // conditional update, the result for a number that isn't above LastTicket is final.
-func (h Head) Order(number int, digest string) Order {
+func (h Head) NumberStatus(number int, digest string) Order {
 	if number < 1 {
 		return NumberInvalid
 	}
--- a/internal/core/ticket/view_test.go
+++ b/internal/core/ticket/view_test.go
@@ -156,7 +156,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := head.Order(test.number, test.digest); got != test.want {
+			if got := head.NumberStatus(test.number, test.digest); got != test.want {
 				t.Errorf("order %v, want %v", got, test.want)
 			}
 		})
--- a/internal/edge/configuration/proposal.go
+++ b/internal/edge/configuration/proposal.go
@@ -24,7 +24,7 @@
 
 func (n *numbered) decide(view *ticket.View, now time.Time, doubted bool) (decision, error) {
 	head := view.Head()
-	switch head.Order(n.number, n.digest) {
+	switch head.NumberStatus(n.number, n.digest) {
 	case ticket.NumberNext:
 		change, err := view.Apply(n.ticket)
 		if err != nil {
--- a/internal/edge/configuration/publisher_test.go
+++ b/internal/edge/configuration/publisher_test.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return currentHead(t, store).Order(number, digest) == ticket.NumberAccepted
+	return currentHead(t, store).NumberStatus(number, digest) == ticket.NumberAccepted
 }
 
 // TestApplyUnderFaults is a platform that fails in one step of a ticket.
