--- a/internal/core/ticket/order.go
+++ b/internal/core/ticket/order.go
@@ -1,12 +1,12 @@
 package ticket
 
-// Order tells whether a ticket may be accepted under its number, given the tickets accepted so far.
-type Order uint8
+// NumberStatus tells whether a ticket may be accepted under its number, given the tickets accepted so far.
+type NumberStatus uint8
 
 // The results of the check of a ticket's number against a head.
 const (
 	// NumberNext means that the ticket is the next one and may be accepted.
-	NumberNext Order = iota + 1
+	NumberNext NumberStatus = iota + 1
 	// NumberAccepted means that the same ticket was already accepted under this number.
 	NumberAccepted
 	// NumberTaken means that another ticket was accepted under this number.
@@ -21,7 +21,7 @@
 )
 
 // String returns the name of the result.
-func (o Order) String() string {
+func (o NumberStatus) String() string {
 	switch o {
 	case NumberNext:
 		return "next"
@@ -40,7 +40,7 @@
 
 // NumberStatus checks the number of a ticket with the given digest against the head. Because the head changes only by
 // conditional update, the result for a number that isn't above LastTicket is final.
-func (h Head) NumberStatus(number int, digest string) Order {
+func (h Head) NumberStatus(number int, digest string) NumberStatus {
 	if number < 1 {
 		return NumberInvalid
 	}
--- a/internal/core/ticket/view_test.go
+++ b/internal/core/ticket/view_test.go
@@ -144,7 +144,7 @@
 		name   string
 		number int
 		digest string
-		want   Order
+		want   NumberStatus
 	}{
 		{"zero", 0, "", NumberInvalid},
 		{"next", 75, "any", NumberNext},
