--- a/internal/core/ticket/freshness.go
+++ b/internal/core/ticket/freshness.go
@@ -39,8 +39,8 @@
 // InOutage reports whether an outage of the platform is established at now.
 func (f Freshness) InOutage(now time.Time) bool { return isRecent(now, f.Outage, FreshFor) }
 
-// Later returns the later of both confirmations and the later of both outages.
-func (f Freshness) Later(other Freshness) Freshness {
+// Merge returns the later of both confirmations and the later of both outages.
+func (f Freshness) Merge(other Freshness) Freshness {
 	return Freshness{Confirmed: later(f.Confirmed, other.Confirmed), Outage: later(f.Outage, other.Outage)}
 }
 
--- a/internal/edge/configuration/snapshot.go
+++ b/internal/edge/configuration/snapshot.go
@@ -63,7 +63,7 @@
 			return s, err
 		}
 	}
-	next.freshness = s.freshness.Later(a.freshness)
+	next.freshness = s.freshness.Merge(a.freshness)
 	next.voter = s.voter || a.voter
 	next.synced = s.synced || next.freshness.Fresh(now)
 	return &next, nil
--- a/internal/edge/configuration/source.go
+++ b/internal/edge/configuration/source.go
@@ -189,7 +189,7 @@
 	known := ticket.Freshness{}
 	for _, answer := range answers {
 		if answer.err == nil {
-			known = known.Later(answer.freshness)
+			known = known.Merge(answer.freshness)
 		}
 	}
 	return known
