--- a/internal/core/ticket/freshness.go
+++ b/internal/core/ticket/freshness.go
@@ -22,8 +22,8 @@
 	// Confirmed is when the platform last confirmed the view to this host, or to a relay that forwarded the
 	// confirmation.
 	Confirmed time.Time
-	// Outage is when this host or a relay last established an outage of the platform.
-	Outage time.Time
+	// OutageSeen is when this host or a relay last established an outage of the platform.
+	OutageSeen time.Time
 }
 
 // Fresh reports whether requests may be served from the view at now.
@@ -33,15 +33,15 @@
 // get too old and it rejects requests. In an outage of the platform no ticket can be accepted, so that the view
 // stays the newest however old its confirmation is.
 func (f Freshness) Fresh(now time.Time) bool {
-	return isRecent(now, f.Confirmed, FreshFor) || isRecent(now, f.Outage, FreshFor)
+	return isRecent(now, f.Confirmed, FreshFor) || isRecent(now, f.OutageSeen, FreshFor)
 }
 
 // InOutage reports whether an outage of the platform is established at now.
-func (f Freshness) InOutage(now time.Time) bool { return isRecent(now, f.Outage, FreshFor) }
+func (f Freshness) InOutage(now time.Time) bool { return isRecent(now, f.OutageSeen, FreshFor) }
 
 // Merge returns the later of both confirmations and the later of both outages.
 func (f Freshness) Merge(other Freshness) Freshness {
-	return Freshness{Confirmed: later(f.Confirmed, other.Confirmed), Outage: later(f.Outage, other.Outage)}
+	return Freshness{Confirmed: later(f.Confirmed, other.Confirmed), OutageSeen: later(f.OutageSeen, other.OutageSeen)}
 }
 
 // OutageEstablished reports whether one round of queries to all relays establishes an outage of the platform.
--- a/internal/core/ticket/view_test.go
+++ b/internal/core/ticket/view_test.go
@@ -175,8 +175,8 @@
 		{"just confirmed", Freshness{Confirmed: ago(0)}, true},
 		{"at the bound", Freshness{Confirmed: ago(FreshFor)}, true},
 		{"partitioned", Freshness{Confirmed: ago(FreshFor + 1)}, false},
-		{"outage", Freshness{Confirmed: ago(time.Hour), Outage: ago(time.Second)}, true},
-		{"partitioned in an outage", Freshness{Confirmed: ago(time.Hour), Outage: ago(FreshFor + 1)}, false},
+		{"outage", Freshness{Confirmed: ago(time.Hour), OutageSeen: ago(time.Second)}, true},
+		{"partitioned in an outage", Freshness{Confirmed: ago(time.Hour), OutageSeen: ago(FreshFor + 1)}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/edge/configuration/follower.go
+++ b/internal/edge/configuration/follower.go
@@ -176,7 +176,7 @@
 		Revision:   s.view.Revision(),
 		LastTicket: s.view.LastTicket(),
 		Confirmed:  s.freshness.Confirmed,
-		Outage:     s.freshness.Outage,
+		Outage:     s.freshness.OutageSeen,
 		Fresh:      s.freshness.Fresh(now),
 		Synced:     s.synced,
 		Relay:      f.route().relay,
--- a/internal/edge/configuration/follower_test.go
+++ b/internal/edge/configuration/follower_test.go
@@ -184,7 +184,7 @@
 	}{
 		{"never", FollowAnswer{Age: noAge, OutageAge: noAge}, ticket.Freshness{}},
 		{"at once", FollowAnswer{Age: time.Second, OutageAge: noAge}, ticket.Freshness{Confirmed: asked.Add(-time.Second)}},
-		{"held", FollowAnswer{Held: time.Second, Age: noAge, OutageAge: 3 * time.Second}, ticket.Freshness{Outage: asked.Add(-2 * time.Second)}},
+		{"held", FollowAnswer{Held: time.Second, Age: noAge, OutageAge: 3 * time.Second}, ticket.Freshness{OutageSeen: asked.Add(-2 * time.Second)}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/edge/configuration/relay.go
+++ b/internal/edge/configuration/relay.go
@@ -55,7 +55,7 @@
 		Revision:  s.view.Revision(),
 		Held:      now.Sub(came),
 		Age:       age(now, s.freshness.Confirmed),
-		OutageAge: age(now, s.freshness.Outage),
+		OutageAge: age(now, s.freshness.OutageSeen),
 		Voter:     s.voter,
 	}
 	switch {
@@ -79,7 +79,7 @@
 // some time after it was asked, so its answer was made at asked+Held at the earliest: the moments are
 // never too late, however long the answer was under way and even if this host was paused meanwhile.
 func (a FollowAnswer) freshness(asked time.Time) ticket.Freshness {
-	return ticket.Freshness{Confirmed: moment(asked, a.Held, a.Age), Outage: moment(asked, a.Held, a.OutageAge)}
+	return ticket.Freshness{Confirmed: moment(asked, a.Held, a.Age), OutageSeen: moment(asked, a.Held, a.OutageAge)}
 }
 
 func moment(asked time.Time, held, age time.Duration) time.Time {
--- a/internal/edge/configuration/source.go
+++ b/internal/edge/configuration/source.go
@@ -139,7 +139,7 @@
 		if answer.err != nil {
 			continue
 		}
-		known := later(answer.freshness.Confirmed, answer.freshness.Outage)
+		known := later(answer.freshness.Confirmed, answer.freshness.OutageSeen)
 		if !best.IsValid() || known.After(newest) {
 			best, newest = relays[i], known
 		}
--- a/internal/edge/configuration/survey.go
+++ b/internal/edge/configuration/survey.go
@@ -57,7 +57,7 @@
 		confirmed = append(confirmed, s.freshness.Confirmed)
 	}
 	if ticket.OutageEstablished(asked, relays, confirmed) {
-		learnt.freshness.Outage = asked
+		learnt.freshness.OutageSeen = asked
 	}
 	return learnt
 }
