--- a/internal/core/ticket/bench_test.go
+++ b/internal/core/ticket/bench_test.go
@@ -17,7 +17,7 @@
 		t.Organisations = append(t.Organisations, organisation)
 	}
 	parts := partStore{}
-	view, err := parts.applyTicket(Empty(), t)
+	view, err := parts.applyTicket(EmptyView(), t)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/core/ticket/parse_test.go
+++ b/internal/core/ticket/parse_test.go
@@ -168,7 +168,7 @@
 		if before != after {
 			t.Errorf("digest %s, and %s after encoding", before, after)
 		}
-		if change, err := Empty().Apply(parsed); err == nil && change.Head.LastTicket != 1 {
+		if change, err := EmptyView().Apply(parsed); err == nil && change.Head.LastTicket != 1 {
 			t.Errorf("last ticket %d", change.Head.LastTicket)
 		}
 	})
--- a/internal/core/ticket/upcoming_test.go
+++ b/internal/core/ticket/upcoming_test.go
@@ -5,7 +5,7 @@
 // A trainer announces model versions, which servers load in advance. If an announcement could be below an
 // earlier one, or not above the version being served, servers would load weights that are never served.
 func TestUpcomingVersionMustIncrease(t *testing.T) {
-	change, err := Empty().Apply(Ticket{
+	change, err := EmptyView().Apply(Ticket{
 		Pools:         []Pool{{Name: "draftmodel", Kind: KindModel, Model: "draftmodel"}},
 		ModelVersions: []ModelVersion{{Model: "draftmodel", Version: 3}},
 	})
--- a/internal/core/ticket/view.go
+++ b/internal/core/ticket/view.go
@@ -62,8 +62,8 @@
 	return view, nil
 }
 
-// Empty returns the view before the first ticket.
-func Empty() *View {
+// EmptyView returns the view before the first ticket.
+func EmptyView() *View {
 	return viewWithoutParts(0, Head{}.clone())
 }
 
--- a/internal/core/ticket/view_test.go
+++ b/internal/core/ticket/view_test.go
@@ -36,7 +36,7 @@
 func newTestView(t *testing.T) (partStore, *View) {
 	t.Helper()
 	parts := partStore{}
-	view, err := parts.applyTicket(Empty(), parseCompleteTicket(t))
+	view, err := parts.applyTicket(EmptyView(), parseCompleteTicket(t))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/configuration/publisher.go
+++ b/internal/edge/configuration/publisher.go
@@ -304,7 +304,7 @@
 	defer cancel()
 	object, err := p.store.Get(calling, ticket.HeadObject)
 	if errors.Is(err, platform.ErrNotFound) {
-		return reading{view: ticket.Empty()}, nil
+		return reading{view: ticket.EmptyView()}, nil
 	}
 	if err != nil {
 		return reading{}, errors.Wrap(err, "head")
--- a/internal/edge/configuration/snapshot.go
+++ b/internal/edge/configuration/snapshot.go
@@ -38,7 +38,7 @@
 }
 
 func newSnapshot() *snapshot {
-	return &snapshot{view: ticket.Empty(), changed: make(chan struct{}), alarmed: make(chan struct{})}
+	return &snapshot{view: ticket.EmptyView(), changed: make(chan struct{}), alarmed: make(chan struct{})}
 }
 
 // arrival is something learnt from the platform or a peer.
--- a/internal/edge/entry/harness_test.go
+++ b/internal/edge/entry/harness_test.go
@@ -103,7 +103,7 @@
 
 func testView(t *testing.T) *ticket.View {
 	t.Helper()
-	change, err := ticket.Empty().Apply(ticket.Ticket{
+	change, err := ticket.EmptyView().Apply(ticket.Ticket{
 		Organisations: []ticket.Organisation{
 			{Name: "salalah-ground", Weight: 1, KeyHashes: []string{ticket.KeyHash(callerKey)}},
 			{Name: "sur-field", Weight: 1, KeyHashes: []string{ticket.KeyHash(otherKey)}},
