--- a/internal/core/ticket/change.go
+++ b/internal/core/ticket/change.go
@@ -59,7 +59,7 @@
 	if err := v.checkModelVersion("modelVersion", version); err != nil {
 		return Head{}, err
 	}
-	if announced, ok := v.Upcoming(version.Model); ok && version.Version <= announced.Version && version != announced {
+	if announced, ok := v.UpcomingVersion(version.Model); ok && version.Version <= announced.Version && version != announced {
 		return Head{}, FieldErrors{versionNotAbove("modelVersion", version, announced)}
 	}
 	head := v.head.clone()
--- a/internal/core/ticket/upcoming_test.go
+++ b/internal/core/ticket/upcoming_test.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if upcoming, ok := view.Upcoming("draftmodel"); !ok || upcoming.Version != 6 {
+	if upcoming, ok := view.UpcomingVersion("draftmodel"); !ok || upcoming.Version != 6 {
 		t.Errorf("upcoming version %+v, %v; want 6", upcoming, ok)
 	}
 	head, err = view.WithModelVersion(ModelVersion{Model: "draftmodel", Version: 6})
@@ -55,7 +55,7 @@
 	if view, err = NewView(2, head, parts); err != nil {
 		t.Fatal(err)
 	}
-	if upcoming, ok := view.Upcoming("draftmodel"); ok {
+	if upcoming, ok := view.UpcomingVersion("draftmodel"); ok {
 		t.Errorf("upcoming version %+v after the switch to it", upcoming)
 	}
 }
--- a/internal/core/ticket/view.go
+++ b/internal/core/ticket/view.go
@@ -219,9 +219,9 @@
 	return version, ok
 }
 
-// Upcoming returns the version that the model's servers load in advance while they serve the current one; false
+// UpcomingVersion returns the version that the model's servers load in advance while they serve the current one; false
 // if there is none.
-func (v *View) Upcoming(model string) (ModelVersion, bool) {
+func (v *View) UpcomingVersion(model string) (ModelVersion, bool) {
 	version, ok := v.head.Upcoming[model]
 	return version, ok && version.Version > v.head.ModelVersions[model].Version
 }
--- a/internal/edge/agent/weights.go
+++ b/internal/edge/agent/weights.go
@@ -117,7 +117,7 @@
 	if !ok || pool.Kind != ticket.KindModel {
 		return ticket.ModelVersion{}, false
 	}
-	version, ok := view.Upcoming(pool.Model)
+	version, ok := view.UpcomingVersion(pool.Model)
 	return version, ok && version.Version > w.prefetched()
 }
 
--- a/internal/edge/configuration/proposal.go
+++ b/internal/edge/configuration/proposal.go
@@ -68,7 +68,7 @@
 type announced struct{ versioned }
 
 func (a *announced) decide(view *ticket.View, _ time.Time, doubted bool) (decision, error) {
-	if upcoming, ok := view.Upcoming(a.version.Model); ok && upcoming == a.version {
+	if upcoming, ok := view.UpcomingVersion(a.version.Model); ok && upcoming == a.version {
 		return decision{done: true}, nil
 	}
 	if current, ok := view.ModelVersion(a.version.Model); ok && current == a.version {
--- a/internal/program/process/weightswitch.go
+++ b/internal/program/process/weightswitch.go
@@ -70,7 +70,7 @@
 	}
 	view := s.follower.View()
 	for _, configured := range view.Pools() {
-		version, ok := view.Upcoming(configured.Model)
+		version, ok := view.UpcomingVersion(configured.Model)
 		if configured.Kind != ticket.KindModel || !ok {
 			continue
 		}
