--- a/internal/core/ticket/upcoming_test.go
+++ b/internal/core/ticket/upcoming_test.go
@@ -32,7 +32,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		next, err := view.WithUpcoming(ModelVersion{Model: "draftmodel", Version: step.version})
+		next, err := view.WithUpcomingVersion(ModelVersion{Model: "draftmodel", Version: step.version})
 		if (err != nil) != step.wantErr {
 			t.Errorf("%s: error %v, want an error: %v", step.name, err, step.wantErr)
 		}
--- a/internal/edge/configuration/proposal.go
+++ b/internal/edge/configuration/proposal.go
@@ -74,7 +74,7 @@
 	if current, ok := view.ModelVersion(a.version.Model); ok && current == a.version {
 		return decision{done: true}, nil
 	}
-	head, err := view.WithUpcoming(a.version)
+	head, err := view.WithUpcomingVersion(a.version)
 	if err == nil {
 		return decision{change: ticket.Change{Head: head}}, nil
 	}
