--- a/internal/core/ticket/head.go
+++ b/internal/core/ticket/head.go
@@ -32,9 +32,9 @@
 	Upcoming map[string]ModelVersion `json:"upcoming,omitempty"`
 }
 
-// ReadHead decodes the value of the head object. It ignores fields that later releases add, so that hosts of
+// DecodeHead decodes the value of the head object. It ignores fields that later releases add, so that hosts of
 // two releases can run side by side. It returns an error if the number of digests is impossible.
-func ReadHead(value []byte) (Head, error) {
+func DecodeHead(value []byte) (Head, error) {
 	var head Head
 	if err := json.Unmarshal(value, &head); err != nil {
 		return Head{}, errors.Wrap(err, HeadObject)
--- a/internal/core/ticket/view_test.go
+++ b/internal/core/ticket/view_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return view, err
 	}
-	head, err := ReadHead(value)
+	head, err := DecodeHead(value)
 	if err != nil {
 		return view, err
 	}
--- a/internal/edge/configuration/partsweeper.go
+++ b/internal/edge/configuration/partsweeper.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, ticket.HeadObject)
 	}
-	head, err := ticket.ReadHead(object.Value)
+	head, err := ticket.DecodeHead(object.Value)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/edge/configuration/publisher.go
+++ b/internal/edge/configuration/publisher.go
@@ -309,7 +309,7 @@
 	if err != nil {
 		return reading{}, errors.Wrap(err, "head")
 	}
-	head, err := ticket.ReadHead(object.Value)
+	head, err := ticket.DecodeHead(object.Value)
 	if err != nil {
 		return reading{}, err
 	}
--- a/internal/edge/configuration/publisher_test.go
+++ b/internal/edge/configuration/publisher_test.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	head, err := ticket.ReadHead(object.Value)
+	head, err := ticket.DecodeHead(object.Value)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/configuration/snapshot.go
+++ b/internal/edge/configuration/snapshot.go
@@ -71,7 +71,7 @@
 
 // move takes the higher revision.
 func (s *snapshot) move(a arrival) error {
-	head, err := ticket.ReadHead(a.head)
+	head, err := ticket.DecodeHead(a.head)
 	if err != nil {
 		return err
 	}
--- a/internal/edge/configuration/source.go
+++ b/internal/edge/configuration/source.go
@@ -260,7 +260,7 @@
 	if a.revision <= s.view.Revision() {
 		return f.deliver(ctx, a)
 	}
-	head, err := ticket.ReadHead(a.head)
+	head, err := ticket.DecodeHead(a.head)
 	if err != nil {
 		return err
 	}
--- a/internal/program/capacity/keys.go
+++ b/internal/program/capacity/keys.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		return storedHead{}, nil, err
 	}
-	head, err := ticket.ReadHead(object.Value)
+	head, err := ticket.DecodeHead(object.Value)
 	if err != nil {
 		return storedHead{}, nil, err
 	}
