--- a/internal/core/ticket/bench_test.go
+++ b/internal/core/ticket/bench_test.go
@@ -42,7 +42,7 @@
 		b.Run(fmt.Sprintf("organisations=%d", organisations), func(b *testing.B) {
 			view, parts := largeView(b, organisations)
 			head := view.Head()
-			value, err := head.Value()
+			value, err := head.Encode()
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/core/ticket/head.go
+++ b/internal/core/ticket/head.go
@@ -45,8 +45,8 @@
 	return head, nil
 }
 
-// Value encodes the head for the object API.
-func (h Head) Value() (json.RawMessage, error) {
+// Encode encodes the head for the object API.
+func (h Head) Encode() (json.RawMessage, error) {
 	value, err := json.Marshal(h)
 	return value, errors.Wrap(err, HeadObject)
 }
--- a/internal/core/ticket/view_test.go
+++ b/internal/core/ticket/view_test.go
@@ -22,7 +22,7 @@
 	for _, part := range change.Parts {
 		s[part.Hash] = part.Content
 	}
-	value, err := change.Head.Value()
+	value, err := change.Head.Encode()
 	if err != nil {
 		return view, err
 	}
--- a/internal/edge/configuration/publisher.go
+++ b/internal/edge/configuration/publisher.go
@@ -211,7 +211,7 @@
 // write stores the parts and then the head, the commit point. A failure at the parts leaves at most
 // parts that no head names.
 func (a *attempt) write(ctx context.Context, version platform.Version, change ticket.Change) (bool, error) {
-	value, err := change.Head.Value()
+	value, err := change.Head.Encode()
 	if err != nil {
 		return true, verdict.Refuse(verdict.NotRun, verdict.ReasonDefect, 0, "%v", err)
 	}
--- a/internal/edge/configuration/snapshot.go
+++ b/internal/edge/configuration/snapshot.go
@@ -117,7 +117,7 @@
 	if err := json.Unmarshal(answer.Delta, &delta); err != nil {
 		return nil, errors.Wrap(err, "delta")
 	}
-	return s.view.Head().Patch(delta).Value()
+	return s.view.Head().Patch(delta).Encode()
 }
 
 // missing returns the hashes of the head's parts that are not at hand.
