--- a/internal/core/rollout/hedge.go
+++ b/internal/core/rollout/hedge.go
@@ -20,11 +20,11 @@
 // The copy of a stalled sample isn't charged to that share. The stalled engine produces no tokens, so that the
 // copy, which resumes from the known tokens, is the only work. If such copies were charged, the samples of one
 // stalled engine would exhaust the share, and the step would wait forever for those that aren't copied.
-func (p *Planner) Hedge(now time.Time) []Work {
+func (p *Planner) Hedge(now time.Time) []Generation {
 	if p.copyShare <= 0 {
 		return nil
 	}
-	var copies []Work
+	var copies []Generation
 	for _, s := range p.stragglers(now) {
 		job := s.sample.group.step.job
 		if !job.stalled(now, s.sample) {
--- a/internal/core/rollout/planner.go
+++ b/internal/core/rollout/planner.go
@@ -113,17 +113,17 @@
 
 // Next returns the next generation to start; false if no sample is waiting or all slots are taken. The parameter
 // running is the number of running generations. The sample counts as waiting until Started is called.
-func (p *Planner) Next(_ time.Time, running int) (Work, bool) {
+func (p *Planner) Next(_ time.Time, running int) (Generation, bool) {
 	if p.slots > 0 && running >= p.slots {
-		return Work{}, false
+		return Generation{}, false
 	}
 	job := p.nextJob()
 	if job == nil {
-		return Work{}, false
+		return Generation{}, false
 	}
 	group := job.nextStep().nextGroup()
 	if group == nil {
-		return Work{}, false
+		return Generation{}, false
 	}
 	return group.waiting[0].generation(false), true
 }
@@ -145,7 +145,7 @@
 
 // Started records that the generation returned by Next or Hedge is running. It ignores samples that are unknown
 // or finished.
-func (p *Planner) Started(now time.Time, generation Work) {
+func (p *Planner) Started(now time.Time, generation Generation) {
 	sample, ok := p.samples[generation.SampleID]
 	if !ok || sample.done {
 		return
--- a/internal/core/rollout/planner_rapid_test.go
+++ b/internal/core/rollout/planner_rapid_test.go
@@ -29,7 +29,7 @@
 				}
 			}
 		}
-		start := func(w Work) {
+		start := func(w Generation) {
 			if finished[w.SampleID] || !w.Copy && running[w.SampleID] > 0 {
 				t.Fatalf("%+v is started although its sample is finished or running", w)
 			}
--- a/internal/core/rollout/planner_test.go
+++ b/internal/core/rollout/planner_test.go
@@ -101,7 +101,7 @@
 	startFirst(p, 1)
 	p.Lost(startTime, "a1/0/0", 70)
 	got, _ := p.Next(startTime, 0)
-	want := Work{Job: "a", Step: 1, SampleID: "a1/0/0", Tokens: 70}
+	want := Generation{Job: "a", Step: 1, SampleID: "a1/0/0", Tokens: 70}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
@@ -129,7 +129,7 @@
 		t.Errorf("copies before the usual time of a sample: %v", got)
 	}
 	now = now.Add(100 * time.Millisecond)
-	want := []Work{{Job: "a", Step: 1, SampleID: "a1/0/7", Tokens: 10, Copy: true}}
+	want := []Generation{{Job: "a", Step: 1, SampleID: "a1/0/7", Tokens: 10, Copy: true}}
 	if diff := cmp.Diff(want, p.Hedge(now)); diff != "" {
 		t.Fatal(diff)
 	}
--- a/internal/core/rollout/sample.go
+++ b/internal/core/rollout/sample.go
@@ -46,8 +46,8 @@
 }
 
 // generation returns a generation of the sample that resumes from the known tokens.
-func (s *sampleState) generation(isCopy bool) Work {
-	return Work{
+func (s *sampleState) generation(isCopy bool) Generation {
+	return Generation{
 		Job:      s.group.step.job.name,
 		Step:     s.group.step.number,
 		Group:    s.group.index,
--- a/internal/core/rollout/step.go
+++ b/internal/core/rollout/step.go
@@ -24,8 +24,8 @@
 	Groups []Group
 }
 
-// Work is a generation of a sample that is to be started.
-type Work struct {
+// Generation is a generation of a sample that is to be started.
+type Generation struct {
 	Job      string
 	Step     int
 	Group    int
--- a/internal/core/scenario/job_test.go
+++ b/internal/core/scenario/job_test.go
@@ -191,7 +191,7 @@
 }
 
 // send queues a sample at the agent with the least work.
-func (s *jobSim) send(j *rolloutJob, work rollout.Work) {
+func (s *jobSim) send(j *rolloutJob, work rollout.Generation) {
 	p := slices.MinFunc(s.places, func(a, b *place) int {
 		return cmp.Compare(a.busy+a.queue.Len()+len(a.plain), b.busy+b.queue.Len()+len(b.plain))
 	})
--- a/internal/core/scenario/step_test.go
+++ b/internal/core/scenario/step_test.go
@@ -58,7 +58,7 @@
 	byName   map[string]*server
 	planner  *rollout.Planner
 	tracker  *placement.Tracker
-	waiting  []rollout.Work
+	waiting  []rollout.Generation
 	running  int
 	next     int
 	lengths  map[string]float64
@@ -110,12 +110,12 @@
 			id := fmt.Sprintf("%s/%d/%d/%d", job, number, g, i)
 			s.lengths[id] = min(4, 0.2+random.ExpFloat64()) * sampleTokens
 			group.Samples = append(group.Samples, rollout.Sample{ID: id, Cost: 4 * sampleTokens})
-			s.waiting = append(s.waiting, rollout.Work{Job: job, Step: number, Group: g, SampleID: id})
+			s.waiting = append(s.waiting, rollout.Generation{Job: job, Step: number, Group: g, SampleID: id})
 		}
 		step.Groups = append(step.Groups, group)
 	}
 	if s.variant.spread {
-		slices.SortStableFunc(s.waiting, func(a, b rollout.Work) int {
+		slices.SortStableFunc(s.waiting, func(a, b rollout.Generation) int {
 			return cmp.Compare(a.SampleID[strings.LastIndex(a.SampleID, "/"):], b.SampleID[strings.LastIndex(b.SampleID, "/"):])
 		})
 	}
@@ -146,7 +146,7 @@
 	}
 }
 
-func (s *stepSim) launch(work rollout.Work, exclude map[string]bool) {
+func (s *stepSim) launch(work rollout.Generation, exclude map[string]bool) {
 	srv := s.pick(work, exclude)
 	a := &attempt{server: srv.name, sample: work.SampleID, base: work.Tokens}
 	pace := 1.0
@@ -165,11 +165,11 @@
 	}
 }
 
-func prefixOf(work rollout.Work) uint64 {
+func prefixOf(work rollout.Generation) uint64 {
 	return uint64(work.Step)<<20 | uint64(work.Group)<<8 | uint64(len(work.Job))
 }
 
-func (s *stepSim) pick(work rollout.Work, exclude map[string]bool) *server {
+func (s *stepSim) pick(work rollout.Generation, exclude map[string]bool) *server {
 	if s.variant.planned {
 		return s.pickProbed(work, exclude)
 	}
@@ -185,7 +185,7 @@
 	return s.servers[at]
 }
 
-func (s *stepSim) pickProbed(work rollout.Work, exclude map[string]bool) *server {
+func (s *stepSim) pickProbed(work rollout.Generation, exclude map[string]bool) *server {
 	var list []placement.Server
 	for _, srv := range s.servers {
 		list = append(list, placement.Server{HostID: srv.name})
@@ -215,7 +215,7 @@
 }
 
 // ended is called when a generation is whole or lost.
-func (s *stepSim) ended(work rollout.Work, a *attempt, started time.Time, ok bool) {
+func (s *stepSim) ended(work rollout.Generation, a *attempt, started time.Time, ok bool) {
 	a.ended = true
 	s.running--
 	done := a.run.cost - max(0, a.run.left)
@@ -242,9 +242,9 @@
 	s.fill()
 }
 
-func (s *stepSim) lost(work rollout.Work, tokens int) {
+func (s *stepSim) lost(work rollout.Generation, tokens int) {
 	if !s.variant.planned {
-		s.waiting = append([]rollout.Work{work}, s.waiting...)
+		s.waiting = append([]rollout.Generation{work}, s.waiting...)
 	}
 	s.planner.Lost(s.clock.now, work.SampleID, tokens)
 	s.clock.after(time.Millisecond, s.fill)
--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -152,7 +152,7 @@
 }
 
 // generate starts the generation of a sample, or drops it if it isn't wanted any more.
-func (s *schedule) generate(now time.Time, r *runner, next rollout.Work) {
+func (s *schedule) generate(now time.Time, r *runner, next rollout.Generation) {
 	position := s.positions[next.SampleID]
 	sample, work := r.machine.Sample(position)
 	t := s.newTask(r, work)
