--- a/internal/core/rollout/planner.go
+++ b/internal/core/rollout/planner.go
@@ -67,8 +67,8 @@
 // SetSlots sets the maximum number of generations that run at a time; 0 leaves the limit to the caller.
 func (p *Planner) SetSlots(slots int) { p.slots = slots }
 
-// Add adds a step. Samples that the planner already knows are left unchanged.
-func (p *Planner) Add(step Step) {
+// AddStep adds a step. Samples that the planner already knows are left unchanged.
+func (p *Planner) AddStep(step Step) {
 	job := p.job(step)
 	state := &stepState{number: step.Number, job: job}
 	for index, group := range step.Groups {
--- a/internal/core/rollout/planner_rapid_test.go
+++ b/internal/core/rollout/planner_rapid_test.go
@@ -23,7 +23,7 @@
 		for number := range rapid.IntRange(1, 3).Draw(t, "steps") {
 			for _, job := range []string{"a", "b"} {
 				sizes := rapid.SliceOfN(rapid.IntRange(1, 6), 1, 4).Draw(t, "sizes")
-				p.Add(newStep(job, number, 1, sizes...))
+				p.AddStep(newStep(job, number, 1, sizes...))
 				for _, size := range sizes {
 					total += size
 				}
--- a/internal/core/rollout/planner_test.go
+++ b/internal/core/rollout/planner_test.go
@@ -73,7 +73,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			p := NewPlanner()
 			for _, added := range tt.steps {
-				p.Add(added)
+				p.AddStep(added)
 			}
 			if tt.prepare != nil {
 				tt.prepare(p)
@@ -97,7 +97,7 @@
 // long. It must resume from the known tokens.
 func TestLostSampleResumes(t *testing.T) {
 	p := NewPlanner()
-	p.Add(newStep("a", 1, 1, 1))
+	p.AddStep(newStep("a", 1, 1, 1))
 	startFirst(p, 1)
 	p.Lost(startTime, "a1/0/0", 70)
 	got, _ := p.Next(startTime, 0)
@@ -111,7 +111,7 @@
 // two seconds. The eighth runs at a tenth of their speed.
 func newStragglerPlanner(share float64, opts ...Option) (*Planner, time.Time) {
 	p := NewPlanner(append(opts, WithCopyShare(share))...)
-	p.Add(newStep("a", 1, 1, 8))
+	p.AddStep(newStep("a", 1, 1, 8))
 	startFirst(p, 8)
 	now := startTime.Add(2 * time.Second)
 	p.Progress(now, "a1/0/7", 10)
@@ -179,7 +179,7 @@
 // tokens, and so all are copied, each after the usual time of a complete sample without a token and not sooner.
 func TestStalledSamplesAreCopiedBeyondTheBudget(t *testing.T) {
 	p := NewPlanner()
-	p.Add(newStep("a", 1, 1, 16))
+	p.AddStep(newStep("a", 1, 1, 16))
 	startFirst(p, 16)
 	now := startTime.Add(2 * time.Second)
 	for i := range 16 {
@@ -226,7 +226,7 @@
 				for i := range sizes {
 					sizes[i] = 8
 				}
-				p.Add(newStep(fmt.Sprint("job", job), 1, 1, sizes...))
+				p.AddStep(newStep(fmt.Sprint("job", job), 1, 1, sizes...))
 			}
 			for b.Loop() {
 				generation, _ := p.Next(startTime, 0)
--- a/internal/core/scenario/job_test.go
+++ b/internal/core/scenario/job_test.go
@@ -130,7 +130,7 @@
 		}
 		step.Groups = append(step.Groups, group)
 	}
-	j.planner.Add(step)
+	j.planner.AddStep(step)
 	s.fill()
 }
 
@@ -166,7 +166,7 @@
 	j.discarded++
 	j.attempts[id]++
 	name := fmt.Sprintf("%s/r%d", strings.Split(id, "/r")[0], j.attempts[id])
-	j.planner.Add(rollout.Step{Job: j.name, Number: j.step, Groups: []rollout.Group{{Samples: []rollout.Sample{s.sample(j, name)}}}})
+	j.planner.AddStep(rollout.Step{Job: j.name, Number: j.step, Groups: []rollout.Group{{Samples: []rollout.Sample{s.sample(j, name)}}}})
 }
 
 // fill starts what the jobs have slots for; one planner gives out no more than the engines run.
--- a/internal/core/scenario/step_test.go
+++ b/internal/core/scenario/step_test.go
@@ -121,7 +121,7 @@
 	}
 	s.left[job] = count * groupSize
 	s.began[job] = s.clock.now
-	s.planner.Add(step)
+	s.planner.AddStep(step)
 	s.fill()
 }
 
--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -148,7 +148,7 @@
 			added.Groups = append(added.Groups, rollout.Group{Samples: samples})
 		}
 	}
-	s.planner.Add(added)
+	s.planner.AddStep(added)
 }
 
 // generate starts the generation of a sample, or drops it if it isn't wanted any more.
