--- a/internal/core/rollout/planner.go
+++ b/internal/core/rollout/planner.go
@@ -143,9 +143,9 @@
 	return best
 }
 
-// Started records that the generation returned by Next or Hedge is running. It ignores samples that are unknown
+// RecordStart records that the generation returned by Next or Hedge is running. It ignores samples that are unknown
 // or finished.
-func (p *Planner) Started(now time.Time, generation Generation) {
+func (p *Planner) RecordStart(now time.Time, generation Generation) {
 	sample, ok := p.samples[generation.SampleID]
 	if !ok || sample.done {
 		return
--- a/internal/core/rollout/planner_rapid_test.go
+++ b/internal/core/rollout/planner_rapid_test.go
@@ -33,7 +33,7 @@
 			if finished[w.SampleID] || !w.Copy && running[w.SampleID] > 0 {
 				t.Fatalf("%+v is started although its sample is finished or running", w)
 			}
-			p.Started(now, w)
+			p.RecordStart(now, w)
 			running[w.SampleID]++
 			remaining := max(100-float64(w.Tokens), 10)
 			switch {
@@ -90,7 +90,7 @@
 			if !ok {
 				break
 			}
-			p.Started(now, w)
+			p.RecordStart(now, w)
 			if p.Finished(now, w.SampleID, 100) != 0 || finished[w.SampleID] {
 				t.Fatalf("%s didn't finish for the first time", w.SampleID)
 			}
--- a/internal/core/rollout/planner_test.go
+++ b/internal/core/rollout/planner_test.go
@@ -32,7 +32,7 @@
 		if !ok {
 			return ids
 		}
-		p.Started(now, generation)
+		p.RecordStart(now, generation)
 		ids = append(ids, generation.SampleID)
 	}
 	return ids
@@ -89,7 +89,7 @@
 func startFirst(p *Planner, n int) {
 	for range n {
 		generation, _ := p.Next(startTime, 0)
-		p.Started(startTime, generation)
+		p.RecordStart(startTime, generation)
 	}
 }
 
@@ -133,7 +133,7 @@
 	if diff := cmp.Diff(want, p.Hedge(now)); diff != "" {
 		t.Fatal(diff)
 	}
-	p.Started(now, want[0])
+	p.RecordStart(now, want[0])
 	if got := p.Hedge(now); len(got) != 0 {
 		t.Errorf("another copy at once: %v", got)
 	}
@@ -205,7 +205,7 @@
 	p, now := newStragglerPlanner(0.2)
 	now = now.Add(time.Second)
 	for _, generation := range p.Hedge(now) {
-		p.Started(now, generation)
+		p.RecordStart(now, generation)
 	}
 	p.Lost(now, "a1/0/7", 20)
 	if generation, ok := p.Next(now, 0); ok {
@@ -230,7 +230,7 @@
 			}
 			for b.Loop() {
 				generation, _ := p.Next(startTime, 0)
-				p.Started(startTime, generation)
+				p.RecordStart(startTime, generation)
 				p.Lost(startTime, generation.SampleID, 0)
 			}
 		})
--- a/internal/core/scenario/job_test.go
+++ b/internal/core/scenario/job_test.go
@@ -181,7 +181,7 @@
 			if !ok {
 				break
 			}
-			j.planner.Started(s.clock.now, work)
+			j.planner.RecordStart(s.clock.now, work)
 			owner := s.jobs[slices.IndexFunc(s.jobs, func(o *rolloutJob) bool { return o.name == work.Job })]
 			owner.running++
 			total++
--- a/internal/core/scenario/step_test.go
+++ b/internal/core/scenario/step_test.go
@@ -141,7 +141,7 @@
 		if !ok {
 			return
 		}
-		s.planner.Started(s.clock.now, work)
+		s.planner.RecordStart(s.clock.now, work)
 		s.launch(work, nil)
 	}
 }
@@ -278,7 +278,7 @@
 			for _, a := range s.attempts[work.SampleID] {
 				exclude[a.server] = true
 			}
-			s.planner.Started(s.clock.now, work)
+			s.planner.RecordStart(s.clock.now, work)
 			s.launch(work, exclude)
 		}
 	}
--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -96,7 +96,7 @@
 		if !ok {
 			break
 		}
-		s.planner.Started(now, next)
+		s.planner.RecordStart(now, next)
 		s.generate(now, r, next)
 	}
 	if now.Sub(s.hedge) >= tickInterval {
@@ -251,7 +251,7 @@
 		if s.running >= s.slots {
 			return
 		}
-		s.planner.Started(now, work)
+		s.planner.RecordStart(now, work)
 		s.generate(now, r, work)
 	}
 }
