--- a/internal/core/rollout/planner.go
+++ b/internal/core/rollout/planner.go
@@ -175,8 +175,8 @@
 	return true
 }
 
-// Progress records the number of known tokens of a running sample.
-func (p *Planner) Progress(now time.Time, sampleID string, tokens int) {
+// RecordProgress records the number of known tokens of a running sample.
+func (p *Planner) RecordProgress(now time.Time, sampleID string, tokens int) {
 	sample, ok := p.samples[sampleID]
 	if !ok || tokens <= sample.tokens {
 		return
--- a/internal/core/rollout/planner_test.go
+++ b/internal/core/rollout/planner_test.go
@@ -114,7 +114,7 @@
 	p.AddStep(newStep("a", 1, 1, 8))
 	startFirst(p, 8)
 	now := startTime.Add(2 * time.Second)
-	p.Progress(now, "a1/0/7", 10)
+	p.RecordProgress(now, "a1/0/7", 10)
 	for i := range 7 {
 		p.Finished(now, fmt.Sprintf("a1/0/%d", i), 100)
 	}
@@ -184,7 +184,7 @@
 	now := startTime.Add(2 * time.Second)
 	for i := range 16 {
 		if i%4 == 3 {
-			p.Progress(now, fmt.Sprintf("a1/0/%d", i), 10)
+			p.RecordProgress(now, fmt.Sprintf("a1/0/%d", i), 10)
 			continue
 		}
 		p.Finished(now, fmt.Sprintf("a1/0/%d", i), 100)
--- a/internal/core/scenario/step_test.go
+++ b/internal/core/scenario/step_test.go
@@ -268,7 +268,7 @@
 	for id, attempts := range s.attempts {
 		for _, a := range attempts {
 			if !a.ended {
-				s.planner.Progress(s.clock.now, id, a.base+s.byName[a.server].tokens(a.run))
+				s.planner.RecordProgress(s.clock.now, id, a.base+s.byName[a.server].tokens(a.run))
 			}
 		}
 	}
--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -239,7 +239,7 @@
 	oldestAllowed := r.machine.Status().ModelVersion - r.bound()
 	for name, calls := range s.calls {
 		for _, t := range calls {
-			s.planner.Progress(now, name, int(t.tokens.Load()))
+			s.planner.RecordProgress(now, name, int(t.tokens.Load()))
 			s.newest = max(s.newest, int(t.began.Load()))
 			s.cancelUnwanted(r, t, oldestAllowed)
 		}
