--- a/internal/core/rollout/planner.go
+++ b/internal/core/rollout/planner.go
@@ -185,10 +185,10 @@
 	sample.lastProgress = now
 }
 
-// Finished records that a sample is complete, with its length in tokens, or that it was abandoned, with 0 tokens.
+// RecordCompletion records that a sample is complete, with its length in tokens, or that it was abandoned, with 0 tokens.
 // It returns how many other generations of the sample are running, for the caller to cancel; -1 if the sample is
 // unknown or already finished.
-func (p *Planner) Finished(now time.Time, sampleID string, tokens int) int {
+func (p *Planner) RecordCompletion(now time.Time, sampleID string, tokens int) int {
 	sample, ok := p.samples[sampleID]
 	if !ok || sample.done {
 		return -1
--- a/internal/core/rollout/planner_rapid_test.go
+++ b/internal/core/rollout/planner_rapid_test.go
@@ -67,7 +67,7 @@
 				id := rapid.SampledFrom(ids).Draw(t, "sample")
 				if event == 3 {
 					p.Lost(now, id, rapid.IntRange(0, 99).Draw(t, "tokens"))
-				} else if first := p.Finished(now, id, 100) >= 0; first == finished[id] {
+				} else if first := p.RecordCompletion(now, id, 100) >= 0; first == finished[id] {
 					t.Fatalf("%s finished: first %v, finished before %v", id, first, finished[id])
 				} else {
 					finished[id] = true
@@ -91,7 +91,7 @@
 				break
 			}
 			p.RecordStart(now, w)
-			if p.Finished(now, w.SampleID, 100) != 0 || finished[w.SampleID] {
+			if p.RecordCompletion(now, w.SampleID, 100) != 0 || finished[w.SampleID] {
 				t.Fatalf("%s didn't finish for the first time", w.SampleID)
 			}
 			finished[w.SampleID] = true
--- a/internal/core/rollout/planner_test.go
+++ b/internal/core/rollout/planner_test.go
@@ -116,7 +116,7 @@
 	now := startTime.Add(2 * time.Second)
 	p.RecordProgress(now, "a1/0/7", 10)
 	for i := range 7 {
-		p.Finished(now, fmt.Sprintf("a1/0/%d", i), 100)
+		p.RecordCompletion(now, fmt.Sprintf("a1/0/%d", i), 100)
 	}
 	return p, now
 }
@@ -137,10 +137,10 @@
 	if got := p.Hedge(now); len(got) != 0 {
 		t.Errorf("another copy at once: %v", got)
 	}
-	if got := p.Finished(now.Add(2*time.Second), "a1/0/7", 100); got != 1 {
+	if got := p.RecordCompletion(now.Add(2*time.Second), "a1/0/7", 100); got != 1 {
 		t.Errorf("%d copies to cancel, want 1", got)
 	}
-	if got := p.Finished(now.Add(3*time.Second), "a1/0/7", 100); got != -1 {
+	if got := p.RecordCompletion(now.Add(3*time.Second), "a1/0/7", 100); got != -1 {
 		t.Errorf("the second result of the sample returned %d, want -1", got)
 	}
 }
@@ -187,7 +187,7 @@
 			p.RecordProgress(now, fmt.Sprintf("a1/0/%d", i), 10)
 			continue
 		}
-		p.Finished(now, fmt.Sprintf("a1/0/%d", i), 100)
+		p.RecordCompletion(now, fmt.Sprintf("a1/0/%d", i), 100)
 	}
 	if got := p.Hedge(now.Add(1900 * time.Millisecond)); len(got) != 0 {
 		t.Errorf("copies beyond the budget while tokens may still arrive: %v", got)
--- a/internal/core/scenario/job_test.go
+++ b/internal/core/scenario/job_test.go
@@ -248,7 +248,7 @@
 
 func (s *jobSim) ended(j *rolloutJob, id string, oldest int) {
 	j.running--
-	j.planner.Finished(s.clock.now, id, int(j.lengths[id]))
+	j.planner.RecordCompletion(s.clock.now, id, int(j.lengths[id]))
 	if oldest < s.version-j.bound {
 		s.again(j, id)
 	} else {
--- a/internal/core/scenario/step_test.go
+++ b/internal/core/scenario/step_test.go
@@ -228,7 +228,7 @@
 	took := s.clock.now.Sub(started)
 	s.tracker.ObserveRequest(s.clock.now, a.server, time.Duration(float64(took)/a.run.cost), false)
 	s.cancelOthers(work.SampleID)
-	s.planner.Finished(s.clock.now, work.SampleID, tokens)
+	s.planner.RecordCompletion(s.clock.now, work.SampleID, tokens)
 	s.useful += s.lengths[work.SampleID]
 	s.left[work.Job]--
 	group := fmt.Sprint(work.Job, work.Step, work.Group)
--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -159,7 +159,7 @@
 	wanted := sample.State == delivery.StatePending || (next.Copy && sample.State == delivery.StateGenerating)
 	if !wanted || t.name != next.SampleID {
 		t.cancel()
-		s.planner.Finished(now, next.SampleID, 0)
+		s.planner.RecordCompletion(now, next.SampleID, 0)
 		return
 	}
 	job, _ := r.deps.View().TrainerJob(r.job)
@@ -276,7 +276,7 @@
 
 // finished ends the other calls for a sample that is whole.
 func (s *schedule) finished(now time.Time, t task, tokens int) {
-	s.planner.Finished(now, t.name, tokens)
+	s.planner.RecordCompletion(now, t.name, tokens)
 	for _, other := range s.calls[t.name] {
 		if other.tokens != t.tokens {
 			other.cancel()
