--- a/internal/core/rollout/planner.go
+++ b/internal/core/rollout/planner.go
@@ -217,9 +217,9 @@
 	maps.DeleteFunc(p.samples, func(_ string, s *sampleState) bool { return s.group.step == step })
 }
 
-// Lost records that a generation ended before its sample was complete, with the length of the known prefix. The
+// RecordFailure records that a generation ended before its sample was complete, with the length of the known prefix. The
 // sample waits again, to be resumed from there, unless another generation of it is running.
-func (p *Planner) Lost(_ time.Time, sampleID string, tokensSoFar int) {
+func (p *Planner) RecordFailure(_ time.Time, sampleID string, tokensSoFar int) {
 	sample, ok := p.samples[sampleID]
 	if !ok || sample.done {
 		return
--- a/internal/core/rollout/planner_rapid_test.go
+++ b/internal/core/rollout/planner_rapid_test.go
@@ -66,7 +66,7 @@
 			default:
 				id := rapid.SampledFrom(ids).Draw(t, "sample")
 				if event == 3 {
-					p.Lost(now, id, rapid.IntRange(0, 99).Draw(t, "tokens"))
+					p.RecordFailure(now, id, rapid.IntRange(0, 99).Draw(t, "tokens"))
 				} else if first := p.RecordCompletion(now, id, 100) >= 0; first == finished[id] {
 					t.Fatalf("%s finished: first %v, finished before %v", id, first, finished[id])
 				} else {
@@ -82,7 +82,7 @@
 		}
 		for id := range running {
 			for range running[id] {
-				p.Lost(now, id, 0)
+				p.RecordFailure(now, id, 0)
 			}
 		}
 		for {
--- a/internal/core/rollout/planner_test.go
+++ b/internal/core/rollout/planner_test.go
@@ -63,7 +63,7 @@
 			steps: []Step{newStep("a", 1, 1, 2, 2)},
 			prepare: func(p *Planner) {
 				startFirst(p, 2)
-				p.Lost(startTime, "a1/0/1", 60)
+				p.RecordFailure(startTime, "a1/0/1", 60)
 			},
 			n:    2,
 			want: []string{"a1/0/1", "a1/1/0"},
@@ -99,7 +99,7 @@
 	p := NewPlanner()
 	p.AddStep(newStep("a", 1, 1, 1))
 	startFirst(p, 1)
-	p.Lost(startTime, "a1/0/0", 70)
+	p.RecordFailure(startTime, "a1/0/0", 70)
 	got, _ := p.Next(startTime, 0)
 	want := Generation{Job: "a", Step: 1, SampleID: "a1/0/0", Tokens: 70}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -207,11 +207,11 @@
 	for _, generation := range p.Hedge(now) {
 		p.RecordStart(now, generation)
 	}
-	p.Lost(now, "a1/0/7", 20)
+	p.RecordFailure(now, "a1/0/7", 20)
 	if generation, ok := p.Next(now, 0); ok {
 		t.Errorf("%v is started again while a copy is running", generation)
 	}
-	p.Lost(now, "a1/0/7", 30)
+	p.RecordFailure(now, "a1/0/7", 30)
 	if generation, ok := p.Next(now, 0); !ok || generation.Tokens != 30 {
 		t.Errorf("got %v, want a generation from token 30", generation)
 	}
@@ -231,7 +231,7 @@
 			for b.Loop() {
 				generation, _ := p.Next(startTime, 0)
 				p.RecordStart(startTime, generation)
-				p.Lost(startTime, generation.SampleID, 0)
+				p.RecordFailure(startTime, generation.SampleID, 0)
 			}
 		})
 	}
--- a/internal/core/scenario/step_test.go
+++ b/internal/core/scenario/step_test.go
@@ -246,7 +246,7 @@
 	if !s.variant.planned {
 		s.waiting = append([]rollout.Generation{work}, s.waiting...)
 	}
-	s.planner.Lost(s.clock.now, work.SampleID, tokens)
+	s.planner.RecordFailure(s.clock.now, work.SampleID, tokens)
 	s.clock.after(time.Millisecond, s.fill)
 }
 
--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -112,7 +112,7 @@
 			return false
 		}
 		if sample.lost {
-			s.planner.Lost(now, sample.name, sample.tokens)
+			s.planner.RecordFailure(now, sample.name, sample.tokens)
 		}
 		return true
 	})
