--- a/internal/core/rollout/planner.go
+++ b/internal/core/rollout/planner.go
@@ -112,7 +112,8 @@
 }
 
 // Next returns the next generation to start; false if no sample is waiting or all slots are taken. The parameter
-// running is the number of running generations. The sample counts as waiting until Started is called.
+// running is the number of running generations. The sample counts as waiting until RecordStart is
+// called.
 func (p *Planner) Next(_ time.Time, running int) (Generation, bool) {
 	if p.slots > 0 && running >= p.slots {
 		return Generation{}, false
@@ -143,8 +144,8 @@
 	return best
 }
 
-// RecordStart records that the generation returned by Next or Hedge is running. It ignores samples that are unknown
-// or finished.
+// RecordStart records that a generation returned by Next or Hedge is running. It ignores samples that are
+// unknown or finished.
 func (p *Planner) RecordStart(now time.Time, generation Generation) {
 	sample, ok := p.samples[generation.SampleID]
 	if !ok || sample.done {
@@ -185,9 +186,9 @@
 	sample.lastProgress = now
 }
 
-// RecordCompletion records that a sample is complete, with its length in tokens, or that it was abandoned, with 0 tokens.
-// It returns how many other generations of the sample are running, for the caller to cancel; -1 if the sample is
-// unknown or already finished.
+// RecordCompletion records that a sample is complete, with its length in tokens, or that it was abandoned, with 0
+// tokens. It returns how many other generations of the sample are running, for the caller to cancel; -1 if the
+// sample is unknown or already finished.
 func (p *Planner) RecordCompletion(now time.Time, sampleID string, tokens int) int {
 	sample, ok := p.samples[sampleID]
 	if !ok || sample.done {
@@ -217,8 +218,8 @@
 	maps.DeleteFunc(p.samples, func(_ string, s *sampleState) bool { return s.group.step == step })
 }
 
-// RecordFailure records that a generation ended before its sample was complete, with the length of the known prefix. The
-// sample waits again, to be resumed from there, unless another generation of it is running.
+// RecordFailure records that a generation ended before its sample was complete, with the length of the known
+// prefix. The sample waits again, to be resumed from there, unless another generation of it is running.
 func (p *Planner) RecordFailure(_ time.Time, sampleID string, tokensSoFar int) {
 	sample, ok := p.samples[sampleID]
 	if !ok || sample.done {
--- a/internal/core/rollout/step.go
+++ b/internal/core/rollout/step.go
@@ -24,7 +24,7 @@
 	Groups []Group
 }
 
-// Generation is a generation of a sample that is to be started.
+// Generation is one run of an engine to generate a sample, or the rest of it, that is to be started.
 type Generation struct {
 	Job      string
 	Step     int
--- a/internal/core/ticket/change.go
+++ b/internal/core/ticket/change.go
@@ -53,8 +53,8 @@
 	return head, nil
 }
 
-// WithUpcomingVersion returns the head with a version that servers load in advance while they serve the current one.
-// It returns FieldErrors unless the version is above both the current and the previously announced one.
+// WithUpcomingVersion returns the head with a version that servers load in advance while they serve the current
+// one. It returns FieldErrors unless the version is above both the current and the previously announced one.
 func (v *View) WithUpcomingVersion(version ModelVersion) (Head, error) {
 	if err := v.checkModelVersion("modelVersion", version); err != nil {
 		return Head{}, err
--- a/internal/core/ticket/freshness.go
+++ b/internal/core/ticket/freshness.go
@@ -39,7 +39,7 @@
 // InOutage reports whether an outage of the platform is established at now.
 func (f Freshness) InOutage(now time.Time) bool { return isRecent(now, f.OutageSeen, FreshFor) }
 
-// Merge returns the later of both confirmations and the later of both outages.
+// Merge combines the evidence of both: the later confirmation and the later outage.
 func (f Freshness) Merge(other Freshness) Freshness {
 	return Freshness{Confirmed: later(f.Confirmed, other.Confirmed), OutageSeen: later(f.OutageSeen, other.OutageSeen)}
 }
--- a/internal/core/ticket/head.go
+++ b/internal/core/ticket/head.go
@@ -45,7 +45,7 @@
 	return head, nil
 }
 
-// Encode encodes the head for the object API.
+// Encode returns the head as the value of the head object.
 func (h Head) Encode() (json.RawMessage, error) {
 	value, err := json.Marshal(h)
 	return value, errors.Wrap(err, HeadObject)
--- a/internal/core/ticket/order.go
+++ b/internal/core/ticket/order.go
@@ -1,9 +1,9 @@
 package ticket
 
-// NumberStatus tells whether a ticket may be accepted under its number, given the tickets accepted so far.
+// NumberStatus is the status of a ticket's number, given the tickets accepted so far.
 type NumberStatus uint8
 
-// The results of the check of a ticket's number against a head.
+// The statuses of a number.
 const (
 	// NumberNext means that the ticket is the next one and may be accepted.
 	NumberNext NumberStatus = iota + 1
@@ -20,7 +20,7 @@
 	NumberInvalid
 )
 
-// String returns the name of the result.
+// String returns the name of the status.
 func (o NumberStatus) String() string {
 	switch o {
 	case NumberNext:
@@ -38,8 +38,8 @@
 	}
 }
 
-// NumberStatus checks the number of a ticket with the given digest against the head. Because the head changes only by
-// conditional update, the result for a number that isn't above LastTicket is final.
+// NumberStatus returns the status of a number for a ticket with the given digest. Because the head changes only by
+// conditional update, the status of a number that isn't above LastTicket is final.
 func (h Head) NumberStatus(number int, digest string) NumberStatus {
 	if number < 1 {
 		return NumberInvalid
--- a/internal/core/ticket/view.go
+++ b/internal/core/ticket/view.go
@@ -219,8 +219,8 @@
 	return version, ok
 }
 
-// UpcomingVersion returns the version that the model's servers load in advance while they serve the current one; false
-// if there is none.
+// UpcomingVersion returns the version that the model's servers load in advance while they serve the current one;
+// false if there is none.
 func (v *View) UpcomingVersion(model string) (ModelVersion, bool) {
 	version, ok := v.head.Upcoming[model]
 	return version, ok && version.Version > v.head.ModelVersions[model].Version
