--- a/internal/core/rollout/hedge.go
+++ b/internal/core/rollout/hedge.go
@@ -12,10 +12,10 @@
 	timeSaved time.Duration
 }
 
-// Hedge returns the copies to start, those that save the most time first. It prevents that one slow or stalled
-// engine determines the length of a step. It copies samples whose tokens arrive more slowly than those of others
-// while their group, or their step, waits for little else. Each sample is copied at most twice, and the copies of
-// a job together stay within a share of the job's work, so that copies can't overload the engines.
+// Hedge returns the copies to start, those that save the most time first. It keeps one slow or stalled engine from
+// determining the length of a step. It copies samples whose tokens arrive more slowly than those of others while
+// their group, or their step, waits for little else. Each sample is copied at most twice, and the copies of a job
+// together stay within a share of the job's work, so that copies can't overload the engines.
 //
 // The copy of a stalled sample isn't charged to that share. The stalled engine produces no tokens, so that the
 // copy, which resumes from the known tokens, is the only work. If such copies were charged, the samples of one
--- a/internal/core/rollout/planner.go
+++ b/internal/core/rollout/planner.go
@@ -33,8 +33,8 @@
 	return func(p *Planner) { p.copyShare = share }
 }
 
-// WithCopiesFromScratch makes each copy be charged for the complete sample. It is for callers whose copies start
-// from scratch instead of resuming from the known tokens.
+// WithCopiesFromScratch charges each copy for the complete sample, for callers whose copies start from scratch
+// instead of resuming from the known tokens.
 func WithCopiesFromScratch() Option {
 	return func(p *Planner) { p.copiesFromScratch = true }
 }
--- a/internal/core/rollout/sample.go
+++ b/internal/core/rollout/sample.go
@@ -12,7 +12,7 @@
 	cost   float64
 	tokens int
 	group  *groupState
-	// running is the number of running generations; copies is how many of the copies were returned by Hedge.
+	// running is the number of running generations, and copies the number of copies that Hedge returned.
 	running int
 	copies  int
 	done    bool
--- a/internal/core/ticket/change.go
+++ b/internal/core/ticket/change.go
@@ -42,8 +42,9 @@
 	return change, nil
 }
 
-// WithModelVersion returns the head with a newer version of one model. The number of the last ticket stays
-// the same. It returns FieldErrors if the version isn't newer or no pool serves the model.
+// WithModelVersion returns the head with a newer version of one model. The number of the last ticket stays the
+// same. It returns FieldErrors if no pool serves the model, or if the version is neither above the current one nor
+// equal to it.
 func (v *View) WithModelVersion(version ModelVersion) (Head, error) {
 	if err := v.checkModelVersion("modelVersion", version); err != nil {
 		return Head{}, err
@@ -54,7 +55,8 @@
 }
 
 // WithUpcomingVersion returns the head with a version that servers load in advance while they serve the current
-// one. It returns FieldErrors unless the version is above both the current and the previously announced one.
+// one. It returns FieldErrors unless the version is above both the current and the previously announced one, or
+// repeats one of them.
 func (v *View) WithUpcomingVersion(version ModelVersion) (Head, error) {
 	if err := v.checkModelVersion("modelVersion", version); err != nil {
 		return Head{}, err
--- a/internal/core/ticket/check.go
+++ b/internal/core/ticket/check.go
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// modelVersionError rejects a version that is lower than the current one. If versions went back, samples of the
-// newer one would be counted as older than they are, and engines would switch back and forth.
+// modelVersionError rejects a version that isn't above the current one, unless it is the same. If versions went
+// back, samples of the newer one would be counted as older than they are, and engines would switch back and forth.
 func (v *View) modelVersionError(path string, version ModelVersion) *FieldError {
 	if !v.servesModel(version.Model) {
 		return &FieldError{
