--- a/internal/edge/store/http.go
+++ b/internal/edge/store/http.go
@@ -12,18 +12,19 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// HTTP carries calls over HTTP to one address.
+// HTTP sends calls over HTTP to one address.
 type HTTP struct {
 	address netip.AddrPort
 	client  *exchange.Client
 }
 
-// NewHTTP returns a carrier to the address.
+// NewHTTP returns a transport to the address.
 func NewHTTP(address netip.AddrPort, client *exchange.Client) *HTTP {
 	return &HTTP{address: address, client: client}
 }
 
-// Carry sends the call once.
+// Carry sends the call once, without retries. The error is a product.ErrUnavailable if the call was not sent, else a
+// product.ErrUnsettled.
 func (h *HTTP) Carry(ctx context.Context, call platform.Call) (platform.Reply, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/edge/store/lease.go
+++ b/internal/edge/store/lease.go
@@ -12,34 +12,35 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/ticker"
 )
 
-// Leases shows one kind of objects of the store as the object API on which leases are kept. A lease is named by its kind
-// and name with a slash between.
+// Leases adapts the store to the object API that the lease keeper uses. A lease is named "kind/name", after the kind and
+// the name of its object in the store.
 type Leases struct {
 	store *Store
-	// holderHeard says whether the holder of the lease is heard of by other means than the lease.
-	holderHeard func() bool
+	// holderAlive reports whether the lease holder is known to be alive from a source other than the lease.
+	holderAlive func() bool
 }
 
-// NewLeases returns the leases in the store; holderHeard says whether the holder of the lease in question is alive, as far as
-// other entries know.
-func NewLeases(store *Store, holderHeard func() bool) Leases {
-	return Leases{store: store, holderHeard: holderHeard}
+// NewLeases returns the leases in the store. holderAlive reports whether the lease holder is alive according to the
+// gossip between entries.
+func NewLeases(store *Store, holderAlive func() bool) Leases {
+	return Leases{store: store, holderAlive: holderAlive}
 }
 
-func split(name string) (kind, rest string) {
+// splitName splits "kind/name" at its first slash.
+func splitName(name string) (kind, rest string) {
 	kind, rest, _ = strings.Cut(name, "/")
 	return kind, rest
 }
 
 // Get reads the object.
 func (l Leases) Get(ctx context.Context, name string) (product.Object, error) {
-	kind, rest := split(name)
+	kind, rest := splitName(name)
 	return l.store.Get(ctx, kind, rest)
 }
 
 // List reads the objects whose names start with the prefix.
 func (l Leases) List(ctx context.Context, prefix string) ([]product.Object, error) {
-	kind, rest := split(prefix)
+	kind, rest := splitName(prefix)
 	all, _, err := l.store.List(ctx, kind)
 	if err != nil {
 		return nil, err
@@ -53,9 +54,9 @@
 	return out, nil
 }
 
-// Put writes the value if the object's version is still ifVersion; 0: if there is none.
+// Put writes the value if the object's version is still ifVersion; 0 means that the object must not exist.
 func (l Leases) Put(ctx context.Context, name string, value json.RawMessage, ifVersion product.Version) (product.Version, error) {
-	kind, rest := split(name)
+	kind, rest := splitName(name)
 	if ifVersion == 0 {
 		return l.store.Create(ctx, kind, rest, value)
 	}
@@ -64,30 +65,30 @@
 
 // Delete removes the object if its version is still ifVersion.
 func (l Leases) Delete(ctx context.Context, name string, ifVersion product.Version) error {
-	kind, rest := split(name)
+	kind, rest := splitName(name)
 	return l.store.Delete(ctx, kind, rest, ifVersion)
 }
 
-// Watch returns the object once the holder is silent and the pause or the wait is over.
+// Watch blocks while the holder is alive, then waits for the shorter of silentReadInterval and wait and reads the object.
 //
-// Each renewal would end a watch at the store, and every contender's watches would cost as much as the renewals. Entries
-// hear of each other several times a second anyway, so the object is read only while the holder is silent. A wait that
-// becomes longer by this only makes a taker wait longer.
+// It doesn't watch the object at the store: every renewal would end that watch, so that the watches of each contender would
+// cost as many calls as the renewals. Entries hear of each other several times a second anyway, so the object is read only
+// while the holder is silent. The added delay only makes a contender wait longer before it takes the lease over.
 func (l Leases) Watch(ctx context.Context, name string, _ product.Version, wait time.Duration) (product.Object, error) {
-	for l.holderHeard() {
-		if !ticker.Sleep(ctx, heardPause) {
+	for l.holderAlive() {
+		if !ticker.Sleep(ctx, aliveCheckInterval) {
 			return product.Object{}, errors.Wrap(product.ErrUnavailable, ctx.Err().Error())
 		}
 	}
-	if !ticker.Sleep(ctx, min(silentPause, wait)) {
+	if !ticker.Sleep(ctx, min(silentReadInterval, wait)) {
 		return product.Object{}, errors.Wrap(product.ErrUnavailable, ctx.Err().Error())
 	}
 	return l.Get(ctx, name)
 }
 
 const (
-	// heardPause is how often a contender looks whether the holder is still heard of.
-	heardPause = 250 * time.Millisecond
-	// silentPause is the pause between reads while the holder is silent.
-	silentPause = time.Second
+	// aliveCheckInterval is how often a contender checks whether the holder is still alive.
+	aliveCheckInterval = 250 * time.Millisecond
+	// silentReadInterval is the delay between reads of the lease while the holder is silent.
+	silentReadInterval = time.Second
 )
--- a/internal/edge/store/list_test.go
+++ b/internal/edge/store/list_test.go
@@ -12,7 +12,7 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// pagedCarrier answers a list in two parts, between which an object changes.
+// pagedCarrier returns a list in two pages; the store's revision rises from 5 to 8 between them.
 type pagedCarrier struct{}
 
 func (pagedCarrier) Carry(_ context.Context, call platform.Call) (platform.Reply, error) {
@@ -23,15 +23,16 @@
 	return platform.Reply{Status: http.StatusOK, Body: []byte(body)}, nil
 }
 
-// A list of 2,200 servers comes in several answers. A server of the first one began to leave before the last one was given; followed from
-// the revision of the last, that was never seen and the server got requests for as long as it lived.
-func TestAListIsFollowedFromItsFirstAnswer(t *testing.T) {
+// Guards against missed changes after a list of several pages, such as that of 2,200 servers. A server of the first page began to leave
+// before the last page was read. A watch from the last page's revision never showed that change, so the server received requests until
+// it was gone.
+func TestListReturnsRevisionOfFirstPage(t *testing.T) {
 	store := New(pagedCarrier{}, pagedCarrier{}, NewMetrics(prometheus.NewRegistry()), zerolog.Nop())
 	objects, revision, err := store.List(context.Background(), platform.KindServers)
 	if err != nil || len(objects) != 2 {
 		t.Fatalf("%v, %v", objects, err)
 	}
 	if revision != 5 {
-		t.Errorf("followed from revision %d", revision)
+		t.Errorf("got revision %d, want 5, that of the first page", revision)
 	}
 }
--- a/internal/edge/store/open_test.go
+++ b/internal/edge/store/open_test.go
@@ -14,62 +14,62 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// answers is a carrier that gives one answer after the other, the last one again and again.
-type answers struct {
+// scriptedCarrier returns its replies and errors in turn, and then repeats the last pair.
+type scriptedCarrier struct {
 	replies []platform.Reply
 	errs    []error
-	n       int
+	calls   int
 }
 
-func (a *answers) Carry(context.Context, platform.Call) (platform.Reply, error) {
-	i := min(a.n, len(a.errs)-1)
-	a.n++
-	return a.replies[i], a.errs[i]
+func (s *scriptedCarrier) Carry(context.Context, platform.Call) (platform.Reply, error) {
+	i := min(s.calls, len(s.errs)-1)
+	s.calls++
+	return s.replies[i], s.errs[i]
 }
 
-// A create that may have been carried out through another entry must not be said to have had no effect.
-func TestACreateThatMayHaveBeenCarriedOutIsOpen(t *testing.T) {
-	open := errors.Wrap(product.ErrUnsettled, "the entry that carried it fell silent")
+// Guards against a create being reported as without effect although an attempt through another entry may have succeeded.
+func TestCreateThatMayHaveSucceededIsUnsettled(t *testing.T) {
+	lost := errors.Wrap(product.ErrUnsettled, "the entry that carried it fell silent")
 	unsent := errors.Wrap(product.ErrUnavailable, "no connection")
 	for _, test := range []struct {
-		name   string
-		away   bool
-		direct answers
-		relay  answers
+		name        string
+		unavailable bool
+		direct      scriptedCarrier
+		relay       scriptedCarrier
 	}{
-		{name: "turned away, and lost at another entry", direct: answers{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}}, relay: answers{replies: make([]platform.Reply, 1), errs: []error{open}}},
-		{name: "cut off, and lost at another entry", direct: answers{replies: make([]platform.Reply, 1), errs: []error{unsent}}, relay: answers{replies: make([]platform.Reply, 1), errs: []error{open}}},
-		{name: "lost at another entry first, then turned away everywhere", away: true, direct: answers{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}}, relay: answers{replies: make([]platform.Reply, 2), errs: []error{open, unsent}}},
-		{name: "lost at another entry first, then cut off everywhere", away: true, direct: answers{replies: make([]platform.Reply, 1), errs: []error{unsent}}, relay: answers{replies: make([]platform.Reply, 2), errs: []error{open, unsent}}},
+		{name: "direct call rejected, relayed call lost", direct: scriptedCarrier{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}}, relay: scriptedCarrier{replies: make([]platform.Reply, 1), errs: []error{lost}}},
+		{name: "direct call not sent, relayed call lost", direct: scriptedCarrier{replies: make([]platform.Reply, 1), errs: []error{unsent}}, relay: scriptedCarrier{replies: make([]platform.Reply, 1), errs: []error{lost}}},
+		{name: "relayed call lost first, then direct call rejected and relayed call not sent", unavailable: true, direct: scriptedCarrier{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}}, relay: scriptedCarrier{replies: make([]platform.Reply, 2), errs: []error{lost, unsent}}},
+		{name: "relayed call lost first, then no call sent", unavailable: true, direct: scriptedCarrier{replies: make([]platform.Reply, 1), errs: []error{unsent}}, relay: scriptedCarrier{replies: make([]platform.Reply, 2), errs: []error{lost, unsent}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := New(&test.direct, &test.relay, NewMetrics(prometheus.NewRegistry()), zerolog.Nop())
-			if test.away {
+			if test.unavailable {
 				until := time.Now().Add(time.Minute)
-				s.awayUntil.Store(&until)
+				s.unavailableUntil.Store(&until)
 			}
 			_, err := s.Create(t.Context(), "jobs", "j", []byte(`{}`))
 			if !errors.Is(err, product.ErrUnsettled) {
-				t.Errorf("said to have had no effect: %v", err)
+				t.Errorf("got error %v, want ErrUnsettled", err)
 			}
 		})
 	}
 }
 
-// Guards against a backward wall clock step extending the time for which the host uses the relay after the store turned it away.
-func TestAwayUsesMonotonicClock(t *testing.T) {
-	direct := answers{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}}
-	relay := answers{replies: make([]platform.Reply, 1), errs: []error{errors.Wrap(product.ErrUnavailable, "no connection")}}
+// Guards against a backward wall clock step extending the time for which the host uses the relay after the store rejected its call.
+func TestDirectUnavailableUsesMonotonicClock(t *testing.T) {
+	direct := scriptedCarrier{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}}
+	relay := scriptedCarrier{replies: make([]platform.Reply, 1), errs: []error{errors.Wrap(product.ErrUnavailable, "no connection")}}
 	s := New(&direct, &relay, NewMetrics(prometheus.NewRegistry()), zerolog.Nop())
-	if s.Away(time.Now()) {
-		t.Error("away before the first call")
+	if s.DirectUnavailable(time.Now()) {
+		t.Error("unavailable before the first call")
 	}
 	_, _ = s.Get(t.Context(), "jobs", "j")
-	until := s.awayUntil.Load()
+	until := s.unavailableUntil.Load()
 	if until == nil || !strings.Contains(until.String(), " m=") {
-		t.Fatalf("awayUntil %v has no monotonic clock reading", until)
+		t.Fatalf("unavailableUntil %v has no monotonic clock reading", until)
 	}
-	if !s.Away(time.Now()) || s.Away(time.Now().Add(awayTime)) {
-		t.Error("want away now and no longer after awayTime")
+	if !s.DirectUnavailable(time.Now()) || s.DirectUnavailable(time.Now().Add(unavailableTime)) {
+		t.Error("want unavailable now and no longer after unavailableTime")
 	}
 }
--- a/internal/edge/store/relay.go
+++ b/internal/edge/store/relay.go
@@ -15,82 +15,87 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// MethodCall asks another entry to carry a call to the store.
+// MethodCall asks another entry to send a call to the store.
 const MethodCall peer.Method = "store.call"
 
-// relayTries is how many other entries are asked. Those that reached the store lately come first, so that one is enough unless they
-// were cut off a moment ago.
-const relayTries = 3
+// maxRelayAttempts is how many other entries are asked at most. Those that reached the store recently come first, so that one
+// is enough unless they were cut off a moment ago.
+const maxRelayAttempts = 3
 
-// relayed is the answer to MethodCall.
-type relayed struct {
+// relayResponse is the answer to MethodCall.
+type relayResponse struct {
 	Reply platform.Reply `msgpack:"r"`
-	// Unavailable says that the call had no effect, Unsettled that its effect is open.
+	// Unavailable means that the call had no effect, Unsettled that it may have had one.
 	Unavailable bool `msgpack:"u"`
 	Unsettled   bool `msgpack:"s"`
 }
 
-// Members are the other entries.
+// Members is the list of the other entries.
 type Members interface {
+	// Alive returns the other entries that are alive.
 	Alive(now time.Time) []gossip.Member
 }
 
-// Relay carries calls through other entries.
+// Relay sends calls to the store through other entries.
 type Relay struct {
-	client  *peer.Client
-	members Members
-	reaches func(now time.Time, host string) bool
+	client       *peer.Client
+	members      Members
+	reachesStore func(now time.Time, host string) bool
 }
 
-// NewRelay returns a relay over the living entries of members; reaches says which of them reached the store lately.
-func NewRelay(client *peer.Client, members Members, reaches func(now time.Time, host string) bool) *Relay {
-	return &Relay{client: client, members: members, reaches: reaches}
+// NewRelay returns a relay through the live entries of members; reachesStore reports whether the entry on a host reached
+// the store recently.
+func NewRelay(client *peer.Client, members Members, reachesStore func(now time.Time, host string) bool) *Relay {
+	return &Relay{client: client, members: members, reachesStore: reachesStore}
 }
 
-// candidates returns the entries to ask, those that reached the store lately first, the others by chance.
+// candidates returns the entries to ask, at most maxRelayAttempts: first those that reached the store recently, then the
+// others, both in random order.
 //
-// Guard: in one order for all, a store that turns the first few entries away is out of reach for every other one that it turns away,
-// although most entries are served.
+// With the same order on every host, a store that rejects the first few entries would be unreachable for every other
+// entry that it rejects, although it serves most entries.
 func (r *Relay) candidates(now time.Time) []gossip.Member {
 	members := slices.DeleteFunc(r.members.Alive(now), func(m gossip.Member) bool { return m.Leaving })
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	slices.SortStableFunc(members, func(a, b gossip.Member) int {
-		return cmp.Compare(r.order(now, a), r.order(now, b))
+		return cmp.Compare(r.rank(now, a), r.rank(now, b))
 	})
-	return members[:min(relayTries, len(members))]
+	return members[:min(maxRelayAttempts, len(members))]
 }
 
-func (r *Relay) order(now time.Time, member gossip.Member) int {
-	if r.reaches(now, member.HostID) {
+// rank returns 0 for an entry that reached the store recently, else 1.
+func (r *Relay) rank(now time.Time, member gossip.Member) int {
+	if r.reachesStore(now, member.HostID) {
 		return 0
 	}
 	return 1
 }
 
-// Serve lets other entries call the store through this one.
+// Serve lets other entries call the store through this one. While the store is unavailable to this host, it refuses their calls.
 func Serve(registry *peer.Registry, store *Store) {
-	peer.Handle(registry, MethodCall, func(ctx context.Context, call platform.Call) (relayed, error) {
-		if store.Away(time.Now()) {
-			return relayed{Unavailable: true}, nil
+	peer.Handle(registry, MethodCall, func(ctx context.Context, call platform.Call) (relayResponse, error) {
+		if store.DirectUnavailable(time.Now()) {
+			return relayResponse{Unavailable: true}, nil
 		}
-		return outcome(store.Direct(ctx, call)), nil
+		return newRelayResponse(store.CallDirect(ctx, call)), nil
 	})
 }
 
-// outcome tells another entry what became of its call.
-func outcome(reply platform.Reply, err error) relayed {
+// newRelayResponse returns the response to another entry for the outcome of its call.
+func newRelayResponse(reply platform.Reply, err error) relayResponse {
 	if err == nil {
-		return relayed{Reply: reply}
+		return relayResponse{Reply: reply}
 	}
 	unavailable := errors.Is(err, product.ErrUnavailable)
-	return relayed{Unavailable: unavailable, Unsettled: !unavailable}
+	return relayResponse{Unavailable: unavailable, Unsettled: !unavailable}
 }
 
-// Carry has the call carried by one living entry after another, until one has an answer or the effect is open.
+// Carry sends the call through one candidate after another until one returns an answer. It stops at a write that may have
+// taken effect.
 func (r *Relay) Carry(ctx context.Context, call platform.Call) (platform.Reply, error) {
 	candidates := r.candidates(time.Now())
 	for _, member := range candidates {
-		reply, err := r.through(ctx, member, call)
+		reply, err := r.callThrough(ctx, member, call)
 		if err == nil || errors.Is(err, product.ErrUnsettled) && call.Writes() {
 			return reply, err
 		}
@@ -98,10 +103,11 @@
 	return platform.Reply{}, errors.Wrapf(product.ErrUnavailable, "%s %s: not through %d other entries either", call.Method, call.Target, len(candidates))
 }
 
-func (r *Relay) through(ctx context.Context, member gossip.Member, call platform.Call) (platform.Reply, error) {
+// callThrough sends the call through one entry.
+func (r *Relay) callThrough(ctx context.Context, member gossip.Member, call platform.Call) (platform.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+call.Wait)
 	defer cancel()
-	answer, err := peer.Call[platform.Call, relayed](ctx, r.client, member.Address, MethodCall, call)
+	answer, err := peer.Call[platform.Call, relayResponse](ctx, r.client, member.Address, MethodCall, call)
 	switch {
 	case errors.Is(err, peer.ErrUnsent):
 		return platform.Reply{}, errors.Wrapf(product.ErrUnavailable, "entry %s: %v", member.HostID, err)
--- a/internal/edge/store/relay_test.go
+++ b/internal/edge/store/relay_test.go
@@ -12,9 +12,10 @@
 
 func (m members) Alive(time.Time) []gossip.Member { return append([]gossip.Member(nil), m...) }
 
-// The store turned nine of 27 entries away, among them the first two by name. Every entry that was turned away asked these two, and
-// the steps that they ran stood still for nine seconds, although eighteen entries were served.
-func TestEntriesThatReachTheStoreAreAskedFirst(t *testing.T) {
+// Guards against relaying only through entries that the store rejects too. The store rejected nine of 27 entries, among them the first
+// two by name. Every rejected entry asked these two, and its training steps stalled for nine seconds although the store served the
+// other eighteen entries.
+func TestCandidatesThatReachStoreComeFirst(t *testing.T) {
 	var all members
 	for i := range 27 {
 		all = append(all, gossip.Member{HostID: fmt.Sprintf("entry-%02d", i), Leaving: i == 20})
@@ -24,17 +25,17 @@
 	others := map[string]bool{}
 	for range 50 {
 		candidates := relay.candidates(time.Now())
-		if len(candidates) != relayTries {
-			t.Fatalf("%d candidates", len(candidates))
+		if len(candidates) != maxRelayAttempts {
+			t.Fatalf("got %d candidates, want %d", len(candidates), maxRelayAttempts)
 		}
 		for i, candidate := range candidates {
 			if served[candidate.HostID] != (i < 2) || candidate.Leaving {
-				t.Fatalf("%+v", candidates)
+				t.Fatalf("got candidates %+v, want entry-07 and entry-19 first and no entry that leaves", candidates)
 			}
 		}
 		others[candidates[2].HostID] = true
 	}
 	if len(others) < 5 {
-		t.Errorf("the others are asked in one order: %v", others)
+		t.Errorf("the other entries are not shuffled, third candidates were only %v", others)
 	}
 }
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -1,5 +1,5 @@
-// Package store carries calls to the platform's store: straight to it, or through another entry while the store turns this
-// host away. It is the one client of the store for all parts of a process.
+// Package store is the client of the platform's store that all parts of a process share. It calls the store directly, or
+// through another entry while the store rejects or can't be reached from this host.
 package store
 
 import (
@@ -16,114 +16,120 @@
 )
 
 const (
-	// callTimeout bounds a call. The store answers in milliseconds, and within a third of a second while it is slow; a
-	// host that is cut off goes through another one after this time.
+	// callTimeout bounds a call, beyond the time that a watch may wait. The store answers in milliseconds, and within a
+	// third of a second while it is slow. A host that is cut off uses another one after this time.
 	callTimeout = 800 * time.Millisecond
-	// awayTime is how long calls go through another host first once the store turned this one away: in that time
-	// another call would cost as much and be turned away too.
-	awayTime = 2 * time.Second
+	// unavailableTime is how long calls go through another host first after a direct call failed. A direct call in that
+	// time would most likely fail too and cost as much.
+	unavailableTime = 2 * time.Second
 )
 
-// Carrier carries one call to the store.
+// Carrier sends a call to the store.
 type Carrier interface {
-	// Carry returns the answer, or an error that is a product.ErrUnavailable (not sent) or product.ErrUnsettled.
+	// Carry returns the answer, whatever its status, or an error that is a product.ErrUnavailable (not sent) or a
+	// product.ErrUnsettled (sent, but the answer was lost).
 	Carry(ctx context.Context, call platform.Call) (platform.Reply, error)
 }
 
-// Store is the platform's store as the product sees it.
+// Store reads, writes and watches objects of the platform's store. It is safe for concurrent use.
 type Store struct {
 	direct Carrier
 	relay  Carrier
 	log    zerolog.Logger
-	// awayUntil is the time until which the store is assumed to turn this host away, or nil if it has not done so yet.
+	// unavailableUntil is the time until which direct calls are assumed to fail, or nil if none has failed yet.
 	// It keeps its monotonic clock reading so that wall clock steps don't change the duration.
-	awayUntil atomic.Pointer[time.Time]
-	reached   atomic.Bool
-	metrics   *Metrics
+	unavailableUntil atomic.Pointer[time.Time]
+	// directAvailable is false from a failed direct call until the next successful one. Only changes of it are logged.
+	directAvailable atomic.Bool
+	metrics         *Metrics
 }
 
-// New returns a store that is reached through direct, and through relay while direct fails.
+// New returns a store that sends calls over direct, and over relay while direct fails.
 func New(direct, relay Carrier, metrics *Metrics, log zerolog.Logger) *Store {
 	s := &Store{direct: direct, relay: relay, log: log, metrics: metrics}
-	s.reached.Store(true)
+	s.directAvailable.Store(true)
 	return s
 }
 
-// Away says whether the store turns this host away for now.
-func (s *Store) Away(now time.Time) bool {
-	until := s.awayUntil.Load()
+// DirectUnavailable reports whether a direct call that was not a watch failed within the last unavailableTime.
+func (s *Store) DirectUnavailable(now time.Time) bool {
+	until := s.unavailableUntil.Load()
 	return until != nil && now.Before(*until)
 }
 
-// Direct carries a call straight to the store, without another host's help; other entries use it through this host.
-func (s *Store) Direct(ctx context.Context, call platform.Call) (platform.Reply, error) {
+// CallDirect sends a call to the store without the relay. Other entries use it to relay their calls through this host.
+func (s *Store) CallDirect(ctx context.Context, call platform.Call) (platform.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+call.Wait)
 	defer cancel()
 	started := time.Now()
 	reply, err := s.direct.Carry(ctx, call)
 	s.log.Debug().Str("method", call.Method).Str("target", call.Target).Int("status", reply.Status).Err(err).Dur("took", time.Since(started)).Msg("store called")
-	s.metrics.called(call.Method, time.Since(started), err == nil && !turnedAway(reply))
+	s.metrics.recordCall(call.Method, time.Since(started), err == nil && !rejected(reply))
 	return reply, err
 }
 
-func turnedAway(reply platform.Reply) bool {
-	return reply.Status == statusTooMany || reply.Status >= statusServerError
+// rejected reports whether the store rejected a call because of its rate limit or a failure of its own.
+func rejected(reply platform.Reply) bool {
+	return reply.Status == statusTooManyRequests || reply.Status >= statusServerError
 }
 
-// Statuses by which the store turns a host away.
+// Statuses with which the store rejects calls. statusServerError is the lowest of its range.
 const (
-	statusTooMany     = 429
-	statusServerError = 500
+	statusTooManyRequests = 429
+	statusServerError     = 500
 )
 
-// call carries a call straight to the store, or through another entry.
+// call sends a call to the store directly or through another entry.
 //
-// Guard: a write may be tried on several ways, and each of them may have carried it out without an answer. Judged by the last way alone it was
-// said to have had no effect, while the job or the end that it wrote was there. So a write of which one way is open stays open.
+// A write may be sent over several paths, and each of them may have taken effect although its answer was lost. Judged by
+// the last attempt alone, a write was reported as without effect although the job or the end of a job that it wrote was in
+// the store. So a write is a product.ErrUnsettled as soon as one of its attempts is, unless a later attempt returns an answer.
 func (s *Store) call(ctx context.Context, call platform.Call) (platform.Reply, error) {
-	var open error
-	note := func(err error) {
+	var unsettled error
+	noteUnsettled := func(err error) {
 		if call.Writes() && errors.Is(err, product.ErrUnsettled) {
-			open = err
+			unsettled = err
 		}
 	}
-	if s.Away(time.Now()) {
+	if s.DirectUnavailable(time.Now()) {
 		reply, err := s.relay.Carry(ctx, call)
-		if err == nil && !turnedAway(reply) {
+		if err == nil && !rejected(reply) {
 			return reply, nil
 		}
-		note(err)
+		noteUnsettled(err)
 	}
-	reply, err := s.Direct(ctx, call)
-	if err == nil && !turnedAway(reply) {
-		s.noteReached()
+	reply, err := s.CallDirect(ctx, call)
+	if err == nil && !rejected(reply) {
+		s.recordAvailable()
 		return reply, nil
 	}
-	note(err)
+	noteUnsettled(err)
 	if ctx.Err() == nil && call.Wait == 0 {
-		s.noteAway(reply, err)
+		s.recordUnavailable(reply, err)
 		relayed, relayErr := s.relay.Carry(ctx, call)
-		if relayErr == nil && !turnedAway(relayed) {
+		if relayErr == nil && !rejected(relayed) {
 			return relayed, nil
 		}
-		note(relayErr)
+		noteUnsettled(relayErr)
 	}
-	if open != nil {
-		return platform.Reply{}, open
+	if unsettled != nil {
+		return platform.Reply{}, unsettled
 	}
 	return reply, err
 }
 
-func (s *Store) noteReached() {
-	if !s.reached.Swap(true) {
+// recordAvailable notes a successful direct call.
+func (s *Store) recordAvailable() {
+	if !s.directAvailable.Swap(true) {
 		s.log.Info().Str("dependency", "store").Msg("regained")
 	}
 }
 
-func (s *Store) noteAway(reply platform.Reply, err error) {
-	until := time.Now().Add(awayTime)
-	s.awayUntil.Store(&until)
-	if s.reached.Swap(false) {
+// recordUnavailable notes a failed direct call, so that calls go through the relay first for unavailableTime.
+func (s *Store) recordUnavailable(reply platform.Reply, err error) {
+	until := time.Now().Add(unavailableTime)
+	s.unavailableUntil.Store(&until)
+	if s.directAvailable.Swap(false) {
 		s.log.Warn().Str("dependency", "store").Int("status", reply.Status).Err(err).Msg("lost")
 	}
 }
@@ -138,10 +144,11 @@
 	return object, errors.Wrapf(readError(err), "%s/%s", kind, name)
 }
 
-// List reads all objects of a kind, and a revision from which on a watch tells of everything that the list doesn't hold.
+// List reads all objects of a kind. It also returns the revision from which a watch shows every change that the list misses.
 //
-// Guard: a kind of more than some 500 objects comes in several answers. An object of the first one may change before the last one is
-// given; watched from the revision of the last, that change would never be seen. So the revision is that of the first.
+// A kind with more than about 500 objects comes in several pages. An object of the first page may change before the last
+// page is read, and a watch from the last page's revision would never show that change. So the revision is that of the
+// first page.
 func (s *Store) List(ctx context.Context, kind string) ([]product.Object, product.Version, error) {
 	var objects []product.Object
 	var revision product.Version
@@ -166,9 +173,9 @@
 	}
 }
 
-// Probe finds out whether the store can be reached from here, by a read that is cheap and may be old.
+// Probe checks whether this host can call the store directly, with a read that is cheap because its answer may be stale.
 func (s *Store) Probe(ctx context.Context) error {
-	reply, err := s.Direct(ctx, platform.List(platform.KindModelVersions, "", true))
+	reply, err := s.CallDirect(ctx, platform.List(platform.KindModelVersions, "", true))
 	if err != nil {
 		return readError(err)
 	}
@@ -176,7 +183,8 @@
 	return readError(err)
 }
 
-// Watch waits until an object of the kind changes after the revision. It goes straight to the store only.
+// Watch waits up to wait for a change to an object of the kind after the revision. A watch whose direct call failed is not
+// retried through the relay.
 func (s *Store) Watch(ctx context.Context, kind string, after product.Version, wait time.Duration) (platform.Changes, error) {
 	reply, err := s.call(ctx, platform.Watch(kind, after, wait))
 	if err != nil {
@@ -186,7 +194,7 @@
 	return changes, errors.Wrap(readError(err), kind)
 }
 
-// Create creates an object; a product.ErrConflict says that there is one of the name.
+// Create creates an object. It returns a product.ErrConflict if there is already one of that name.
 func (s *Store) Create(ctx context.Context, kind, name string, value json.RawMessage) (product.Version, error) {
 	call, err := platform.Create(kind, name, value)
 	if err != nil {
@@ -195,7 +203,7 @@
 	return s.write(ctx, call, kind, name)
 }
 
-// Update replaces the value of an object that still has the version.
+// Update replaces the value of an object if its version is still the given one, else it returns a product.ErrConflict.
 func (s *Store) Update(ctx context.Context, kind, name string, value json.RawMessage, version product.Version) (product.Version, error) {
 	call, err := platform.Update(kind, name, value, version)
 	if err != nil {
@@ -204,7 +212,7 @@
 	return s.write(ctx, call, kind, name)
 }
 
-// Delete removes an object that still has the version; 0 removes it whatever its version is.
+// Delete removes an object if its version is still the given one; 0 removes any version.
 func (s *Store) Delete(ctx context.Context, kind, name string, version product.Version) error {
 	reply, err := s.call(ctx, platform.Delete(kind, name, version))
 	if err != nil {
@@ -213,8 +221,8 @@
 	return errors.Wrapf(platform.ReadDone(reply), "%s/%s", kind, name)
 }
 
-// OpenRetirements returns the hosts that are to be emptied and are not reported as empty. The answer may be seconds old, which is
-// cheap, and a report that comes twice is harmless.
+// OpenRetirements returns the hosts that the platform wants to remove and that have not been reported as drained yet. It
+// makes a cheap read whose answer may be seconds old, because reporting a host twice is harmless.
 func (s *Store) OpenRetirements(ctx context.Context) ([]string, product.Version, error) {
 	reply, err := s.call(ctx, platform.List(platform.KindRetirements, "", true))
 	if err != nil {
@@ -224,7 +232,7 @@
 	return hosts, revision, errors.Wrap(readError(err), platform.KindRetirements)
 }
 
-// Retired reports that a host holds nothing any more.
+// Retired reports that a host is drained, so that the platform may remove it.
 func (s *Store) Retired(ctx context.Context, host string) error {
 	call, err := platform.Retired(host)
 	if err != nil {
@@ -243,7 +251,7 @@
 	return object.Version, errors.Wrapf(err, "%s/%s", kind, name)
 }
 
-// readError takes a lost answer to a read for an unavailable store: a read leaves nothing open.
+// readError turns the lost answer to a read into a product.ErrUnavailable, because a read has no effect that could be in doubt.
 func readError(err error) error {
 	if errors.Is(err, product.ErrUnsettled) {
 		return errors.Wrap(product.ErrUnavailable, err.Error())
