--- a/internal/edge/platform/client.go
+++ b/internal/edge/platform/client.go
@@ -18,8 +18,8 @@
 // ErrTooLarge is returned for a value above the platform's limit; nothing was written.
 var ErrTooLarge = errors.New("value too large")
 
-// DefaultCallTimeout bounds a call whose context has no earlier deadline. The platform answers in
-// milliseconds; a call that took longer than this is treated as lost.
+// DefaultCallTimeout bounds a call whose context has no earlier deadline. The platform usually answers within
+// milliseconds; the answer to a call that takes longer than this counts as lost.
 const DefaultCallTimeout = 5 * time.Second
 
 // Paths of the platform's HTTP interface.
@@ -39,17 +39,17 @@
 	QueryWait      = "waitMilliseconds"
 )
 
-// ObjectList is the answer to a list of objects.
+// ObjectList is the body of the response to a list of objects.
 type ObjectList struct {
 	Objects []Object `json:"objects"`
 }
 
-// Written is the answer to a write of an object.
+// Written is the body of the response to a write of an object.
 type Written struct {
 	Version Version `json:"version"`
 }
 
-// HostRows is the answer to a read of the host list.
+// HostRows is the body of the response to a read of the host list.
 type HostRows struct {
 	Hosts []Host `json:"hosts"`
 }
@@ -66,7 +66,7 @@
 // ClientOption changes a client under construction.
 type ClientOption func(*Client)
 
-// WithCallTimeout bounds each call beside its context; a watch may last its wait longer.
+// WithCallTimeout bounds each call in addition to its context; a watch may take longer by the time that it may wait.
 func WithCallTimeout(timeout time.Duration) ClientOption {
 	return func(c *Client) { c.timeout = timeout }
 }
@@ -152,6 +152,7 @@
 	return rows.Hosts, errors.Wrap(err, "host list")
 }
 
+// read makes a call without effect. Every lost answer is an ErrUnavailable, because no effect can be in doubt.
 func (c *Client) read(ctx context.Context, timeout time.Duration, path string, query url.Values, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -162,9 +163,9 @@
 	return err
 }
 
-// write tells a write that can't have been sent from one whose answer was lost. Taking a lost
-// answer for a failed write would let the caller write twice; taking an unsent one for lost would
-// make it settle what never happened.
+// write makes a call with an effect. It returns ErrUnavailable for a write that can't have been sent, and ErrUnsettled
+// for one whose answer was lost. If a lost answer counted as a failed write, the caller might write twice. If an unsent
+// write counted as lost, the caller would try to find out the effect of a write that never took place.
 func (c *Client) write(
 	ctx context.Context, method, path string, query url.Values, body []byte, into any,
 ) error {
@@ -181,6 +182,7 @@
 	}
 }
 
+// call sends one request and decodes the response into into, unless that is nil.
 func (c *Client) call(
 	ctx context.Context, method, path string, query url.Values, body []byte, into any,
 ) error {
@@ -214,7 +216,7 @@
 	return nil
 }
 
-// statusError maps a status to the errors of the platform; 5xx other than 503 leave a write open.
+// statusError maps a status to the errors of the platform. A write may have taken effect after a 5xx status other than 503.
 func statusError(status int) error {
 	switch {
 	case status < http.StatusMultipleChoices:
--- a/internal/edge/platform/client_test.go
+++ b/internal/edge/platform/client_test.go
@@ -18,18 +18,19 @@
 )
 
 func TestMain(m *testing.M) {
-	// The library keeps one goroutine a process that formats the date header.
+	// The HTTP library starts one goroutine per process that formats the date header.
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
 }
 
-// callLimit is generous, so that a busy machine loses no call; heldWrite is longer than the platform takes to note a call.
 const (
-	callLimit = time.Minute
-	heldWrite = 2 * time.Second
+	// callTimeout is long enough that no call is lost on a busy machine.
+	callTimeout = time.Minute
+	// writeDelay is longer than the stand-in takes to count a call, so that the test can cancel the write in between.
+	writeDelay = 2 * time.Second
 )
 
-// start serves a stand-in over loopback and returns it with a client.
-func start(t *testing.T, opts ...standin.Option) (*standin.Server, *platform.Client) {
+// startStandin serves a stand-in of the platform over loopback and returns it with a client.
+func startStandin(t *testing.T, opts ...standin.Option) (*standin.Server, *platform.Client) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -39,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client := platform.NewClient(server.URL(), platform.WithCallTimeout(callLimit))
+	client := platform.NewClient(server.URL(), platform.WithCallTimeout(callTimeout))
 	t.Cleanup(func() {
 		client.Close()
 		server.Close()
@@ -48,7 +49,7 @@
 }
 
 func TestObjectsOverHTTP(t *testing.T) {
-	_, client := start(t)
+	_, client := startStandin(t)
 	ctx := t.Context()
 	names := []string{"lease/usage/0", "a b/ü?x=1", "plain", "dots/../kept//double"}
 	for _, name := range names {
@@ -67,7 +68,7 @@
 	}
 	listed, err := client.List(ctx, "lease/")
 	if err != nil || len(listed) != 1 {
-		t.Errorf("list: %v, %v", listed, err)
+		t.Errorf("list: got %v, %v, want one object", listed, err)
 	}
 	if err := client.Delete(ctx, "plain", listed[0].Version+2); err != nil {
 		t.Errorf("delete: %v", err)
@@ -75,7 +76,7 @@
 }
 
 func TestErrorsOverHTTP(t *testing.T) {
-	server, client := start(t)
+	server, client := startStandin(t)
 	first, err := client.Put(t.Context(), "known", json.RawMessage(`1`), 0)
 	if err != nil {
 		t.Fatal(err)
@@ -122,11 +123,11 @@
 	}
 }
 
-// A lease is renewed, the platform is slow and the holder's deadline passes while the write is
-// under way. The holder must not take the renewal for failed: the write still takes effect.
+// Guards against a lease holder treating a renewal as failed that still takes effect: the platform is slow, and the
+// holder's deadline passes after the write was sent.
 func TestWriteWhoseContextEndsAfterSendingIsUnsettled(t *testing.T) {
-	server, client := start(t)
-	server.Delay(heldWrite)
+	server, client := startStandin(t)
+	server.Delay(writeDelay)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	var group conc.WaitGroup
@@ -138,19 +139,19 @@
 		cancel()
 	})
 	if _, err := client.Put(ctx, "lease", json.RawMessage(`1`), 0); !errors.Is(err, platform.ErrUnsettled) {
-		t.Errorf("ended after sending: got %v", err)
+		t.Errorf("context ended after sending: got %v", err)
 	}
 	if _, err := client.Put(ctx, "lease", json.RawMessage(`1`), 0); !errors.Is(err, platform.ErrUnavailable) {
-		t.Errorf("ended before sending: got %v", err)
+		t.Errorf("context ended before sending: got %v", err)
 	}
-	object, err := client.Watch(t.Context(), "lease", 0, callLimit)
+	object, err := client.Watch(t.Context(), "lease", 0, callTimeout)
 	if err != nil || string(object.Value) != "1" {
-		t.Errorf("the write has to take effect: %v, %v", object, err)
+		t.Errorf("the write did not take effect: %v, %v", object, err)
 	}
 }
 
 func TestWatchOverHTTP(t *testing.T) {
-	server, client := start(t)
+	server, client := startStandin(t)
 	first, err := server.Put(t.Context(), "head", json.RawMessage(`1`), 0)
 	if err != nil {
 		t.Fatal(err)
@@ -178,7 +179,7 @@
 			PeerAddress: netip.MustParseAddrPort("127.0.0.1:7001")},
 		{ID: "entry-1", Role: platform.RoleEntry, AvailabilityZone: "begnas"},
 	}
-	server, client := start(t, standin.WithHosts(hosts))
+	server, client := startStandin(t, standin.WithHosts(hosts))
 	for _, raw := range []string{`{"a":1}`, `{"a":1}`} {
 		if err := client.Report(t.Context(), "w/org one", json.RawMessage(raw)); err != nil {
 			t.Fatal(err)
--- a/internal/edge/platform/dryrun.go
+++ b/internal/edge/platform/dryrun.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// DryRun reads from another platform and only pretends to write: a write that would conflict
-// fails as it would in earnest, and every other one succeeds without effect.
+// DryRun passes reads on to another platform and only simulates writes: a write that would conflict fails with
+// ErrConflict, and every other write succeeds without effect.
 type DryRun struct {
 	inner Platform
 }
@@ -31,9 +31,9 @@
 	return d.inner.List(ctx, prefix)
 }
 
-// Put implements Store; the version that it returns follows the present one and is not stored.
+// Put implements Store. It returns ifVersion + 1, which is not stored.
 func (d *DryRun) Put(ctx context.Context, name string, _ json.RawMessage, ifVersion Version) (Version, error) {
-	if err := d.check(ctx, name, ifVersion); err != nil {
+	if err := d.checkVersion(ctx, name, ifVersion); err != nil {
 		return 0, err
 	}
 	return ifVersion + 1, nil
@@ -41,7 +41,7 @@
 
 // Delete implements Store.
 func (d *DryRun) Delete(ctx context.Context, name string, ifVersion Version) error {
-	return d.check(ctx, name, ifVersion)
+	return d.checkVersion(ctx, name, ifVersion)
 }
 
 // Watch implements Store.
@@ -64,8 +64,8 @@
 	return d.inner.Hosts(ctx)
 }
 
-// check returns ErrConflict if the object has another version than the expected one.
-func (d *DryRun) check(ctx context.Context, name string, ifVersion Version) error {
+// checkVersion returns ErrConflict if the object's version is not ifVersion.
+func (d *DryRun) checkVersion(ctx context.Context, name string, ifVersion Version) error {
 	object, err := d.inner.Get(ctx, name)
 	if err != nil && !errors.Is(err, ErrNotFound) {
 		return err
--- a/internal/edge/platform/short_test.go
+++ b/internal/edge/platform/short_test.go
@@ -14,16 +14,16 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// A write counts as done, or a read as empty, whose answer was cut short: the platform's host died
-// while it sent the answer. Only a whole answer may count; a write with half of one stays open.
-func TestShortAnswerIsNoAnswer(t *testing.T) {
+// Guards against a truncated answer counting as a successful write or an empty read, as when the platform's host crashes
+// while it sends the answer. Such a write must be reported as ErrUnsettled, and such a read as ErrUnavailable.
+func TestTruncatedAnswerCountsAsLost(t *testing.T) {
 	answers := []string{
 		"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 40\r\n\r\n{\"version\":1",
 		"HTTP/1.1 200 OK\r\nContent-Le",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"ver",
 	}
 	for _, answer := range answers {
-		client := shortClient(t, answer)
+		client := newTruncatingClient(t, answer)
 		_, put := client.Put(t.Context(), "lease/a", json.RawMessage(`1`), 0)
 		writes := map[string]error{
 			"put":    put,
@@ -47,8 +47,8 @@
 	}
 }
 
-// shortClient returns a client of a server that sends the same bytes for each call and hangs up.
-func shortClient(t *testing.T, answer string) *platform.Client {
+// newTruncatingClient returns a client of a server that answers each call with these bytes and closes the connection.
+func newTruncatingClient(t *testing.T, answer string) *platform.Client {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/edge/platform/wrappers_test.go
+++ b/internal/edge/platform/wrappers_test.go
@@ -20,7 +20,7 @@
 		t.Errorf("put: %v", err)
 	}
 	if _, err := dry.Put(t.Context(), "a", json.RawMessage(`1`), 3); !errors.Is(err, platform.ErrConflict) {
-		t.Errorf("put of an old version: got %v", err)
+		t.Errorf("put with a wrong version: got %v", err)
 	}
 	if err := dry.Order(t.Context(), platform.ServerOrder{}); err != nil {
 		t.Errorf("order: %v", err)
@@ -30,11 +30,11 @@
 	}
 	state := memory.State()
 	if len(state.Objects) != 0 || len(state.Orders) != 0 || len(state.Reports) != 0 {
-		t.Errorf("the platform was written to: %+v", state)
+		t.Errorf("the dry run wrote to the platform: %+v", state)
 	}
 }
 
-func TestLoggedNamesCallsAndKeepsValuesOut(t *testing.T) {
+func TestLoggedLogsCallsWithoutValues(t *testing.T) {
 	var out bytes.Buffer
 	memory := standin.NewMemory()
 	logged := platform.NewLogged(memory, zerolog.New(&out))
@@ -47,7 +47,7 @@
 	}
 	text := out.String()
 	if strings.Contains(text, "secret") {
-		t.Errorf("a value was logged: %s", text)
+		t.Errorf("the log contains a value: %s", text)
 	}
 	for _, want := range []string{`"call":"put"`, `"name":"part"`, `"level":"warn"`, `"call":"order"`} {
 		if !strings.Contains(text, want) {
