--- a/internal/edge/ticker/every.go
+++ b/internal/edge/ticker/every.go
@@ -1,4 +1,4 @@
-// Package ticker waits, and does the work that hosts repeat at an interval.
+// Package ticker waits and runs periodic work.
 package ticker
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Every does the work after each interval until ctx ends. Work that takes longer than the interval delays the next.
+// Every calls work after each interval until ctx ends. Work that takes longer than the interval delays the next call.
 func Every(ctx context.Context, interval time.Duration, work func(now time.Time)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -15,7 +15,8 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			// Not the tick's own time: a process that was stopped would judge a lease by a moment before that.
+			// The tick's own time may lie before a pause of the process, and a lease that expired during the pause would
+			// then seem valid.
 			work(time.Now())
 		}
 	}
--- a/internal/edge/ticker/sleep.go
+++ b/internal/edge/ticker/sleep.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Sleep waits for the length of time. It returns false if ctx ended first.
-func Sleep(ctx context.Context, length time.Duration) bool {
-	timer := time.NewTimer(max(0, length))
+// Sleep waits for the duration. It returns false if ctx ended first.
+func Sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(max(0, duration))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
