--- a/internal/edge/admin/admin.go
+++ b/internal/edge/admin/admin.go
@@ -21,30 +21,30 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/callerconn"
 )
 
-const shutdownTime = time.Second
+const shutdownTimeout = time.Second
 
-// Dump returns the state of one part of the process, without key material.
+// Dump returns the state of one part of the process as a value that can be encoded as JSON, without secrets.
 type Dump func() any
 
-// Option changes a Server.
+// Option configures a Server.
 type Option func(*Server)
 
-// WithServing makes /readyz depend on serving as well. A host that refuses every request must not be sent any, while
-// other hosts would serve them.
+// WithServing makes /readyz depend on serving as well, so that the load balancer sends no requests to a host that refuses
+// all of them while other hosts would serve them.
 func WithServing(serving func() bool) Option {
 	return func(s *Server) { s.serving = serving }
 }
 
 // Server serves /metrics, /healthz, /readyz and /debug/state.
 type Server struct {
-	app     *fiber.App
-	ready   atomic.Bool
-	serving func() bool
-	dumps   map[string]Dump
-	work    conc.WaitGroup
+	app        *fiber.App
+	ready      atomic.Bool
+	serving    func() bool
+	dumps      map[string]Dump
+	goroutines conc.WaitGroup
 }
 
-// NewServer serves on l until ctx ends. dumps are shown by name under /debug/state.
+// NewServer starts a server on l that ends with ctx. /debug/state shows the dumps by name.
 func NewServer(ctx context.Context, l net.Listener, gatherer prometheus.Gatherer, dumps map[string]Dump, opts ...Option) *Server {
 	s := &Server{
 		app:     fiber.New(fiber.Config{Immutable: true}),
@@ -58,16 +58,16 @@
 	s.app.Get("/healthz", func(c fiber.Ctx) error { return c.SendString("ok\n") })
 	s.app.Get("/readyz", s.readyz)
 	s.app.Get("/debug/state", s.state)
-	// An admin request still open after the time limit is cut: it changes nothing.
-	callerconn.Serve(ctx, &s.work, s.app, l, shutdownTime, zerolog.Nop())
+	// A request that is still open after shutdownTimeout is aborted, which is harmless because admin requests change nothing.
+	callerconn.Serve(ctx, &s.goroutines, s.app, l, shutdownTimeout, zerolog.Nop())
 	return s
 }
 
-// SetReady says whether the balancer should send requests to this process.
+// SetReady sets whether the load balancer should send requests to this process.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// Wait returns once the server has ended.
-func (s *Server) Wait() { s.work.Wait() }
+// Wait blocks until the server has ended.
+func (s *Server) Wait() { s.goroutines.Wait() }
 
 func (s *Server) readyz(c fiber.Ctx) error {
 	switch {
--- a/internal/edge/admin/admin_test.go
+++ b/internal/edge/admin/admin_test.go
@@ -9,10 +9,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// An operator ends a process right after its start.
-// The HTTP library's shutdown does nothing before its server accepts connections, so the server would begin afterwards
-// and serve for ever, and the process would never end.
-func TestEndRightAfterStart(t *testing.T) {
+// Guards against a process that never exits when it is stopped right after its start. The HTTP library's shutdown does
+// nothing before its server accepts connections, so the server would start afterwards and serve forever.
+func TestServerStopsRightAfterStart(t *testing.T) {
 	const starts = 100
 	for range starts {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,7 +29,7 @@
 		select {
 		case <-ended:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the server has not ended")
+			t.Fatal("the server did not stop within 10 seconds")
 		}
 	}
 }
