--- a/internal/edge/store/list_test.go
+++ b/internal/edge/store/list_test.go
@@ -12,10 +12,10 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// pagedCarrier returns a list in two pages; the store's revision rises from 5 to 8 between them.
-type pagedCarrier struct{}
+// pagedTransport returns a list in two pages; the store's revision rises from 5 to 8 between them.
+type pagedTransport struct{}
 
-func (pagedCarrier) Carry(_ context.Context, call platform.Call) (platform.Reply, error) {
+func (pagedTransport) Carry(_ context.Context, call platform.Call) (platform.Reply, error) {
 	body := `{"items":[{"metadata":{"name":"a","revision":3},"spec":1}],"has_more":true,"current_rev":5}`
 	if strings.Contains(call.Target, "after=a") {
 		body = `{"items":[{"metadata":{"name":"b","revision":4},"spec":1}],"has_more":false,"current_rev":8}`
@@ -27,7 +27,7 @@
 // before the last page was read. A watch from the last page's revision never showed that change, so the server received requests until
 // it was gone.
 func TestListReturnsRevisionOfFirstPage(t *testing.T) {
-	store := New(pagedCarrier{}, pagedCarrier{}, NewMetrics(prometheus.NewRegistry()), zerolog.Nop())
+	store := New(pagedTransport{}, pagedTransport{}, NewMetrics(prometheus.NewRegistry()), zerolog.Nop())
 	objects, revision, err := store.List(context.Background(), platform.KindServers)
 	if err != nil || len(objects) != 2 {
 		t.Fatalf("%v, %v", objects, err)
--- a/internal/edge/store/open_test.go
+++ b/internal/edge/store/open_test.go
@@ -14,14 +14,14 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// scriptedCarrier returns its replies and errors in turn, and then repeats the last pair.
-type scriptedCarrier struct {
+// scriptedTransport returns its replies and errors in turn, and then repeats the last pair.
+type scriptedTransport struct {
 	replies []platform.Reply
 	errs    []error
 	calls   int
 }
 
-func (s *scriptedCarrier) Carry(context.Context, platform.Call) (platform.Reply, error) {
+func (s *scriptedTransport) Carry(context.Context, platform.Call) (platform.Reply, error) {
 	i := min(s.calls, len(s.errs)-1)
 	s.calls++
 	return s.replies[i], s.errs[i]
@@ -34,13 +34,13 @@
 	for _, test := range []struct {
 		name        string
 		unavailable bool
-		direct      scriptedCarrier
-		relay       scriptedCarrier
+		direct      scriptedTransport
+		relay       scriptedTransport
 	}{
-		{name: "direct call rejected, relayed call lost", direct: scriptedCarrier{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}}, relay: scriptedCarrier{replies: make([]platform.Reply, 1), errs: []error{lost}}},
-		{name: "direct call not sent, relayed call lost", direct: scriptedCarrier{replies: make([]platform.Reply, 1), errs: []error{unsent}}, relay: scriptedCarrier{replies: make([]platform.Reply, 1), errs: []error{lost}}},
-		{name: "relayed call lost first, then direct call rejected and relayed call not sent", unavailable: true, direct: scriptedCarrier{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}}, relay: scriptedCarrier{replies: make([]platform.Reply, 2), errs: []error{lost, unsent}}},
-		{name: "relayed call lost first, then no call sent", unavailable: true, direct: scriptedCarrier{replies: make([]platform.Reply, 1), errs: []error{unsent}}, relay: scriptedCarrier{replies: make([]platform.Reply, 2), errs: []error{lost, unsent}}},
+		{name: "direct call rejected, relayed call lost", direct: scriptedTransport{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}}, relay: scriptedTransport{replies: make([]platform.Reply, 1), errs: []error{lost}}},
+		{name: "direct call not sent, relayed call lost", direct: scriptedTransport{replies: make([]platform.Reply, 1), errs: []error{unsent}}, relay: scriptedTransport{replies: make([]platform.Reply, 1), errs: []error{lost}}},
+		{name: "relayed call lost first, then direct call rejected and relayed call not sent", unavailable: true, direct: scriptedTransport{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}}, relay: scriptedTransport{replies: make([]platform.Reply, 2), errs: []error{lost, unsent}}},
+		{name: "relayed call lost first, then no call sent", unavailable: true, direct: scriptedTransport{replies: make([]platform.Reply, 1), errs: []error{unsent}}, relay: scriptedTransport{replies: make([]platform.Reply, 2), errs: []error{lost, unsent}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := New(&test.direct, &test.relay, NewMetrics(prometheus.NewRegistry()), zerolog.Nop())
@@ -58,8 +58,8 @@
 
 // Guards against a backward wall clock step extending the time for which the host uses the relay after the store rejected its call.
 func TestDirectUnavailableUsesMonotonicClock(t *testing.T) {
-	direct := scriptedCarrier{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}}
-	relay := scriptedCarrier{replies: make([]platform.Reply, 1), errs: []error{errors.Wrap(product.ErrUnavailable, "no connection")}}
+	direct := scriptedTransport{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}}
+	relay := scriptedTransport{replies: make([]platform.Reply, 1), errs: []error{errors.Wrap(product.ErrUnavailable, "no connection")}}
 	s := New(&direct, &relay, NewMetrics(prometheus.NewRegistry()), zerolog.Nop())
 	if s.DirectUnavailable(time.Now()) {
 		t.Error("unavailable before the first call")
--- a/internal/edge/store/relay.go
+++ b/internal/edge/store/relay.go
@@ -25,9 +25,9 @@
 // relayResponse is the answer to MethodCall.
 type relayResponse struct {
 	Reply platform.Reply `msgpack:"r"`
-	// Unavailable means that the call had no effect, Unsettled that it may have had one.
-	Unavailable bool `msgpack:"u"`
-	Unsettled   bool `msgpack:"s"`
+	// Unavailable means that the call had no effect, OutcomeUnknown that it may have had one.
+	Unavailable    bool `msgpack:"u"`
+	OutcomeUnknown bool `msgpack:"s"`
 }
 
 // Members is the list of the other entries.
@@ -87,7 +87,7 @@
 		return relayResponse{Reply: reply}
 	}
 	unavailable := errors.Is(err, product.ErrUnavailable)
-	return relayResponse{Unavailable: unavailable, Unsettled: !unavailable}
+	return relayResponse{Unavailable: unavailable, OutcomeUnknown: !unavailable}
 }
 
 // Carry sends the call through one candidate after another until one returns an answer. It stops at a write that may have
@@ -115,7 +115,7 @@
 		return platform.Reply{}, errors.Wrapf(product.ErrUnsettled, "entry %s: %v", member.HostID, err)
 	case answer.Unavailable:
 		return platform.Reply{}, errors.Wrapf(product.ErrUnavailable, "entry %s is turned away too", member.HostID)
-	case answer.Unsettled:
+	case answer.OutcomeUnknown:
 		return platform.Reply{}, errors.Wrapf(product.ErrUnsettled, "through entry %s", member.HostID)
 	default:
 		return answer.Reply, nil
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -85,10 +85,10 @@
 // the last attempt alone, a write was reported as without effect although the job or the end of a job that it wrote was in
 // the store. So a write is a product.ErrUnsettled as soon as one of its attempts is, unless a later attempt returns an answer.
 func (s *Store) call(ctx context.Context, call platform.Call) (platform.Reply, error) {
-	var unsettled error
-	noteUnsettled := func(err error) {
+	var uncertain error
+	noteUncertain := func(err error) {
 		if call.Writes() && errors.Is(err, product.ErrUnsettled) {
-			unsettled = err
+			uncertain = err
 		}
 	}
 	if s.DirectUnavailable(time.Now()) {
@@ -96,24 +96,24 @@
 		if err == nil && !rejected(reply) {
 			return reply, nil
 		}
-		noteUnsettled(err)
+		noteUncertain(err)
 	}
 	reply, err := s.CallDirect(ctx, call)
 	if err == nil && !rejected(reply) {
 		s.recordAvailable()
 		return reply, nil
 	}
-	noteUnsettled(err)
+	noteUncertain(err)
 	if ctx.Err() == nil && call.Wait == 0 {
 		s.recordUnavailable(reply, err)
 		relayed, relayErr := s.relay.Carry(ctx, call)
 		if relayErr == nil && !rejected(relayed) {
 			return relayed, nil
 		}
-		noteUnsettled(relayErr)
+		noteUncertain(relayErr)
 	}
-	if unsettled != nil {
-		return platform.Reply{}, unsettled
+	if uncertain != nil {
+		return platform.Reply{}, uncertain
 	}
 	return reply, err
 }
