--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -10,7 +10,7 @@
 	edge "github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// Kind is a kind of call.
+// Kind is a kind of call to the platform.
 type Kind string
 
 // The kinds of calls that are counted.
@@ -25,38 +25,39 @@
 	KindHosts  Kind = "hosts"
 )
 
-// Faults are the switches of the stand-in; the zero value is a healthy platform.
+// Faults are the faults that the stand-in simulates; the zero value is a healthy platform.
 type Faults struct {
 	// Outage refuses every call before any effect and ends waiting watches.
 	Outage bool `json:"outage"`
-	// DelayMilliseconds passes before each call takes effect.
+	// DelayMilliseconds delays the effect of each call.
 	DelayMilliseconds int `json:"delayMilliseconds"`
-	// LoseAnswers is the number of writes that take effect and whose answer is lost.
+	// LoseAnswers is the number of writes still to come that take effect although their answers are lost.
 	LoseAnswers int `json:"loseAnswers"`
-	// CallsPerSecond is the rate limit over all calls; 0 is no limit.
+	// CallsPerSecond is the rate limit of all calls together; 0 means no limit.
 	CallsPerSecond float64 `json:"callsPerSecond"`
-	// IgnoreFencing accepts server orders whose fencing number is old.
+	// IgnoreFencing accepts server orders with an old fencing token.
 	IgnoreFencing bool `json:"ignoreFencing"`
-	// StartupMilliseconds is how long an ordered server takes until it is live.
+	// StartupMilliseconds is the time from the order of a server until it is live.
 	StartupMilliseconds int `json:"startupMilliseconds"`
 	// LeavingMilliseconds is how long a stopped server is listed as leaving.
 	LeavingMilliseconds int `json:"leavingMilliseconds"`
-	// ListLagMilliseconds is the age of the host list.
+	// ListLagMilliseconds is the age of the state that the host list shows.
 	ListLagMilliseconds int `json:"listLagMilliseconds"`
 }
 
-// bucket limits the rate of calls; it holds at most one second's worth.
-type bucket struct {
-	tokens float64
-	filled time.Time
+// tokenBucket limits the rate of calls. It holds the tokens of one second, but at least one.
+type tokenBucket struct {
+	tokens   float64
+	refilled time.Time
 }
 
-func (b *bucket) take(now time.Time, rate float64) bool {
+// take removes one token at the rate per second and returns false if there is none; a rate of 0 is no limit.
+func (b *tokenBucket) take(now time.Time, rate float64) bool {
 	if rate <= 0 {
 		return true
 	}
-	b.tokens = min(max(rate, 1), b.tokens+now.Sub(b.filled).Seconds()*rate)
-	b.filled = now
+	b.tokens = min(max(rate, 1), b.tokens+now.Sub(b.refilled).Seconds()*rate)
+	b.refilled = now
 	if b.tokens < 1 {
 		return false
 	}
@@ -64,36 +65,36 @@
 	return true
 }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all simulated faults.
 func (m *Memory) SetFaults(faults Faults) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.faults = faults
-	m.wake()
+	m.notifyWatchers()
 }
 
-// CurrentFaults returns the switches; LoseAnswers is what is left of it.
+// CurrentFaults returns the simulated faults; LoseAnswers is the number of answers that are still to be lost.
 func (m *Memory) CurrentFaults() Faults {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.faults
 }
 
-// Outage switches the outage on or off.
+// Outage starts or ends an outage.
 func (m *Memory) Outage(on bool) {
 	faults := m.CurrentFaults()
 	faults.Outage = on
 	m.SetFaults(faults)
 }
 
-// Delay sets the time that passes before each call takes effect.
+// Delay sets the delay before each call takes effect.
 func (m *Memory) Delay(delay time.Duration) {
 	faults := m.CurrentFaults()
 	faults.DelayMilliseconds = int(delay.Milliseconds())
 	m.SetFaults(faults)
 }
 
-// LoseAnswers loses the answers of the next n writes after they took effect.
+// LoseAnswers drops the answers to the next n writes after they took effect.
 func (m *Memory) LoseAnswers(n int) {
 	faults := m.CurrentFaults()
 	faults.LoseAnswers = n
@@ -107,8 +108,8 @@
 	return maps.Clone(m.calls)
 }
 
-// enter counts the call and refuses it in an outage or above the rate.
-func (m *Memory) enter(kind Kind) (time.Duration, error) {
+// admit counts the call and returns its delay, or refuses it in an outage or above the rate limit.
+func (m *Memory) admit(kind Kind) (time.Duration, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.calls[kind]++
@@ -123,31 +124,32 @@
 	return time.Duration(m.faults.DelayMilliseconds) * time.Millisecond, nil
 }
 
-func (m *Memory) read(ctx context.Context, kind Kind) error {
+// beginRead admits a read and waits for its delay.
+func (m *Memory) beginRead(ctx context.Context, kind Kind) error {
 	if ctx.Err() != nil {
 		return errors.Wrap(edge.ErrUnavailable, ctx.Err().Error())
 	}
-	delay, err := m.enter(kind)
+	delay, err := m.admit(kind)
 	if err != nil {
 		return err
 	}
-	if !wait(ctx, delay) {
+	if !sleep(ctx, delay) {
 		return errors.Wrap(edge.ErrUnavailable, ctx.Err().Error())
 	}
 	return nil
 }
 
-// write runs the effect under the mutex. A context that ends during the delay leaves a write that
-// is under way: it still takes effect, and the caller learns only that it may have.
-func (m *Memory) write(ctx context.Context, kind Kind, effect func() error) error {
+// applyWrite admits a write, waits for its delay and runs its effect with the mutex held. If the context ends during the
+// delay, the write still takes effect, and the caller gets ErrUnsettled.
+func (m *Memory) applyWrite(ctx context.Context, kind Kind, effect func() error) error {
 	if ctx.Err() != nil {
 		return errors.Wrap(edge.ErrUnavailable, ctx.Err().Error())
 	}
-	delay, err := m.enter(kind)
+	delay, err := m.admit(kind)
 	if err != nil {
 		return err
 	}
-	inTime := wait(ctx, delay)
+	inTime := sleep(ctx, delay)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	err = effect()
@@ -156,14 +158,14 @@
 	}
 	if m.faults.LoseAnswers > 0 {
 		m.faults.LoseAnswers--
-		m.lost++
+		m.lostAnswers++
 		return errors.Wrap(edge.ErrUnsettled, "answer lost")
 	}
 	return err
 }
 
-// wait returns false if the context ended first.
-func wait(ctx context.Context, delay time.Duration) bool {
+// sleep waits for the delay. It returns false if the context ended first.
+func sleep(ctx context.Context, delay time.Duration) bool {
 	if delay <= 0 {
 		return ctx.Err() == nil
 	}
--- a/internal/standin/platform/fleet.go
+++ b/internal/standin/platform/fleet.go
@@ -9,60 +9,61 @@
 	edge "github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// group is the set of servers that one order is about.
-type group struct {
+// serverGroup identifies the servers that one order is about: those of a pool in an availability zone.
+type serverGroup struct {
 	zone string
 	pool string
 }
 
-// life is when a server was started and stopped; zero times have not come.
-type life struct {
-	live    time.Time
-	leaving time.Time
-	gone    time.Time
+// lifetime holds the times at which a server becomes live, starts to leave and is gone. The last two are zero until it is
+// stopped.
+type lifetime struct {
+	liveAt    time.Time
+	leavingAt time.Time
+	goneAt    time.Time
 }
 
-// fleet is the possible hosts and which of them were ordered.
+// fleet holds the hosts that can run, sorted by id, and the lifetimes of the servers that were ordered, by host id.
 type fleet struct {
-	hosts []edge.Host
-	lives map[string]life
+	hosts     []edge.Host
+	lifetimes map[string]lifetime
 }
 
 func newFleet() fleet {
-	return fleet{lives: make(map[string]life)}
+	return fleet{lifetimes: make(map[string]lifetime)}
 }
 
-// load replaces the possible hosts; those that run go on running.
+// load replaces the hosts that can run; the lifetimes of servers stay.
 func (f *fleet) load(hosts []edge.Host) {
 	f.hosts = slices.Clone(hosts)
 	slices.SortFunc(f.hosts, func(a, b edge.Host) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// order starts and stops servers until count of them run. Those that run stay where possible;
-// drained ones are stopped first, then those with the highest id.
+// order starts and stops servers so that order.Count of them run: those first in startOrder. So drained servers are stopped
+// first, then those with the highest id.
 func (f *fleet) order(now time.Time, order edge.ServerOrder, faults Faults) {
-	wanted := f.wanted(group{zone: order.AvailabilityZone, pool: order.Pool}, order)
+	wanted := f.startOrder(serverGroup{zone: order.AvailabilityZone, pool: order.Pool}, order)
 	startup := time.Duration(faults.StartupMilliseconds) * time.Millisecond
 	grace := time.Duration(faults.LeavingMilliseconds) * time.Millisecond
 	for i, host := range wanted {
 		running := f.running(host.ID)
 		switch {
 		case i < order.Count && !running:
-			f.lives[host.ID] = life{live: now.Add(startup)}
+			f.lifetimes[host.ID] = lifetime{liveAt: now.Add(startup)}
 		case i >= order.Count && running:
-			stopped := f.lives[host.ID]
-			stopped.leaving = now
-			stopped.gone = now.Add(grace)
-			f.lives[host.ID] = stopped
+			stopped := f.lifetimes[host.ID]
+			stopped.leavingAt = now
+			stopped.goneAt = now.Add(grace)
+			f.lifetimes[host.ID] = stopped
 		}
 	}
 }
 
-// wanted sorts the group's servers so that the first of them are to run.
-func (f *fleet) wanted(of group, order edge.ServerOrder) []edge.Host {
+// startOrder returns the group's servers in the order in which they are to run: by id, drained ones last.
+func (f *fleet) startOrder(group serverGroup, order edge.ServerOrder) []edge.Host {
 	var servers []edge.Host
 	for _, host := range f.hosts {
-		if host.Role == edge.RoleAgent && host.AvailabilityZone == of.zone && host.Pool == of.pool {
+		if host.Role == edge.RoleAgent && host.AvailabilityZone == group.zone && host.Pool == group.pool {
 			servers = append(servers, host)
 		}
 	}
@@ -76,12 +77,13 @@
 	return servers
 }
 
+// running reports whether a server was ordered and not stopped since.
 func (f *fleet) running(id string) bool {
-	span, ok := f.lives[id]
-	return ok && span.leaving.IsZero()
+	life, ok := f.lifetimes[id]
+	return ok && life.leavingAt.IsZero()
 }
 
-// list returns the hosts as they were at the given time.
+// list returns the hosts as they were at the given time; entries are always listed.
 func (f *fleet) list(at time.Time) []edge.Host {
 	listed := make([]edge.Host, 0, len(f.hosts))
 	for _, host := range f.hosts {
@@ -92,12 +94,12 @@
 			listed = append(listed, host)
 			continue
 		}
-		span, ok := f.lives[host.ID]
-		if !ok || at.Before(span.live) {
+		life, ok := f.lifetimes[host.ID]
+		if !ok || at.Before(life.liveAt) {
 			continue
 		}
-		if !span.leaving.IsZero() && !at.Before(span.leaving) {
-			if !at.Before(span.gone) {
+		if !life.leavingAt.IsZero() && !at.Before(life.leavingAt) {
+			if !at.Before(life.goneAt) {
 				continue
 			}
 			host.State = edge.HostLeaving
--- a/internal/standin/platform/interfaces.go
+++ b/internal/standin/platform/interfaces.go
@@ -13,10 +13,10 @@
 	edge "github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// Order implements edge.ServerOrders. An order with an older fencing number than the newest of its
-// availability zone is refused.
+// Order implements edge.ServerOrders. It refuses an order with an older fencing token than the newest one that it has seen
+// for the availability zone.
 func (m *Memory) Order(ctx context.Context, order edge.ServerOrder) error {
-	err := m.write(ctx, KindOrder, func() error {
+	err := m.applyWrite(ctx, KindOrder, func() error {
 		if order.Fencing < m.fencing[order.AvailabilityZone] && !m.faults.IgnoreFencing {
 			return edge.ErrFenced
 		}
@@ -29,20 +29,20 @@
 	return errors.Wrapf(err, "%s/%s", order.AvailabilityZone, order.Pool)
 }
 
-// Orders returns the orders that took effect, in their order.
+// Orders returns the orders that took effect, oldest first.
 func (m *Memory) Orders() []edge.ServerOrder {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return slices.Clone(m.orders)
 }
 
-// Report implements edge.Reports. A second report of other bytes under the same name is kept out,
-// recorded as a violation and answered with ErrConflict.
+// Report implements edge.Reports. A second report under the same name but with other bytes is not stored; it is recorded
+// as a violation and refused with ErrConflict.
 func (m *Memory) Report(ctx context.Context, name string, raw json.RawMessage) error {
-	err := m.write(ctx, KindReport, func() error {
+	err := m.applyWrite(ctx, KindReport, func() error {
 		known, ok := m.reports[name]
 		if ok && !bytes.Equal(known, raw) {
-			m.violated = append(m.violated, name)
+			m.violations = append(m.violations, name)
 			return edge.ErrConflict
 		}
 		m.reports[name] = bytes.Clone(raw)
@@ -51,30 +51,30 @@
 	return errors.Wrap(err, name)
 }
 
-// ReportsByName returns the usage reports as they were received.
+// ReportsByName returns the usage reports as they were received, by name.
 func (m *Memory) ReportsByName() map[string]json.RawMessage {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return maps.Clone(m.reports)
 }
 
-// Violations returns the names under which a differing second report was received.
+// Violations returns the names under which a second report with other bytes was received.
 func (m *Memory) Violations() []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return slices.Clone(m.violated)
+	return slices.Clone(m.violations)
 }
 
-// SetHosts replaces the possible hosts.
+// SetHosts replaces the hosts that can run.
 func (m *Memory) SetHosts(hosts []edge.Host) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.fleet.load(hosts)
 }
 
-// Hosts implements edge.HostList: entries as loaded, agents as ordered, as of the list's lag ago.
+// Hosts implements edge.HostList. It returns all entries and the agents that were ordered, as of ListLagMilliseconds ago.
 func (m *Memory) Hosts(ctx context.Context) ([]edge.Host, error) {
-	if err := m.read(ctx, KindHosts); err != nil {
+	if err := m.beginRead(ctx, KindHosts); err != nil {
 		return nil, errors.Wrap(err, "host list")
 	}
 	m.mutex.Lock()
@@ -83,7 +83,7 @@
 	return m.fleet.list(m.clock().Add(-lag)), nil
 }
 
-// State is the content of the stand-in, for tests and dumps.
+// State is the content of the stand-in, for tests and its state page.
 type State struct {
 	Version    edge.Version               `json:"version"`
 	Objects    []string                   `json:"objects"`
@@ -105,10 +105,10 @@
 		Objects:    slices.Sorted(maps.Keys(m.objects)),
 		Calls:      maps.Clone(m.calls),
 		Refused:    m.refused,
-		Lost:       m.lost,
+		Lost:       m.lostAnswers,
 		Orders:     slices.Clone(m.orders),
 		Reports:    maps.Clone(m.reports),
-		Violations: slices.Clone(m.violated),
+		Violations: slices.Clone(m.violations),
 		Faults:     m.faults,
 	}
 }
--- a/internal/standin/platform/memory.go
+++ b/internal/standin/platform/memory.go
@@ -1,6 +1,5 @@
-// Package platform is a small stand-in for the users' platform: the object API, server orders,
-// usage reports and the lagging host list, with switches for its failures. Memory is used within
-// a process, Server offers the same over HTTP.
+// Package platform is a small stand-in for the users' platform: the object API, server orders, usage reports and the
+// lagging host list, with faults that tests can switch on. Memory runs within the process; Server serves it over HTTP.
 package platform
 
 import (
@@ -23,24 +22,28 @@
 // ErrTooLarge is returned for a value above MaxValueBytes.
 var ErrTooLarge = errors.New("value above one megabyte")
 
-// Memory implements edge.Platform in the memory of the process. It is safe for concurrent use.
+// Memory implements edge.Platform in memory. It is safe for concurrent use.
 type Memory struct {
 	clock func() time.Time
 
-	mutex    sync.Mutex
-	version  edge.Version
-	objects  map[string]edge.Object
-	changed  chan struct{}
-	faults   Faults
-	lost     int
-	calls    map[Kind]int
-	refused  int
-	bucket   bucket
-	orders   []edge.ServerOrder
-	fencing  map[string]edge.Version
-	reports  map[string]json.RawMessage
-	violated []string
-	fleet    fleet
+	mutex   sync.Mutex
+	version edge.Version
+	objects map[string]edge.Object
+	// changed is closed and replaced when an object or the faults change.
+	changed     chan struct{}
+	faults      Faults
+	lostAnswers int
+	calls       map[Kind]int
+	// refused is the number of calls that were refused in an outage or above the rate limit.
+	refused int
+	bucket  tokenBucket
+	orders  []edge.ServerOrder
+	// fencing is the newest fencing token of the orders by availability zone.
+	fencing map[string]edge.Version
+	reports map[string]json.RawMessage
+	// violations are the names under which a second report with other bytes was received.
+	violations []string
+	fleet      fleet
 }
 
 var _ edge.Platform = (*Memory)(nil)
@@ -53,12 +56,12 @@
 	return func(m *Memory) { m.clock = clock }
 }
 
-// WithHosts loads the possible hosts.
+// WithHosts sets the hosts that can run.
 func WithHosts(hosts []edge.Host) Option {
 	return func(m *Memory) { m.fleet.load(hosts) }
 }
 
-// WithFaults sets the switches from the start.
+// WithFaults sets the simulated faults from the start.
 func WithFaults(faults Faults) Option {
 	return func(m *Memory) { m.faults = faults }
 }
@@ -82,7 +85,7 @@
 
 // Get implements edge.Store.
 func (m *Memory) Get(ctx context.Context, name string) (edge.Object, error) {
-	if err := m.read(ctx, KindGet); err != nil {
+	if err := m.beginRead(ctx, KindGet); err != nil {
 		return edge.Object{}, errors.Wrap(err, name)
 	}
 	m.mutex.Lock()
@@ -92,7 +95,7 @@
 
 // List implements edge.Store.
 func (m *Memory) List(ctx context.Context, prefix string) ([]edge.Object, error) {
-	if err := m.read(ctx, KindList); err != nil {
+	if err := m.beginRead(ctx, KindList); err != nil {
 		return nil, errors.Wrap(err, prefix)
 	}
 	m.mutex.Lock()
@@ -100,7 +103,7 @@
 	objects := make([]edge.Object, 0)
 	for name, object := range m.objects {
 		if strings.HasPrefix(name, prefix) {
-			objects = append(objects, clone(object))
+			objects = append(objects, cloneObject(object))
 		}
 	}
 	slices.SortFunc(objects, func(a, b edge.Object) int { return strings.Compare(a.Name, b.Name) })
@@ -115,14 +118,14 @@
 		return 0, errors.Wrap(ErrTooLarge, name)
 	}
 	var version edge.Version
-	err := m.write(ctx, KindPut, func() error {
+	err := m.applyWrite(ctx, KindPut, func() error {
 		if m.objects[name].Version != ifVersion {
 			return edge.ErrConflict
 		}
 		m.version++
 		version = m.version
 		m.objects[name] = edge.Object{Name: name, Version: version, Value: bytes.Clone(value)}
-		m.wake()
+		m.notifyWatchers()
 		return nil
 	})
 	if err != nil {
@@ -133,7 +136,7 @@
 
 // Delete implements edge.Store.
 func (m *Memory) Delete(ctx context.Context, name string, ifVersion edge.Version) error {
-	err := m.write(ctx, KindDelete, func() error {
+	err := m.applyWrite(ctx, KindDelete, func() error {
 		object, ok := m.objects[name]
 		if !ok {
 			return edge.ErrNotFound
@@ -143,7 +146,7 @@
 		}
 		m.version++
 		delete(m.objects, name)
-		m.wake()
+		m.notifyWatchers()
 		return nil
 	})
 	return errors.Wrap(err, name)
@@ -154,13 +157,13 @@
 func (m *Memory) Watch(
 	ctx context.Context, name string, after edge.Version, wait time.Duration,
 ) (edge.Object, error) {
-	if err := m.read(ctx, KindWatch); err != nil {
+	if err := m.beginRead(ctx, KindWatch); err != nil {
 		return edge.Object{}, errors.Wrap(err, name)
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for over := false; ; {
-		object, changed, err := m.watched(name, after, over)
+	for expired := false; ; {
+		object, changed, err := m.checkWatch(name, after, expired)
 		if changed == nil {
 			return object, err
 		}
@@ -168,42 +171,42 @@
 		case <-ctx.Done():
 			return edge.Object{}, errors.Wrapf(edge.ErrUnavailable, "%s: %v", name, ctx.Err())
 		case <-timer.C:
-			over = true
+			expired = true
 		case <-changed:
 		}
 	}
 }
 
-// watched returns the channel of the next change where the watch has to go on.
-func (m *Memory) watched(name string, after edge.Version, over bool) (edge.Object, <-chan struct{}, error) {
+// checkWatch returns the result of a watch, or a channel that is closed at the next change if the watch has to go on.
+func (m *Memory) checkWatch(name string, after edge.Version, expired bool) (edge.Object, <-chan struct{}, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.faults.Outage {
 		return edge.Object{}, nil, errors.Wrap(edge.ErrUnavailable, name)
 	}
 	object, err := m.lookup(name)
-	if over || object.Version > after || (err != nil && after > 0) {
+	if expired || object.Version > after || (err != nil && after > 0) {
 		return object, nil, err
 	}
 	return object, m.changed, nil
 }
 
-// lookup expects the mutex to be held.
+// lookup returns a copy of the object; the caller holds the mutex.
 func (m *Memory) lookup(name string) (edge.Object, error) {
 	object, ok := m.objects[name]
 	if !ok {
 		return edge.Object{}, errors.Wrap(edge.ErrNotFound, name)
 	}
-	return clone(object), nil
+	return cloneObject(object), nil
 }
 
-// wake ends all waits for a change; it expects the mutex to be held.
-func (m *Memory) wake() {
+// notifyWatchers makes all waiting watches check their objects again; the caller holds the mutex.
+func (m *Memory) notifyWatchers() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-func clone(object edge.Object) edge.Object {
+func cloneObject(object edge.Object) edge.Object {
 	object.Value = bytes.Clone(object.Value)
 	return object
 }
--- a/internal/standin/platform/memory_test.go
+++ b/internal/standin/platform/memory_test.go
@@ -25,7 +25,7 @@
 	return edge.ServerOrder{AvailabilityZone: "om-north-a", Pool: "billdesk", Count: count, Drained: drained}
 }
 
-func TestServersStartAndStopAsOrderedAndTheListLags(t *testing.T) {
+func TestServersFollowOrdersAndListLags(t *testing.T) {
 	now := time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
 	memory := platform.NewMemory(
 		platform.WithClock(func() time.Time { return now }),
@@ -42,7 +42,7 @@
 		{name: "ordered", order: new(order(2)), want: []string{"e live"}},
 		{name: "started, the list lags", after: 11 * time.Second, want: []string{"e live"}},
 		{name: "listed", after: time.Second, want: []string{"a live", "b live", "e live"}},
-		{name: "drained one stops first", order: new(order(1, "a")), want: []string{"a live", "b live", "e live"}},
+		{name: "drained server stops first", order: new(order(1, "a")), want: []string{"a live", "b live", "e live"}},
 		{name: "leaving", after: 2 * time.Second, want: []string{"a leaving", "b live", "e live"}},
 		{name: "gone", after: 5 * time.Second, want: []string{"b live", "e live"}},
 		{name: "the same order again", order: new(order(1, "a")), after: time.Hour, want: []string{"b live", "e live"}},
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestOutageEndsAWaitingWatch(t *testing.T) {
+func TestOutageEndsWaitingWatch(t *testing.T) {
 	memory := platform.NewMemory()
 	var group conc.WaitGroup
 	group.Go(func() {
@@ -82,7 +82,7 @@
 	group.Wait()
 }
 
-func TestWatchOfAnAbsentObject(t *testing.T) {
+func TestWatchOfAbsentObject(t *testing.T) {
 	memory := platform.NewMemory()
 	if _, err := memory.Watch(t.Context(), "absent", 0, 0); !errors.Is(err, edge.ErrNotFound) {
 		t.Errorf("got %v", err)
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestLostAnswerTakesEffectOnceAndIsCounted(t *testing.T) {
+func TestWriteWithLostAnswerTakesEffectOnceAndIsCounted(t *testing.T) {
 	memory := platform.NewMemory()
 	memory.LoseAnswers(1)
 	if _, err := memory.Put(t.Context(), "a", []byte(`1`), 0); !errors.Is(err, edge.ErrUnsettled) {
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -16,10 +16,10 @@
 	"github.com/oleandershelf/oleandershelf/internal/standin/web"
 )
 
-// PathLoadHosts takes the possible hosts.
+// PathLoadHosts is the path to which the hosts that can run are put.
 const PathLoadHosts = "/standin/hosts"
 
-// Server offers a Memory over HTTP.
+// Server serves a Memory over HTTP.
 type Server struct {
 	*web.Server
 	*Memory
@@ -46,22 +46,22 @@
 
 func (s *Server) list(c fiber.Ctx) error {
 	objects, err := s.List(s.Context(), c.Query(edge.QueryPrefix))
-	return answer(c, edge.ObjectList{Objects: objects}, err)
+	return respond(c, edge.ObjectList{Objects: objects}, err)
 }
 
 func (s *Server) get(c fiber.Ctx) error {
-	object, err := s.Get(s.Context(), nameOf(c))
-	return answer(c, object, err)
+	object, err := s.Get(s.Context(), objectName(c))
+	return respond(c, object, err)
 }
 
 func (s *Server) put(c fiber.Ctx) error {
-	version, err := s.Put(s.Context(), nameOf(c), json.RawMessage(c.Body()), versionOf(c, edge.QueryIfVersion))
-	return answer(c, edge.Written{Version: version}, err)
+	version, err := s.Put(s.Context(), objectName(c), json.RawMessage(c.Body()), versionParameter(c, edge.QueryIfVersion))
+	return respond(c, edge.Written{Version: version}, err)
 }
 
 func (s *Server) remove(c fiber.Ctx) error {
-	err := s.Delete(s.Context(), nameOf(c), versionOf(c, edge.QueryIfVersion))
-	return answer(c, struct{}{}, err)
+	err := s.Delete(s.Context(), objectName(c), versionParameter(c, edge.QueryIfVersion))
+	return respond(c, struct{}{}, err)
 }
 
 func (s *Server) watch(c fiber.Ctx) error {
@@ -70,8 +70,8 @@
 		return c.SendStatus(http.StatusBadRequest)
 	}
 	wait := time.Duration(milliseconds) * time.Millisecond
-	object, err := s.Watch(s.Context(), nameOf(c), versionOf(c, edge.QueryAfter), wait)
-	return answer(c, object, err)
+	object, err := s.Watch(s.Context(), objectName(c), versionParameter(c, edge.QueryAfter), wait)
+	return respond(c, object, err)
 }
 
 func (s *Server) order(c fiber.Ctx) error {
@@ -79,16 +79,16 @@
 	if !web.Decode(c, &order) {
 		return nil
 	}
-	return answer(c, struct{}{}, s.Order(s.Context(), order))
+	return respond(c, struct{}{}, s.Order(s.Context(), order))
 }
 
 func (s *Server) report(c fiber.Ctx) error {
-	return answer(c, struct{}{}, s.Report(s.Context(), nameOf(c), json.RawMessage(c.Body())))
+	return respond(c, struct{}{}, s.Report(s.Context(), objectName(c), json.RawMessage(c.Body())))
 }
 
 func (s *Server) hosts(c fiber.Ctx) error {
 	hosts, err := s.Hosts(s.Context())
-	return answer(c, edge.HostRows{Hosts: hosts}, err)
+	return respond(c, edge.HostRows{Hosts: hosts}, err)
 }
 
 func (s *Server) loadHosts(c fiber.Ctx) error {
@@ -97,36 +97,37 @@
 		return nil
 	}
 	s.SetHosts(rows.Hosts)
-	return answer(c, struct{}{}, nil)
+	return respond(c, struct{}{}, nil)
 }
 
-// answer maps the errors of the platform to statuses; a lost answer closes the connection.
-func answer(c fiber.Ctx, body any, err error) error {
+// respond sends the body, or the status of the platform's error. For a lost answer it closes the connection without a response.
+func respond(c fiber.Ctx, body any, err error) error {
 	switch {
 	case err == nil:
 		return c.JSON(body)
 	case errors.Is(err, edge.ErrUnsettled):
 		return web.CutAnswer(c)
 	case errors.Is(err, edge.ErrNotFound):
-		return fail(c, http.StatusNotFound, err)
+		return sendError(c, http.StatusNotFound, err)
 	case errors.Is(err, edge.ErrConflict):
-		return fail(c, http.StatusConflict, err)
+		return sendError(c, http.StatusConflict, err)
 	case errors.Is(err, edge.ErrFenced):
-		return fail(c, http.StatusPreconditionFailed, err)
+		return sendError(c, http.StatusPreconditionFailed, err)
 	case errors.Is(err, edge.ErrUnavailable):
-		return fail(c, http.StatusServiceUnavailable, err)
+		return sendError(c, http.StatusServiceUnavailable, err)
 	case errors.Is(err, ErrTooLarge):
-		return fail(c, http.StatusRequestEntityTooLarge, err)
+		return sendError(c, http.StatusRequestEntityTooLarge, err)
 	default:
-		return fail(c, http.StatusInternalServerError, err)
+		return sendError(c, http.StatusInternalServerError, err)
 	}
 }
 
-func fail(c fiber.Ctx, status int, err error) error {
+func sendError(c fiber.Ctx, status int, err error) error {
 	return c.Status(status).SendString(err.Error())
 }
 
-func nameOf(c fiber.Ctx) string {
+// objectName returns the unescaped rest of the request's path.
+func objectName(c fiber.Ctx) string {
 	name, err := url.PathUnescape(c.Params("*"))
 	if err != nil {
 		return c.Params("*")
@@ -134,7 +135,8 @@
 	return name
 }
 
-func versionOf(c fiber.Ctx, parameter string) edge.Version {
+// versionParameter returns the version in a query parameter, or 0 if it is absent or malformed.
+func versionParameter(c fiber.Ctx, parameter string) edge.Version {
 	version, err := strconv.ParseUint(c.Query(parameter), 10, 64)
 	if err != nil {
 		return 0
