--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -42,9 +42,9 @@
 	Keeper Keeper
 	Store  *store.Store
 	// Reports sends calls to the platform's interface for usage reports.
-	Reports store.Carrier
+	Reports store.Transport
 	// ServerCarrier returns the carrier for calls to a backend server.
-	ServerCarrier func(backend.Server) store.Carrier
+	ServerCarrier func(backend.Server) store.Transport
 	View          *view.View
 	Book          *backend.Balancer
 	Ledger        *usage.Ledger
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -24,8 +24,8 @@
 	unavailableTime = 2 * time.Second
 )
 
-// Carrier sends a call to the store.
-type Carrier interface {
+// Transport sends a call to the store.
+type Transport interface {
 	// Carry returns the answer, whatever its status, or an error that is a product.ErrUnavailable (not sent) or a
 	// product.ErrUnsettled (sent, but the answer was lost).
 	Carry(ctx context.Context, call platform.Call) (platform.Reply, error)
@@ -33,8 +33,8 @@
 
 // Store reads, writes and watches objects of the platform's store. It is safe for concurrent use.
 type Store struct {
-	direct Carrier
-	relay  Carrier
+	direct Transport
+	relay  Transport
 	log    zerolog.Logger
 	// unavailableUntil is the time until which direct calls are assumed to fail, or nil if none has failed yet.
 	// It keeps its monotonic clock reading so that wall clock steps don't change the duration.
@@ -45,7 +45,7 @@
 }
 
 // New returns a store that sends calls over direct, and over relay while direct fails.
-func New(direct, relay Carrier, metrics *Metrics, log zerolog.Logger) *Store {
+func New(direct, relay Transport, metrics *Metrics, log zerolog.Logger) *Store {
 	s := &Store{direct: direct, relay: relay, log: log, metrics: metrics}
 	s.directAvailable.Store(true)
 	return s
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -214,7 +214,7 @@
 	return nil
 }
 
-func (g *Gateway) startDuties(ctx context.Context, self gossip.Member, reports store.Carrier, serverCalls *exchange.Client) {
+func (g *Gateway) startDuties(ctx context.Context, self gossip.Member, reports store.Transport, serverCalls *exchange.Client) {
 	started := time.Now()
 	holder := duty.Holder{HostID: self.HostID, Address: self.Address, Incarnation: self.Incarnation}
 	heard := func() bool { return !g.contends() || g.heard(g.duties.Load()) }
@@ -233,7 +233,7 @@
 		Keeper:        g.keeper,
 		Store:         g.store,
 		Reports:       reports,
-		ServerCarrier: func(server backend.Server) store.Carrier { return store.NewHTTP(server.Address, serverCalls) },
+		ServerCarrier: func(server backend.Server) store.Transport { return store.NewHTTP(server.Address, serverCalls) },
 		View:          g.view,
 		Book:          g.book,
 		Ledger:        g.ledger,
