--- a/internal/edge/leader/report.go
+++ b/internal/edge/leader/report.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	reply, err := r.deps.Reports.Carry(ctx, call)
+	reply, err := r.deps.Reports.Send(ctx, call)
 	if err == nil {
 		err = platform.ReadDone(reply)
 	}
--- a/internal/edge/leader/weights.go
+++ b/internal/edge/leader/weights.go
@@ -149,7 +149,7 @@
 	ctx, cancelCall := context.WithTimeout(ctx, orderTimeout)
 	defer cancelCall()
 	if !known {
-		reply, err := server.Carry(ctx, platform.ServerReport(order.Server.ID))
+		reply, err := server.Send(ctx, platform.ServerReport(order.Server.ID))
 		if err != nil {
 			result.err = err
 			return result
@@ -168,7 +168,7 @@
 		result.err = err
 		return result
 	}
-	reply, err := server.Carry(ctx, call)
+	reply, err := server.Send(ctx, call)
 	if err != nil {
 		result.err = err
 		return result
--- a/internal/edge/store/http.go
+++ b/internal/edge/store/http.go
@@ -23,9 +23,9 @@
 	return &HTTP{address: address, client: client}
 }
 
-// Carry sends the call once, without retries. The error is a product.ErrUnavailable if the call was not sent, else a
+// Send sends the call once, without retries. The error is a product.ErrUnavailable if the call was not sent, else a
 // product.ErrUnsettled.
-func (h *HTTP) Carry(ctx context.Context, call platform.Call) (platform.Reply, error) {
+func (h *HTTP) Send(ctx context.Context, call platform.Call) (platform.Reply, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	resp := fasthttp.AcquireResponse()
--- a/internal/edge/store/list_test.go
+++ b/internal/edge/store/list_test.go
@@ -15,7 +15,7 @@
 // pagedTransport returns a list in two pages; the store's revision rises from 5 to 8 between them.
 type pagedTransport struct{}
 
-func (pagedTransport) Carry(_ context.Context, call platform.Call) (platform.Reply, error) {
+func (pagedTransport) Send(_ context.Context, call platform.Call) (platform.Reply, error) {
 	body := `{"items":[{"metadata":{"name":"a","revision":3},"spec":1}],"has_more":true,"current_rev":5}`
 	if strings.Contains(call.Target, "after=a") {
 		body = `{"items":[{"metadata":{"name":"b","revision":4},"spec":1}],"has_more":false,"current_rev":8}`
--- a/internal/edge/store/open_test.go
+++ b/internal/edge/store/open_test.go
@@ -21,7 +21,7 @@
 	calls   int
 }
 
-func (s *scriptedTransport) Carry(context.Context, platform.Call) (platform.Reply, error) {
+func (s *scriptedTransport) Send(context.Context, platform.Call) (platform.Reply, error) {
 	i := min(s.calls, len(s.errs)-1)
 	s.calls++
 	return s.replies[i], s.errs[i]
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -26,9 +26,9 @@
 
 // Transport sends a call to the store.
 type Transport interface {
-	// Carry returns the answer, whatever its status, or an error that is a product.ErrUnavailable (not sent) or a
+	// Send returns the answer, whatever its status, or an error that is a product.ErrUnavailable (not sent) or a
 	// product.ErrUnsettled (sent, but the answer was lost).
-	Carry(ctx context.Context, call platform.Call) (platform.Reply, error)
+	Send(ctx context.Context, call platform.Call) (platform.Reply, error)
 }
 
 // Store reads, writes and watches objects of the platform's store. It is safe for concurrent use.
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+call.Wait)
 	defer cancel()
 	started := time.Now()
-	reply, err := s.direct.Carry(ctx, call)
+	reply, err := s.direct.Send(ctx, call)
 	s.log.Debug().Str("method", call.Method).Str("target", call.Target).Int("status", reply.Status).Err(err).Dur("took", time.Since(started)).Msg("store called")
 	s.metrics.recordCall(call.Method, time.Since(started), err == nil && !rejected(reply))
 	return reply, err
@@ -92,7 +92,7 @@
 		}
 	}
 	if s.DirectUnavailable(time.Now()) {
-		reply, err := s.relay.Carry(ctx, call)
+		reply, err := s.relay.Send(ctx, call)
 		if err == nil && !rejected(reply) {
 			return reply, nil
 		}
@@ -106,7 +106,7 @@
 	noteUncertain(err)
 	if ctx.Err() == nil && call.Wait == 0 {
 		s.recordUnavailable(reply, err)
-		relayed, relayErr := s.relay.Carry(ctx, call)
+		relayed, relayErr := s.relay.Send(ctx, call)
 		if relayErr == nil && !rejected(relayed) {
 			return relayed, nil
 		}
--- a/internal/program/process/late.go
+++ b/internal/program/process/late.go
@@ -16,8 +16,8 @@
 
 func (l *lateRelay) set(relay *store.Relay) { l.relay.Store(relay) }
 
-// Carry passes the call on to the relay.
-func (l *lateRelay) Carry(ctx context.Context, call platform.Call) (platform.Reply, error) {
+// Send passes the call on to the relay.
+func (l *lateRelay) Send(ctx context.Context, call platform.Call) (platform.Reply, error) {
 	if relay := l.relay.Load(); relay != nil {
 		return relay.Carry(ctx, call)
 	}
