--- a/internal/edge/store/http.go
+++ b/internal/edge/store/http.go
@@ -12,20 +12,20 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// HTTP sends calls over HTTP to one address.
-type HTTP struct {
+// HTTPTransport sends calls over HTTPTransport to one address.
+type HTTPTransport struct {
 	address netip.AddrPort
 	client  *exchange.Client
 }
 
 // NewHTTP returns a transport to the address.
-func NewHTTP(address netip.AddrPort, client *exchange.Client) *HTTP {
-	return &HTTP{address: address, client: client}
+func NewHTTP(address netip.AddrPort, client *exchange.Client) *HTTPTransport {
+	return &HTTPTransport{address: address, client: client}
 }
 
 // Send sends the call once, without retries. The error is a product.ErrUnavailable if the call was not sent, else a
 // product.ErrUnsettled.
-func (h *HTTP) Send(ctx context.Context, call platform.Call) (platform.Reply, error) {
+func (h *HTTPTransport) Send(ctx context.Context, call platform.Call) (platform.Reply, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	resp := fasthttp.AcquireResponse()
