--- a/internal/edge/leader/weights_test.go
+++ b/internal/edge/leader/weights_test.go
@@ -27,7 +27,7 @@
 		keeper := &fakeKeeper{held: true, fence: duty.Fence{Number: 1, Deadline: time.Now().Add(time.Minute)}}
 		deps := Deps{
 			HostID: "h1", Keeper: keeper, Log: zerolog.Nop(),
-			ServerCarrier: func(backend.Server) store.Transport { return store.NewHTTP(server.Address, client) },
+			ServerCarrier: func(backend.Server) store.Transport { return store.NewHTTPTransport(server.Address, client) },
 		}
 		orders := newOrderSender(deps, newTakeoverGuard(deps))
 		for range 3 {
--- a/internal/edge/store/http.go
+++ b/internal/edge/store/http.go
@@ -18,8 +18,8 @@
 	client  *exchange.Client
 }
 
-// NewHTTP returns a transport to the address.
-func NewHTTP(address netip.AddrPort, client *exchange.Client) *HTTPTransport {
+// NewHTTPTransport returns a transport to the address.
+func NewHTTPTransport(address netip.AddrPort, client *exchange.Client) *HTTPTransport {
 	return &HTTPTransport{address: address, client: client}
 }
 
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -140,7 +140,7 @@
 	platformCalls := exchange.NewClient(exchange.WithDialTimeout(platformDial), exchange.WithKeepAlive(platformProbes))
 	serverCalls := exchange.NewClient(exchange.WithDialTimeout(serverDial), exchange.WithIdleTimeout(serverIdle))
 	relay := &lateRelay{}
-	g.store = store.New(store.NewHTTP(platformAddress, platformCalls), relay, store.NewMetrics(metrics), g.log)
+	g.store = store.New(store.NewHTTPTransport(platformAddress, platformCalls), relay, store.NewMetrics(metrics), g.log)
 	store.Serve(g.registry, g.store)
 	members := &lateMembers{self: self}
 	g.follower = view.NewFollower(ctx, members, g.view, g.store, g.client, g.registry, g.log)
@@ -166,7 +166,7 @@
 		return err
 	}
 	g.work.Go(func() { g.register(ctx, self) })
-	g.startDuties(ctx, self, store.NewHTTP(reportsAddress, platformCalls), serverCalls)
+	g.startDuties(ctx, self, store.NewHTTPTransport(reportsAddress, platformCalls), serverCalls)
 	g.work.Go(func() {
 		if g.view.WaitReady(ctx) {
 			g.admin.SetReady(true)
@@ -233,7 +233,7 @@
 		Keeper:        g.keeper,
 		Store:         g.store,
 		Reports:       reports,
-		ServerCarrier: func(server backend.Server) store.Transport { return store.NewHTTP(server.Address, serverCalls) },
+		ServerCarrier: func(server backend.Server) store.Transport { return store.NewHTTPTransport(server.Address, serverCalls) },
 		View:          g.view,
 		Book:          g.book,
 		Ledger:        g.ledger,
