--- a/internal/edge/store/lease.go
+++ b/internal/edge/store/lease.go
@@ -12,9 +12,9 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/ticker"
 )
 
-// Leases adapts the store to the object API that the lease keeper uses. A lease is named "kind/name", after the kind and
+// LeaseStore adapts the store to the object API that the lease keeper uses. A lease is named "kind/name", after the kind and
 // the name of its object in the store.
-type Leases struct {
+type LeaseStore struct {
 	store *Store
 	// holderAlive reports whether the lease holder is known to be alive from a source other than the lease.
 	holderAlive func() bool
@@ -22,8 +22,8 @@
 
 // NewLeases returns the leases in the store. holderAlive reports whether the lease holder is alive according to the
 // gossip between entries.
-func NewLeases(store *Store, holderAlive func() bool) Leases {
-	return Leases{store: store, holderAlive: holderAlive}
+func NewLeases(store *Store, holderAlive func() bool) LeaseStore {
+	return LeaseStore{store: store, holderAlive: holderAlive}
 }
 
 // splitName splits "kind/name" at its first slash.
@@ -33,13 +33,13 @@
 }
 
 // Get reads the object.
-func (l Leases) Get(ctx context.Context, name string) (product.Object, error) {
+func (l LeaseStore) Get(ctx context.Context, name string) (product.Object, error) {
 	kind, rest := splitName(name)
 	return l.store.Get(ctx, kind, rest)
 }
 
 // List reads the objects whose names start with the prefix.
-func (l Leases) List(ctx context.Context, prefix string) ([]product.Object, error) {
+func (l LeaseStore) List(ctx context.Context, prefix string) ([]product.Object, error) {
 	kind, rest := splitName(prefix)
 	all, _, err := l.store.List(ctx, kind)
 	if err != nil {
@@ -55,7 +55,7 @@
 }
 
 // Put writes the value if the object's version is still ifVersion; 0 means that the object must not exist.
-func (l Leases) Put(ctx context.Context, name string, value json.RawMessage, ifVersion product.Version) (product.Version, error) {
+func (l LeaseStore) Put(ctx context.Context, name string, value json.RawMessage, ifVersion product.Version) (product.Version, error) {
 	kind, rest := splitName(name)
 	if ifVersion == 0 {
 		return l.store.Create(ctx, kind, rest, value)
@@ -64,7 +64,7 @@
 }
 
 // Delete removes the object if its version is still ifVersion.
-func (l Leases) Delete(ctx context.Context, name string, ifVersion product.Version) error {
+func (l LeaseStore) Delete(ctx context.Context, name string, ifVersion product.Version) error {
 	kind, rest := splitName(name)
 	return l.store.Delete(ctx, kind, rest, ifVersion)
 }
@@ -74,7 +74,7 @@
 // It doesn't watch the object at the store: every renewal would end that watch, so that the watches of each contender would
 // cost as many calls as the renewals. Entries hear of each other several times a second anyway, so the object is read only
 // while the holder is silent. The added delay only makes a contender wait longer before it takes the lease over.
-func (l Leases) Watch(ctx context.Context, name string, _ product.Version, wait time.Duration) (product.Object, error) {
+func (l LeaseStore) Watch(ctx context.Context, name string, _ product.Version, wait time.Duration) (product.Object, error) {
 	for l.holderAlive() {
 		if !ticker.Sleep(ctx, aliveCheckInterval) {
 			return product.Object{}, errors.Wrap(product.ErrUnavailable, ctx.Err().Error())
