--- a/internal/edge/store/lease.go
+++ b/internal/edge/store/lease.go
@@ -20,9 +20,9 @@
 	holderAlive func() bool
 }
 
-// NewLeases returns the leases in the store. holderAlive reports whether the lease holder is alive according to the
+// NewLeaseStore returns the leases in the store. holderAlive reports whether the lease holder is alive according to the
 // gossip between entries.
-func NewLeases(store *Store, holderAlive func() bool) LeaseStore {
+func NewLeaseStore(store *Store, holderAlive func() bool) LeaseStore {
 	return LeaseStore{store: store, holderAlive: holderAlive}
 }
 
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -218,7 +218,7 @@
 	started := time.Now()
 	holder := duty.Holder{HostID: self.HostID, Address: self.Address, Incarnation: self.Incarnation}
 	heard := func() bool { return !g.contends() || g.heard(g.duties.Load()) }
-	leases := store.NewLeases(g.store, heard)
+	leases := store.NewLeaseStore(g.store, heard)
 	g.keeper = duty.NewKeeper(ctx, leases, leader.LeaseName, holder, duty.WithTiming(leader.LeaseTiming()), duty.WithOneProcess(),
 		// Entries that start read there which batch jobs were open.
 		duty.WithNotes(g.jobs.OpenNotes, func(notes []string) { g.jobs.Reopen(notes, g.dutyPlace()) }),
