--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -142,7 +142,7 @@
 		return
 	}
 	for _, host := range hosts {
-		err := l.deps.Store.Retired(ctx, host)
+		err := l.deps.Store.ReportRetired(ctx, host)
 		l.deps.Log.Info().Str("host", host).AnErr("store", err).Msg("host reported as empty")
 	}
 }
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -232,8 +232,8 @@
 	return hosts, revision, errors.Wrap(readError(err), platform.KindRetirements)
 }
 
-// Retired reports that a host is drained, so that the platform may remove it.
-func (s *Store) Retired(ctx context.Context, host string) error {
+// ReportRetired reports that a host is drained, so that the platform may remove it.
+func (s *Store) ReportRetired(ctx context.Context, host string) error {
 	call, err := platform.Retired(host)
 	if err != nil {
 		return err
