--- a/internal/edge/platform/client.go
+++ b/internal/edge/platform/client.go
@@ -49,8 +49,8 @@
 	Version Version `json:"version"`
 }
 
-// HostRows is the body of the response to a read of the host list.
-type HostRows struct {
+// HostListResponse is the body of the response to a read of the host list.
+type HostListResponse struct {
 	Hosts []Host `json:"hosts"`
 }
 
@@ -147,7 +147,7 @@
 
 // Hosts implements HostList.
 func (c *Client) Hosts(ctx context.Context) ([]Host, error) {
-	var rows HostRows
+	var rows HostListResponse
 	err := c.read(ctx, c.timeout, PathHosts, nil, &rows)
 	return rows.Hosts, errors.Wrap(err, "host list")
 }
--- a/internal/program/capacity/hostlist.go
+++ b/internal/program/capacity/hostlist.go
@@ -73,13 +73,13 @@
 
 // decodingTime is what the reading host alone spends on a read's body, in microseconds.
 func decodingTime(hosts []platform.Host) (float64, error) {
-	body, err := json.Marshal(platform.HostRows{Hosts: hosts})
+	body, err := json.Marshal(platform.HostListResponse{Hosts: hosts})
 	if err != nil {
 		return 0, err
 	}
 	used := usedTime()
 	for range repeats {
-		var rows platform.HostRows
+		var rows platform.HostListResponse
 		if err := json.Unmarshal(body, &rows); err != nil {
 			return 0, err
 		}
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -88,11 +88,11 @@
 
 func (s *Server) hosts(c fiber.Ctx) error {
 	hosts, err := s.Hosts(s.Context())
-	return respond(c, edge.HostRows{Hosts: hosts}, err)
+	return respond(c, edge.HostListResponse{Hosts: hosts}, err)
 }
 
 func (s *Server) loadHosts(c fiber.Ctx) error {
-	var rows edge.HostRows
+	var rows edge.HostListResponse
 	if !web.Decode(c, &rows) {
 		return nil
 	}
