--- a/internal/edge/platform/client.go
+++ b/internal/edge/platform/client.go
@@ -39,8 +39,8 @@
 	QueryWait      = "waitMilliseconds"
 )
 
-// ObjectList is the body of the response to a list of objects.
-type ObjectList struct {
+// ObjectListResponse is the body of the response to a list of objects.
+type ObjectListResponse struct {
 	Objects []Object `json:"objects"`
 }
 
@@ -98,7 +98,7 @@
 
 // List implements Store.
 func (c *Client) List(ctx context.Context, prefix string) ([]Object, error) {
-	var list ObjectList
+	var list ObjectListResponse
 	err := c.read(ctx, c.timeout, PathObjects, url.Values{QueryPrefix: {prefix}}, &list)
 	return list.Objects, errors.Wrap(err, prefix)
 }
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -46,7 +46,7 @@
 
 func (s *Server) list(c fiber.Ctx) error {
 	objects, err := s.List(s.Context(), c.Query(edge.QueryPrefix))
-	return respond(c, edge.ObjectList{Objects: objects}, err)
+	return respond(c, edge.ObjectListResponse{Objects: objects}, err)
 }
 
 func (s *Server) get(c fiber.Ctx) error {
