--- a/internal/edge/platform/client.go
+++ b/internal/edge/platform/client.go
@@ -44,8 +44,8 @@
 	Objects []Object `json:"objects"`
 }
 
-// Written is the body of the response to a write of an object.
-type Written struct {
+// WriteResponse is the body of the response to a write of an object.
+type WriteResponse struct {
 	Version Version `json:"version"`
 }
 
@@ -105,7 +105,7 @@
 
 // Put implements Store.
 func (c *Client) Put(ctx context.Context, name string, value json.RawMessage, ifVersion Version) (Version, error) {
-	var written Written
+	var written WriteResponse
 	query := url.Values{QueryIfVersion: {formatVersion(ifVersion)}}
 	err := c.write(ctx, http.MethodPut, objectPath(PathObjects, name), query, value, &written)
 	return written.Version, errors.Wrap(err, name)
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -56,7 +56,7 @@
 
 func (s *Server) put(c fiber.Ctx) error {
 	version, err := s.Put(s.Context(), objectName(c), json.RawMessage(c.Body()), versionParameter(c, edge.QueryIfVersion))
-	return respond(c, edge.Written{Version: version}, err)
+	return respond(c, edge.WriteResponse{Version: version}, err)
 }
 
 func (s *Server) remove(c fiber.Ctx) error {
