--- a/internal/edge/billing/closer.go
+++ b/internal/edge/billing/closer.go
@@ -38,7 +38,7 @@
 	periodic
 
 	store     platform.Store
-	reports   platform.Reports
+	reports   platform.UsageReports
 	duty      Duty
 	window    time.Duration
 	grace     time.Duration
--- a/internal/edge/platform/platform.go
+++ b/internal/edge/platform/platform.go
@@ -84,9 +84,9 @@
 	Fencing Version `json:"fencing"`
 }
 
-// Reports is the platform's interface for usage reports. The caller passes the encoded report, so that a repeat after a
+// UsageReports is the platform's interface for usage reports. The caller passes the encoded report, so that a repeat after a
 // lost answer carries the same bytes.
-type Reports interface {
+type UsageReports interface {
 	Report(ctx context.Context, name string, raw json.RawMessage) error
 }
 
@@ -127,6 +127,6 @@
 type Platform interface {
 	Store
 	ServerOrders
-	Reports
+	UsageReports
 	HostList
 }
