--- a/internal/edge/batchjob/fakes_test.go
+++ b/internal/edge/batchjob/fakes_test.go
@@ -123,14 +123,14 @@
 		return 0, product.ErrUnavailable
 	case faultLost:
 		c.store.create(kind, name, value)
-		return 0, product.ErrUnsettled
+		return 0, product.ErrOutcomeUnknown
 	case faultLate:
 		c.store.mu.Lock()
 		defer c.store.mu.Unlock()
 		c.store.late = append(c.store.late, func() { c.store.create(kind, name, value) })
-		return 0, product.ErrUnsettled
+		return 0, product.ErrOutcomeUnknown
 	case faultDropped:
-		return 0, product.ErrUnsettled
+		return 0, product.ErrOutcomeUnknown
 	default:
 		if known, ok := c.store.create(kind, name, value); !ok {
 			return 0, &platform.ConflictError{Object: product.Object{Name: name, Value: known}}
--- a/internal/edge/batchjob/manager.go
+++ b/internal/edge/batchjob/manager.go
@@ -180,7 +180,7 @@
 // storeRefusal refuses a call because a call to the store failed.
 func storeRefusal(err error) error {
 	outcome := verdict.NotRun
-	if errors.Is(err, product.ErrUnsettled) {
+	if errors.Is(err, product.ErrOutcomeUnknown) {
 		outcome = verdict.MayHaveRun
 	}
 	return verdict.Refuse(outcome, verdict.ReasonPlatformUnavailable, storeRetryAfter, "%v", err)
--- a/internal/edge/batchjob/submit.go
+++ b/internal/edge/batchjob/submit.go
@@ -42,7 +42,7 @@
 		return nil
 	case errors.Is(err, product.ErrConflict):
 		return m.handleDuplicate(ctx, spec, err)
-	case errors.Is(err, product.ErrUnsettled):
+	case errors.Is(err, product.ErrOutcomeUnknown):
 		m.wg.Go(func() { m.resolveLostAnswer(spec) })
 		return refuseUnsettled(storeRetryAfter, "the store's answer was lost")
 	case errors.Is(err, product.ErrUnavailable):
--- a/internal/edge/billing/closer_test.go
+++ b/internal/edge/billing/closer_test.go
@@ -108,7 +108,7 @@
 	flush(t, memory, count(1, "sahil", start, 3))
 	end := start.Add(DefaultWindow + DefaultGrace)
 	lossy := &losing{Memory: memory}
-	if err := newCloser(lossy, always{}, end).CloseDue(t.Context()); !errors.Is(err, platform.ErrUnsettled) {
+	if err := newCloser(lossy, always{}, end).CloseDue(t.Context()); !errors.Is(err, platform.ErrOutcomeUnknown) {
 		t.Fatalf("got %v", err)
 	}
 	flush(t, memory, count(1, "sahil", start, 5))
--- a/internal/edge/billing/collector_test.go
+++ b/internal/edge/billing/collector_test.go
@@ -132,7 +132,7 @@
 	memory.LoseAnswers(1)
 	collector := newCollector(memory)
 	collector.Merge(count(1, "sahil", start, 3))
-	if err := collector.Flush(t.Context()); !errors.Is(err, platform.ErrUnsettled) {
+	if err := collector.Flush(t.Context()); !errors.Is(err, platform.ErrOutcomeUnknown) {
 		t.Errorf("got %v", err)
 	}
 	collector.Merge(count(1, "sahil", start, 4))
--- a/internal/edge/billing/fault_test.go
+++ b/internal/edge/billing/fault_test.go
@@ -235,7 +235,7 @@
 			return ended, true
 		}
 		// Refused before it left, on its way at the end of the term, or not begun.
-		if !errors.Is(err, ErrNotHeld) && !errors.Is(err, platform.ErrUnsettled) && !errors.Is(err, platform.ErrUnavailable) {
+		if !errors.Is(err, ErrNotHeld) && !errors.Is(err, platform.ErrOutcomeUnknown) && !errors.Is(err, platform.ErrUnavailable) {
 			t.Fatal(err)
 		}
 		ended++
--- a/internal/edge/billing/stepped_test.go
+++ b/internal/edge/billing/stepped_test.go
@@ -93,7 +93,7 @@
 	}
 	_, _ = call()
 	p.crashed = with == crashAfter
-	return none, platform.ErrUnsettled
+	return none, platform.ErrOutcomeUnknown
 }
 
 func (p *process) Get(ctx context.Context, name string) (platform.Object, error) {
--- a/internal/edge/configuration/publisher.go
+++ b/internal/edge/configuration/publisher.go
@@ -269,7 +269,7 @@
 			return errors.Wrapf(err, "part %s", part.Name)
 		}
 	}
-	return errors.Wrapf(platform.ErrUnsettled, "part %s", part.Name)
+	return errors.Wrapf(platform.ErrOutcomeUnknown, "part %s", part.Name)
 }
 
 func (p *Publisher) putPart(ctx context.Context, part ticket.Part, ifVersion platform.Version) error {
--- a/internal/edge/configuration/publisher_test.go
+++ b/internal/edge/configuration/publisher_test.go
@@ -63,13 +63,13 @@
 	case faultDown:
 		return 0, platform.ErrUnavailable
 	case faultNeverRan:
-		return 0, platform.ErrUnsettled
+		return 0, platform.ErrOutcomeUnknown
 	case faultLate:
 		d.late = append(d.late, func() { _, _ = put() })
-		return 0, platform.ErrUnsettled
+		return 0, platform.ErrOutcomeUnknown
 	case faultLost:
 		_, _ = put()
-		return 0, platform.ErrUnsettled
+		return 0, platform.ErrOutcomeUnknown
 	}
 	return put()
 }
--- a/internal/edge/entry/recordfault_test.go
+++ b/internal/edge/entry/recordfault_test.go
@@ -59,7 +59,7 @@
 	}
 	version, err := s.Store.Put(ctx, name, value, ifVersion)
 	if s.loseFirst && !s.lost.Swap(true) {
-		return 0, platform.ErrUnsettled
+		return 0, platform.ErrOutcomeUnknown
 	}
 	return version, err
 }
--- a/internal/edge/fleet/runner_test.go
+++ b/internal/edge/fleet/runner_test.go
@@ -113,7 +113,7 @@
 // must not be sent under the new one.
 func TestPendingOrderIsDroppedWithLease(t *testing.T) {
 	f := newFakeDeps()
-	f.err = errors.WithStack(platform.ErrUnsettled)
+	f.err = errors.WithStack(platform.ErrOutcomeUnknown)
 	r := f.runner()
 	r.round(t.Context())
 	f.now = f.deadline.Add(time.Second)
@@ -128,7 +128,7 @@
 
 func TestUnsettledOrderIsRepeated(t *testing.T) {
 	f := newFakeDeps()
-	f.err = errors.WithStack(platform.ErrUnsettled)
+	f.err = errors.WithStack(platform.ErrOutcomeUnknown)
 	r := f.runner()
 	r.round(t.Context())
 	f.err = nil
--- a/internal/edge/platform/client.go
+++ b/internal/edge/platform/client.go
@@ -157,7 +157,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	err := c.call(ctx, http.MethodGet, path, query, nil, into)
-	if errors.Is(err, exchange.ErrNotSent) || errors.Is(err, exchange.ErrAnswerLost) || errors.Is(err, ErrUnsettled) {
+	if errors.Is(err, exchange.ErrNotSent) || errors.Is(err, exchange.ErrAnswerLost) || errors.Is(err, ErrOutcomeUnknown) {
 		return errors.Wrap(ErrUnavailable, err.Error())
 	}
 	return err
@@ -176,7 +176,7 @@
 	case errors.Is(err, exchange.ErrNotSent):
 		return errors.Wrap(ErrUnavailable, err.Error())
 	case errors.Is(err, exchange.ErrAnswerLost):
-		return errors.Wrap(ErrUnsettled, err.Error())
+		return errors.Wrap(ErrOutcomeUnknown, err.Error())
 	default:
 		return err
 	}
@@ -211,7 +211,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(resp.Body(), into); err != nil {
-		return errors.Wrapf(ErrUnsettled, "answer is no JSON: %v", err)
+		return errors.Wrapf(ErrOutcomeUnknown, "answer is no JSON: %v", err)
 	}
 	return nil
 }
@@ -232,7 +232,7 @@
 	case status == http.StatusServiceUnavailable, status == http.StatusTooManyRequests:
 		return errors.Wrapf(ErrUnavailable, "status %d", status)
 	case status >= http.StatusInternalServerError:
-		return errors.Wrapf(ErrUnsettled, "status %d", status)
+		return errors.Wrapf(ErrOutcomeUnknown, "status %d", status)
 	default:
 		return errors.Errorf("platform answered status %d", status)
 	}
--- a/internal/edge/platform/client_test.go
+++ b/internal/edge/platform/client_test.go
@@ -110,7 +110,7 @@
 		{name: "rate limit", faults: standin.Faults{CallsPerSecond: 0.001},
 			call: func() error { _ = get("known"); return get("known") }, want: platform.ErrUnavailable},
 		{name: "lost answer of a write", faults: standin.Faults{LoseAnswers: 1},
-			call: func() error { return put(first) }, want: platform.ErrUnsettled},
+			call: func() error { return put(first) }, want: platform.ErrOutcomeUnknown},
 		{name: "the write of the lost answer took effect", call: func() error { return put(first) }, want: platform.ErrConflict},
 	}
 	for _, c := range cases {
@@ -138,7 +138,7 @@
 		}
 		cancel()
 	})
-	if _, err := client.Put(ctx, "lease", json.RawMessage(`1`), 0); !errors.Is(err, platform.ErrUnsettled) {
+	if _, err := client.Put(ctx, "lease", json.RawMessage(`1`), 0); !errors.Is(err, platform.ErrOutcomeUnknown) {
 		t.Errorf("context ended after sending: got %v", err)
 	}
 	if _, err := client.Put(ctx, "lease", json.RawMessage(`1`), 0); !errors.Is(err, platform.ErrUnavailable) {
--- a/internal/edge/platform/platform.go
+++ b/internal/edge/platform/platform.go
@@ -21,8 +21,8 @@
 	ErrConflict = errors.New("version conflict")
 	// ErrUnavailable means that the platform could not be reached or refused the call; a write had no effect.
 	ErrUnavailable = errors.New("platform unavailable")
-	// ErrUnsettled means that a write was sent and its answer was lost; it may have taken effect.
-	ErrUnsettled = errors.New("write may have taken effect")
+	// ErrOutcomeUnknown means that a write was sent and its answer was lost; it may have taken effect.
+	ErrOutcomeUnknown = errors.New("write may have taken effect")
 	// ErrFenced means that the order carried an older fencing token than one that the platform has seen.
 	ErrFenced = errors.New("fencing number is old")
 )
--- a/internal/edge/platform/short_test.go
+++ b/internal/edge/platform/short_test.go
@@ -32,7 +32,7 @@
 			"report": client.Report(t.Context(), "w/o", json.RawMessage(`1`)),
 		}
 		for name, err := range writes {
-			if !errors.Is(err, platform.ErrUnsettled) {
+			if !errors.Is(err, platform.ErrOutcomeUnknown) {
 				t.Errorf("%s answered %q: %v", name, answer, err)
 			}
 		}
--- a/internal/edge/store/http.go
+++ b/internal/edge/store/http.go
@@ -42,7 +42,7 @@
 	case errors.Is(err, exchange.ErrNotSent):
 		return platform.Reply{}, errors.Wrapf(product.ErrUnavailable, "%s %s: %v", call.Method, call.Target, err)
 	case err != nil:
-		return platform.Reply{}, errors.Wrapf(product.ErrUnsettled, "%s %s: %v", call.Method, call.Target, err)
+		return platform.Reply{}, errors.Wrapf(product.ErrOutcomeUnknown, "%s %s: %v", call.Method, call.Target, err)
 	default:
 		return platform.Reply{Status: resp.StatusCode(), Body: append([]byte(nil), resp.Body()...)}, nil
 	}
--- a/internal/edge/store/open_test.go
+++ b/internal/edge/store/open_test.go
@@ -29,7 +29,7 @@
 
 // Guards against a create being reported as without effect although an attempt through another entry may have succeeded.
 func TestCreateThatMayHaveSucceededIsUnsettled(t *testing.T) {
-	lost := errors.Wrap(product.ErrUnsettled, "the entry that carried it fell silent")
+	lost := errors.Wrap(product.ErrOutcomeUnknown, "the entry that carried it fell silent")
 	unsent := errors.Wrap(product.ErrUnavailable, "no connection")
 	for _, test := range []struct {
 		name        string
@@ -49,7 +49,7 @@
 				s.unavailableUntil.Store(&until)
 			}
 			_, err := s.Create(t.Context(), "jobs", "j", []byte(`{}`))
-			if !errors.Is(err, product.ErrUnsettled) {
+			if !errors.Is(err, product.ErrOutcomeUnknown) {
 				t.Errorf("got error %v, want ErrUnsettled", err)
 			}
 		})
--- a/internal/edge/store/relay.go
+++ b/internal/edge/store/relay.go
@@ -96,7 +96,7 @@
 	candidates := r.candidates(time.Now())
 	for _, member := range candidates {
 		reply, err := r.callThrough(ctx, member, call)
-		if err == nil || errors.Is(err, product.ErrUnsettled) && call.Writes() {
+		if err == nil || errors.Is(err, product.ErrOutcomeUnknown) && call.Writes() {
 			return reply, err
 		}
 	}
@@ -112,11 +112,11 @@
 	case errors.Is(err, peer.ErrUnsent):
 		return platform.Reply{}, errors.Wrapf(product.ErrUnavailable, "entry %s: %v", member.HostID, err)
 	case err != nil:
-		return platform.Reply{}, errors.Wrapf(product.ErrUnsettled, "entry %s: %v", member.HostID, err)
+		return platform.Reply{}, errors.Wrapf(product.ErrOutcomeUnknown, "entry %s: %v", member.HostID, err)
 	case answer.Unavailable:
 		return platform.Reply{}, errors.Wrapf(product.ErrUnavailable, "entry %s is turned away too", member.HostID)
 	case answer.OutcomeUnknown:
-		return platform.Reply{}, errors.Wrapf(product.ErrUnsettled, "through entry %s", member.HostID)
+		return platform.Reply{}, errors.Wrapf(product.ErrOutcomeUnknown, "through entry %s", member.HostID)
 	default:
 		return answer.Reply, nil
 	}
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -87,7 +87,7 @@
 func (s *Store) call(ctx context.Context, call platform.Call) (platform.Reply, error) {
 	var uncertain error
 	noteUncertain := func(err error) {
-		if call.Writes() && errors.Is(err, product.ErrUnsettled) {
+		if call.Writes() && errors.Is(err, product.ErrOutcomeUnknown) {
 			uncertain = err
 		}
 	}
@@ -253,7 +253,7 @@
 
 // readError turns the lost answer to a read into a product.ErrUnavailable, because a read has no effect that could be in doubt.
 func readError(err error) error {
-	if errors.Is(err, product.ErrUnsettled) {
+	if errors.Is(err, product.ErrOutcomeUnknown) {
 		return errors.Wrap(product.ErrUnavailable, err.Error())
 	}
 	return err
--- a/internal/standin/platform/disturbed.go
+++ b/internal/standin/platform/disturbed.go
@@ -124,7 +124,7 @@
 	var zero T
 	lost := errors.Wrap(edge.ErrUnavailable, "disturbed")
 	if written != "" {
-		lost = errors.Wrap(edge.ErrUnsettled, "disturbed")
+		lost = errors.Wrap(edge.ErrOutcomeUnknown, "disturbed")
 	}
 	detached := context.WithoutCancel(ctx)
 	switch d.nextFault(written) {
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -154,12 +154,12 @@
 	defer m.mutex.Unlock()
 	err = effect()
 	if !inTime {
-		return errors.Wrap(edge.ErrUnsettled, ctx.Err().Error())
+		return errors.Wrap(edge.ErrOutcomeUnknown, ctx.Err().Error())
 	}
 	if m.faults.LoseAnswers > 0 {
 		m.faults.LoseAnswers--
 		m.lostAnswers++
-		return errors.Wrap(edge.ErrUnsettled, "answer lost")
+		return errors.Wrap(edge.ErrOutcomeUnknown, "answer lost")
 	}
 	return err
 }
--- a/internal/standin/platform/memory_test.go
+++ b/internal/standin/platform/memory_test.go
@@ -102,7 +102,7 @@
 func TestWriteWithLostAnswerTakesEffectOnceAndIsCounted(t *testing.T) {
 	memory := platform.NewMemory()
 	memory.LoseAnswers(1)
-	if _, err := memory.Put(t.Context(), "a", []byte(`1`), 0); !errors.Is(err, edge.ErrUnsettled) {
+	if _, err := memory.Put(t.Context(), "a", []byte(`1`), 0); !errors.Is(err, edge.ErrOutcomeUnknown) {
 		t.Errorf("got %v", err)
 	}
 	object, err := memory.Get(t.Context(), "a")
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -105,7 +105,7 @@
 	switch {
 	case err == nil:
 		return c.JSON(body)
-	case errors.Is(err, edge.ErrUnsettled):
+	case errors.Is(err, edge.ErrOutcomeUnknown):
 		return web.CutAnswer(c)
 	case errors.Is(err, edge.ErrNotFound):
 		return sendError(c, http.StatusNotFound, err)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -25,7 +25,7 @@
 	// ErrUnavailable: the store refused the call before it had any effect, or could not be reached for a read.
 	ErrUnavailable = platform.ErrUnavailable
 	// ErrUnsettled: a write was sent and its answer was lost; it may have taken effect.
-	ErrUnsettled = platform.ErrUnsettled
+	ErrUnsettled = platform.ErrOutcomeUnknown
 	// ErrNotReleased is returned by Keeper.Release if others may consider the duty held until its term has ended.
 	ErrNotReleased = duty.ErrNotReleased
 )
