--- a/internal/program/capacity/duties.go
+++ b/internal/program/capacity/duties.go
@@ -61,7 +61,7 @@
 	memory := usedMemory() - before
 	calls := server.Calls()
 	seen, err := observe(ctx, w, 2*window)
-	rate := func(kind standin.Kind) Figure {
+	rate := func(kind standin.CallKind) Figure {
 		return Figure{Name: "calls " + string(kind), Unit: unitCalls, Value: float64(server.Calls()[kind]-calls[kind]) / seen.seconds}
 	}
 	return []Figure{
--- a/internal/program/capacity/usage.go
+++ b/internal/program/capacity/usage.go
@@ -213,7 +213,7 @@
 	}
 	spent, took := usedTime()-used, time.Since(began)
 	peak := highest()
-	made := func(kinds ...standin.Kind) float64 {
+	made := func(kinds ...standin.CallKind) float64 {
 		sum := 0
 		for _, kind := range kinds {
 			sum += store.Calls()[kind] - calls[kind]
--- a/internal/program/capacity/zone.go
+++ b/internal/program/capacity/zone.go
@@ -194,7 +194,7 @@
 		{Name: "bytes to the engines", Unit: unitRate, Value: toEngines},
 		{Name: nameMemory, Unit: unitBytes, Value: memory},
 	}
-	for _, kind := range []standin.Kind{standin.KindHosts, standin.KindWatch, standin.KindGet, standin.KindPut, standin.KindOrder} {
+	for _, kind := range []standin.CallKind{standin.KindHosts, standin.KindWatch, standin.KindGet, standin.KindPut, standin.KindOrder} {
 		rate := float64(d.platform.Calls()[kind]-calls[kind]) / seen.seconds
 		figures = append(figures, Figure{Name: "calls " + string(kind), Unit: unitCalls, Value: rate})
 	}
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -10,19 +10,19 @@
 	edge "github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// Kind is a kind of call to the platform.
-type Kind string
+// CallKind is a kind of call to the platform.
+type CallKind string
 
 // The kinds of calls that are counted.
 const (
-	KindGet    Kind = "get"
-	KindList   Kind = "list"
-	KindPut    Kind = "put"
-	KindDelete Kind = "delete"
-	KindWatch  Kind = "watch"
-	KindOrder  Kind = "order"
-	KindReport Kind = "report"
-	KindHosts  Kind = "hosts"
+	KindGet    CallKind = "get"
+	KindList   CallKind = "list"
+	KindPut    CallKind = "put"
+	KindDelete CallKind = "delete"
+	KindWatch  CallKind = "watch"
+	KindOrder  CallKind = "order"
+	KindReport CallKind = "report"
+	KindHosts  CallKind = "hosts"
 )
 
 // Faults are the faults that the stand-in simulates; the zero value is a healthy platform.
@@ -102,14 +102,14 @@
 }
 
 // Calls returns the number of calls by kind, refused ones included.
-func (m *Memory) Calls() map[Kind]int {
+func (m *Memory) Calls() map[CallKind]int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return maps.Clone(m.calls)
 }
 
 // admit counts the call and returns its delay, or refuses it in an outage or above the rate limit.
-func (m *Memory) admit(kind Kind) (time.Duration, error) {
+func (m *Memory) admit(kind CallKind) (time.Duration, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.calls[kind]++
@@ -125,7 +125,7 @@
 }
 
 // beginRead admits a read and waits for its delay.
-func (m *Memory) beginRead(ctx context.Context, kind Kind) error {
+func (m *Memory) beginRead(ctx context.Context, kind CallKind) error {
 	if ctx.Err() != nil {
 		return errors.Wrap(edge.ErrUnavailable, ctx.Err().Error())
 	}
@@ -141,7 +141,7 @@
 
 // applyWrite admits a write, waits for its delay and runs its effect with the mutex held. If the context ends during the
 // delay, the write still takes effect, and the caller gets ErrUnsettled.
-func (m *Memory) applyWrite(ctx context.Context, kind Kind, effect func() error) error {
+func (m *Memory) applyWrite(ctx context.Context, kind CallKind, effect func() error) error {
 	if ctx.Err() != nil {
 		return errors.Wrap(edge.ErrUnavailable, ctx.Err().Error())
 	}
--- a/internal/standin/platform/interfaces.go
+++ b/internal/standin/platform/interfaces.go
@@ -87,7 +87,7 @@
 type State struct {
 	Version    edge.Version               `json:"version"`
 	Objects    []string                   `json:"objects"`
-	Calls      map[Kind]int               `json:"calls"`
+	Calls      map[CallKind]int           `json:"calls"`
 	Refused    int                        `json:"refused"`
 	Lost       int                        `json:"lostAnswers"`
 	Orders     []edge.ServerOrder         `json:"orders"`
--- a/internal/standin/platform/memory.go
+++ b/internal/standin/platform/memory.go
@@ -33,7 +33,7 @@
 	changed     chan struct{}
 	faults      Faults
 	lostAnswers int
-	calls       map[Kind]int
+	calls       map[CallKind]int
 	// refused is the number of calls that were refused in an outage or above the rate limit.
 	refused int
 	bucket  tokenBucket
@@ -72,7 +72,7 @@
 		clock:   time.Now,
 		objects: make(map[string]edge.Object),
 		changed: make(chan struct{}),
-		calls:   make(map[Kind]int),
+		calls:   make(map[CallKind]int),
 		fencing: make(map[string]edge.Version),
 		reports: make(map[string]json.RawMessage),
 		fleet:   newFleet(),
--- a/internal/standin/platform/memory_test.go
+++ b/internal/standin/platform/memory_test.go
@@ -109,7 +109,7 @@
 	if err != nil || string(object.Value) != "1" {
 		t.Errorf("got %v, %v", object, err)
 	}
-	want := map[platform.Kind]int{platform.KindPut: 1, platform.KindGet: 1}
+	want := map[platform.CallKind]int{platform.KindPut: 1, platform.KindGet: 1}
 	if diff := cmp.Diff(want, memory.Calls()); diff != "" {
 		t.Error(diff)
 	}
