--- a/internal/edge/billing/fault_test.go
+++ b/internal/edge/billing/fault_test.go
@@ -14,13 +14,13 @@
 	standin "github.com/oleandershelf/oleandershelf/internal/standin/platform"
 )
 
-var disturbances = []standin.Disturbance{
+var disturbances = []standin.CallFault{
 	standin.Refused, standin.RequestLost, standin.AnswerLost, standin.Late, standin.Doubled, standin.HeldBefore, standin.HeldAfter,
 }
 
 // fault is what happens to a host from one of its calls on.
 type fault struct {
-	with    standin.Disturbance
+	with    standin.CallFault
 	call    int
 	lasting bool
 	dies    bool
--- a/internal/edge/configuration/apply_test.go
+++ b/internal/edge/configuration/apply_test.go
@@ -36,7 +36,7 @@
 
 // application is one apply with its fault.
 type application struct {
-	with    standin.Disturbance
+	with    standin.CallFault
 	call    int
 	rival   bool
 	lasting bool
--- a/internal/edge/duty/fault_test.go
+++ b/internal/edge/duty/fault_test.go
@@ -18,7 +18,7 @@
 
 // leaseCase is one fault in the store calls of a holder.
 type leaseCase struct {
-	disturbance standin.Disturbance
+	disturbance standin.CallFault
 	// firstCall is the first disturbed call: 0 and 1 belong to the takeover of the lease, later ones to renewals.
 	firstCall int
 	// lasting disturbs all calls from firstCall on, until the lease is lost.
--- a/internal/edge/fleet/fault_test.go
+++ b/internal/edge/fleet/fault_test.go
@@ -162,7 +162,7 @@
 
 // orderCase is one fault of the holder of a zone's duty.
 type orderCase struct {
-	disturbance standin.Disturbance
+	disturbance standin.CallFault
 	// call is the first disturbed call: 0 while the order is prepared, 1 when it is sent or answered.
 	call int
 	// leaseLapses disturbs the calls of the lease as well, so that another host takes over.
@@ -234,7 +234,7 @@
 }
 
 // leaseDisturbance returns a disturbance under which the lease lapses. Doubled calls would still renew it.
-func (c orderCase) leaseDisturbance() standin.Disturbance {
+func (c orderCase) leaseDisturbance() standin.CallFault {
 	if c.disturbance == standin.Doubled {
 		return standin.RequestLost
 	}
--- a/internal/edge/trainer/batch_test.go
+++ b/internal/edge/trainer/batch_test.go
@@ -14,7 +14,7 @@
 // faultOfWrite is what happens to the write of a manifest and to the host that writes it.
 type faultOfWrite struct {
 	name   string
-	with   standin.Disturbance
+	with   standin.CallFault
 	happen func(w *world, way *standin.Disturbed) []netip.AddrPort
 }
 
--- a/internal/standin/platform/disturbed.go
+++ b/internal/standin/platform/disturbed.go
@@ -11,30 +11,30 @@
 	edge "github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// Disturbance is a fault that affects a call on its way to the platform or back.
-type Disturbance string
+// CallFault is a fault that affects a call on its way to the platform or back.
+type CallFault string
 
 // The faults of calls.
 const (
 	// Refused: the platform refuses the call before any effect, as in an outage.
-	Refused Disturbance = "refused"
+	Refused CallFault = "refused"
 	// RequestLost: the call never arrives, and the caller can't tell that from a lost answer.
-	RequestLost Disturbance = "requestLost"
+	RequestLost CallFault = "requestLost"
 	// AnswerLost: the call takes effect, and its answer never arrives.
-	AnswerLost Disturbance = "answerLost"
+	AnswerLost CallFault = "answerLost"
 	// Late: the caller gets an error at once, and the call takes effect at Heal.
-	Late Disturbance = "late"
+	Late CallFault = "late"
 	// Doubled: the call arrives twice; the caller gets the first answer.
-	Doubled Disturbance = "doubled"
+	Doubled CallFault = "doubled"
 	// HeldBefore: the call is blocked before it is sent, until Heal.
-	HeldBefore Disturbance = "heldBefore"
+	HeldBefore CallFault = "heldBefore"
 	// HeldAfter: the call takes effect, and the caller gets the answer at Heal.
-	HeldAfter Disturbance = "heldAfter"
+	HeldAfter CallFault = "heldAfter"
 )
 
 // Disturbances returns all faults of calls.
-func Disturbances() []Disturbance {
-	return []Disturbance{Refused, RequestLost, AnswerLost, Late, Doubled, HeldBefore, HeldAfter}
+func Disturbances() []CallFault {
+	return []CallFault{Refused, RequestLost, AnswerLost, Late, Doubled, HeldBefore, HeldAfter}
 }
 
 // Disturbed wraps a platform and injects a fault into one call, or into all calls from that one on until Heal. Watches
@@ -42,7 +42,7 @@
 type Disturbed struct {
 	edge.Platform
 	mutex   sync.Mutex
-	fault   Disturbance
+	fault   CallFault
 	skip    int
 	lasting bool
 	active  bool
@@ -60,7 +60,7 @@
 
 // At injects the fault into the call that comes after skip others. If lasting is set, it also affects all calls after
 // that one, until Heal.
-func (d *Disturbed) At(skip int, fault Disturbance, lasting bool) {
+func (d *Disturbed) At(skip int, fault CallFault, lasting bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.fault, d.skip, d.lasting, d.active, d.object = fault, skip, lasting, true, ""
@@ -68,7 +68,7 @@
 
 // AtWrite injects the fault into the write of the object that comes after skip other writes of it. If lasting is set, it
 // also affects all writes of the object after that one, until Heal.
-func (d *Disturbed) AtWrite(object string, skip int, fault Disturbance, lasting bool) {
+func (d *Disturbed) AtWrite(object string, skip int, fault CallFault, lasting bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.fault, d.skip, d.lasting, d.active, d.object = fault, skip, lasting, true, object
@@ -90,7 +90,7 @@
 }
 
 // nextFault returns the fault of the next call, or "" for none; object is the written object, or empty for reads.
-func (d *Disturbed) nextFault(object string) Disturbance {
+func (d *Disturbed) nextFault(object string) CallFault {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if !d.active || (d.object != "" && d.object != object) {
