--- a/internal/edge/configuration/apply_test.go
+++ b/internal/edge/configuration/apply_test.go
@@ -20,7 +20,7 @@
 // What the operator is told must be so when everything that was on its way has arrived, one of two
 // rivals at most may win, and the same ticket sent again must be answered well if nobody else won.
 func TestApplyAtEachCall(t *testing.T) {
-	for _, with := range standin.Disturbances() {
+	for _, with := range standin.CallFaults() {
 		for call := range callsOfApply {
 			for _, rival := range []bool{false, true} {
 				for _, lasting := range []bool{false, true} {
--- a/internal/edge/duty/fault_test.go
+++ b/internal/edge/duty/fault_test.go
@@ -30,7 +30,7 @@
 func leaseCases() []leaseCase {
 	var cases []leaseCase
 	bools := []bool{false, true}
-	for _, disturbance := range standin.Disturbances() {
+	for _, disturbance := range standin.CallFaults() {
 		for firstCall := range leaseCalls {
 			for _, lasting := range bools {
 				for _, holderDies := range bools {
@@ -130,7 +130,7 @@
 // release is lost, or the release never arrives, or arrives late, twice or after an outage. From the release on it must not
 // hold, and the next contender must.
 func TestReleaseUnderFaults(t *testing.T) {
-	for _, disturbance := range standin.Disturbances() {
+	for _, disturbance := range standin.CallFaults() {
 		for _, down := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s down %v", disturbance, down), func(t *testing.T) {
 				t.Parallel()
--- a/internal/edge/fleet/fault_test.go
+++ b/internal/edge/fleet/fault_test.go
@@ -175,7 +175,7 @@
 func orderCases() []orderCase {
 	var cases []orderCase
 	bools := []bool{false, true}
-	for _, disturbance := range standin.Disturbances() {
+	for _, disturbance := range standin.CallFaults() {
 		for call := range 2 {
 			for _, leaseLapses := range bools {
 				for _, holderDies := range bools {
--- a/internal/standin/platform/disturbed.go
+++ b/internal/standin/platform/disturbed.go
@@ -32,8 +32,8 @@
 	HeldAfter CallFault = "heldAfter"
 )
 
-// Disturbances returns all faults of calls.
-func Disturbances() []CallFault {
+// CallFaults returns all faults of calls.
+func CallFaults() []CallFault {
 	return []CallFault{Refused, RequestLost, AnswerLost, Late, Doubled, HeldBefore, HeldAfter}
 }
 
