--- a/internal/edge/fleet/fault_test.go
+++ b/internal/edge/fleet/fault_test.go
@@ -84,8 +84,8 @@
 // contender is one host that contends for the zone's orders. Its calls to the platform and those of its lease can be disturbed
 // separately.
 type contender struct {
-	platform *standin.Disturbed
-	lease    *standin.Disturbed
+	platform *standin.FaultInjector
+	lease    *standin.FaultInjector
 	kill     func()
 	stop     func()
 }
--- a/internal/edge/trainer/batch_test.go
+++ b/internal/edge/trainer/batch_test.go
@@ -15,18 +15,18 @@
 type faultOfWrite struct {
 	name   string
 	with   standin.CallFault
-	happen func(w *world, way *standin.Disturbed) []netip.AddrPort
+	happen func(w *world, way *standin.FaultInjector) []netip.AddrPort
 }
 
 // healLater ends the disturbance after a part of the term.
-func healLater(_ *world, way *standin.Disturbed) []netip.AddrPort {
+func healLater(_ *world, way *standin.FaultInjector) []netip.AddrPort {
 	<-time.After(jobTiming().Renew)
 	way.Heal()
 	return bothHosts
 }
 
 // killWriter kills the host; what it sent may still arrive.
-func killWriter(w *world, way *standin.Disturbed) []netip.AddrPort {
+func killWriter(w *world, way *standin.FaultInjector) []netip.AddrPort {
 	killed := make(chan struct{})
 	go func() {
 		defer close(killed)
@@ -40,7 +40,7 @@
 }
 
 // freezeWriter holds all calls of the host until another one holds the job.
-func freezeWriter(w *world, way *standin.Disturbed) []netip.AddrPort {
+func freezeWriter(w *world, way *standin.FaultInjector) []netip.AddrPort {
 	way.At(0, standin.HeldBefore, true)
 	cut := hostA
 	w.isolated.Store(&cut)
@@ -134,13 +134,13 @@
 	{"woken while the platform is down", "", duringOutage(2*jobTiming().Term, wakeAfterAnswer)},
 }
 
-func freezeAfterAnswer(w *world, way *standin.Disturbed) []netip.AddrPort {
+func freezeAfterAnswer(w *world, way *standin.FaultInjector) []netip.AddrPort {
 	w.calls.arm(stageGenerate, held, 0, 1)
 	return freezeHolder(w, way)
 }
 
 // cutHolder lets the other host, which the trainer asks on, not reach the holder for a time.
-func cutHolder(w *world, _ *standin.Disturbed) []netip.AddrPort {
+func cutHolder(w *world, _ *standin.FaultInjector) []netip.AddrPort {
 	holder, _ := w.peers.at(hostA)
 	w.peers.set(hostA, nil)
 	time.AfterFunc(2*jobTiming().Renew, func() { w.peers.set(hostA, holder) })
@@ -148,7 +148,7 @@
 }
 
 // wakeAfterAnswer stops the host's calls for as long as a term within the outage.
-func wakeAfterAnswer(_ *world, way *standin.Disturbed) []netip.AddrPort {
+func wakeAfterAnswer(_ *world, way *standin.FaultInjector) []netip.AddrPort {
 	way.At(0, standin.HeldBefore, true)
 	<-time.After(jobTiming().Term)
 	way.Heal()
--- a/internal/edge/trainer/keeper_test.go
+++ b/internal/edge/trainer/keeper_test.go
@@ -43,7 +43,7 @@
 
 // keptWorld is two entries that contend for the job's lease with the real keeper. The first, which
 // holds it at the start, reaches the platform over a way that can be disturbed.
-func keptWorld(t *testing.T) (*world, *standin.Disturbed) {
+func keptWorld(t *testing.T) (*world, *standin.FaultInjector) {
 	t.Helper()
 	w := newWorld(t)
 	w.kill(hostA)
@@ -89,21 +89,21 @@
 	name   string
 	mishap mishap
 	// happen returns the hosts that are left.
-	happen func(w *world, way *standin.Disturbed) []netip.AddrPort
+	happen func(w *world, way *standin.FaultInjector) []netip.AddrPort
 }
 
 var bothHosts = []netip.AddrPort{hostA, hostB}
 
-func nothing(*world, *standin.Disturbed) []netip.AddrPort { return bothHosts }
+func nothing(*world, *standin.FaultInjector) []netip.AddrPort { return bothHosts }
 
-func killHolder(w *world, _ *standin.Disturbed) []netip.AddrPort {
+func killHolder(w *world, _ *standin.FaultInjector) []netip.AddrPort {
 	w.kill(hostA)
 	return []netip.AddrPort{hostB}
 }
 
 // duringOutage does something while the platform is down, for as long as given.
-func duringOutage(length time.Duration, what func(*world, *standin.Disturbed) []netip.AddrPort) func(*world, *standin.Disturbed) []netip.AddrPort {
-	return func(w *world, way *standin.Disturbed) []netip.AddrPort {
+func duringOutage(length time.Duration, what func(*world, *standin.FaultInjector) []netip.AddrPort) func(*world, *standin.FaultInjector) []netip.AddrPort {
+	return func(w *world, way *standin.FaultInjector) []netip.AddrPort {
 		w.store.Outage(true)
 		<-time.After(length)
 		left := what(w, way)
@@ -114,19 +114,19 @@
 
 // freezeHolder stops the holder's calls to the platform as well, until another host holds the job. A
 // host that wakes, or is cut off from the platform alone, has no fresh configuration at first.
-func freezeHolder(w *world, way *standin.Disturbed) []netip.AddrPort {
+func freezeHolder(w *world, way *standin.FaultInjector) []netip.AddrPort {
 	freezeWriter(w, way)
 	close(w.calls.healed)
 	return bothHosts
 }
 
-func wake(w *world, _ *standin.Disturbed) []netip.AddrPort {
+func wake(w *world, _ *standin.FaultInjector) []netip.AddrPort {
 	close(w.calls.healed)
 	<-time.After(jobTiming().Renew)
 	return bothHosts
 }
 
-func slowPlatform(w *world, _ *standin.Disturbed) []netip.AddrPort {
+func slowPlatform(w *world, _ *standin.FaultInjector) []netip.AddrPort {
 	w.store.Delay(jobTiming().Renew / 2)
 	return bothHosts
 }
--- a/internal/standin/platform/disturbed.go
+++ b/internal/standin/platform/disturbed.go
@@ -37,9 +37,9 @@
 	return []CallFault{Refused, RequestLost, AnswerLost, Late, Doubled, HeldBefore, HeldAfter}
 }
 
-// Disturbed wraps a platform and injects a fault into one call, or into all calls from that one on until Heal. Watches
+// FaultInjector wraps a platform and injects a fault into one call, or into all calls from that one on until Heal. Watches
 // count as reads. It is safe for concurrent use.
-type Disturbed struct {
+type FaultInjector struct {
 	edge.Platform
 	mutex   sync.Mutex
 	fault   CallFault
@@ -54,13 +54,13 @@
 }
 
 // NewDisturbed wraps the platform; no fault is injected until At or AtWrite.
-func NewDisturbed(inner edge.Platform) *Disturbed {
-	return &Disturbed{Platform: inner, injected: make(chan struct{}), healed: make(chan struct{})}
+func NewDisturbed(inner edge.Platform) *FaultInjector {
+	return &FaultInjector{Platform: inner, injected: make(chan struct{}), healed: make(chan struct{})}
 }
 
 // At injects the fault into the call that comes after skip others. If lasting is set, it also affects all calls after
 // that one, until Heal.
-func (d *Disturbed) At(skip int, fault CallFault, lasting bool) {
+func (d *FaultInjector) At(skip int, fault CallFault, lasting bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.fault, d.skip, d.lasting, d.active, d.object = fault, skip, lasting, true, ""
@@ -68,17 +68,17 @@
 
 // AtWrite injects the fault into the write of the object that comes after skip other writes of it. If lasting is set, it
 // also affects all writes of the object after that one, until Heal.
-func (d *Disturbed) AtWrite(object string, skip int, fault CallFault, lasting bool) {
+func (d *FaultInjector) AtWrite(object string, skip int, fault CallFault, lasting bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.fault, d.skip, d.lasting, d.active, d.object = fault, skip, lasting, true, object
 }
 
 // Reached returns a channel that is closed once a fault was injected into a call.
-func (d *Disturbed) Reached() <-chan struct{} { return d.injected }
+func (d *FaultInjector) Reached() <-chan struct{} { return d.injected }
 
 // Heal stops the fault: late calls take effect, and blocked calls go on. It may be called once.
-func (d *Disturbed) Heal() {
+func (d *FaultInjector) Heal() {
 	d.mutex.Lock()
 	late := d.lateEffects
 	d.lateEffects, d.active = nil, false
@@ -90,7 +90,7 @@
 }
 
 // nextFault returns the fault of the next call, or "" for none; object is the written object, or empty for reads.
-func (d *Disturbed) nextFault(object string) CallFault {
+func (d *FaultInjector) nextFault(object string) CallFault {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if !d.active || (d.object != "" && d.object != object) {
@@ -112,7 +112,7 @@
 }
 
 // deferEffect stores the effect of a call until Heal.
-func (d *Disturbed) deferEffect(effect func()) {
+func (d *FaultInjector) deferEffect(effect func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.lateEffects = append(d.lateEffects, effect)
@@ -120,7 +120,7 @@
 
 // callWithFault makes one call with its fault, if any. A call whose answer is lost, or that arrives late or twice, takes
 // effect even if ctx ended, since it had been sent by then. written names the object of a write and is empty for reads.
-func callWithFault[T any](ctx context.Context, d *Disturbed, written string, call func(context.Context) (T, error)) (T, error) {
+func callWithFault[T any](ctx context.Context, d *FaultInjector, written string, call func(context.Context) (T, error)) (T, error) {
 	var zero T
 	lost := errors.Wrap(edge.ErrUnavailable, "disturbed")
 	if written != "" {
@@ -158,31 +158,31 @@
 type emptyAnswer struct{}
 
 // Get implements edge.Store.
-func (d *Disturbed) Get(ctx context.Context, name string) (edge.Object, error) {
+func (d *FaultInjector) Get(ctx context.Context, name string) (edge.Object, error) {
 	return callWithFault(ctx, d, "", func(ctx context.Context) (edge.Object, error) { return d.Platform.Get(ctx, name) })
 }
 
 // List implements edge.Store.
-func (d *Disturbed) List(ctx context.Context, prefix string) ([]edge.Object, error) {
+func (d *FaultInjector) List(ctx context.Context, prefix string) ([]edge.Object, error) {
 	return callWithFault(ctx, d, "", func(ctx context.Context) ([]edge.Object, error) { return d.Platform.List(ctx, prefix) })
 }
 
 // Watch implements edge.Store.
-func (d *Disturbed) Watch(ctx context.Context, name string, after edge.Version, wait time.Duration) (edge.Object, error) {
+func (d *FaultInjector) Watch(ctx context.Context, name string, after edge.Version, wait time.Duration) (edge.Object, error) {
 	return callWithFault(ctx, d, "", func(ctx context.Context) (edge.Object, error) {
 		return d.Platform.Watch(ctx, name, after, wait)
 	})
 }
 
 // Put implements edge.Store.
-func (d *Disturbed) Put(ctx context.Context, name string, value json.RawMessage, ifVersion edge.Version) (edge.Version, error) {
+func (d *FaultInjector) Put(ctx context.Context, name string, value json.RawMessage, ifVersion edge.Version) (edge.Version, error) {
 	return callWithFault(ctx, d, name, func(ctx context.Context) (edge.Version, error) {
 		return d.Platform.Put(ctx, name, value, ifVersion)
 	})
 }
 
 // Delete implements edge.Store.
-func (d *Disturbed) Delete(ctx context.Context, name string, ifVersion edge.Version) error {
+func (d *FaultInjector) Delete(ctx context.Context, name string, ifVersion edge.Version) error {
 	_, err := callWithFault(ctx, d, name, func(ctx context.Context) (emptyAnswer, error) {
 		return emptyAnswer{}, d.Platform.Delete(ctx, name, ifVersion)
 	})
@@ -190,13 +190,13 @@
 }
 
 // Order implements edge.ServerOrders.
-func (d *Disturbed) Order(ctx context.Context, order edge.ServerOrder) error {
+func (d *FaultInjector) Order(ctx context.Context, order edge.ServerOrder) error {
 	_, err := callWithFault(ctx, d, order.Pool, func(ctx context.Context) (emptyAnswer, error) { return emptyAnswer{}, d.Platform.Order(ctx, order) })
 	return err
 }
 
 // Report implements edge.Reports.
-func (d *Disturbed) Report(ctx context.Context, name string, raw json.RawMessage) error {
+func (d *FaultInjector) Report(ctx context.Context, name string, raw json.RawMessage) error {
 	_, err := callWithFault(ctx, d, name, func(ctx context.Context) (emptyAnswer, error) {
 		return emptyAnswer{}, d.Platform.Report(ctx, name, raw)
 	})
