--- a/internal/edge/trainer/batch_test.go
+++ b/internal/edge/trainer/batch_test.go
@@ -104,7 +104,7 @@
 	w, way := keptWorld(t)
 	w.insist([]netip.AddrPort{hostA}, http.MethodPost, "/steps/1", body)
 	w.eventually(hostA, "all samples scored, or the job is the other host's", func(s *runnerStatus) bool { return scored(6)(s) || !s.Active })
-	way.AtWrite(delivery.ObjectName(testJob), skip, f.with, lasting)
+	way.InjectAtWrite(delivery.ObjectName(testJob), skip, f.with, lasting)
 	taken, done := make(chan struct{}), make(chan bool, 1)
 	go func() {
 		select {
--- a/internal/standin/platform/disturbed.go
+++ b/internal/standin/platform/disturbed.go
@@ -66,9 +66,9 @@
 	d.fault, d.skip, d.lasting, d.active, d.object = fault, skip, lasting, true, ""
 }
 
-// AtWrite injects the fault into the write of the object that comes after skip other writes of it. If lasting is set, it
+// InjectAtWrite injects the fault into the write of the object that comes after skip other writes of it. If lasting is set, it
 // also affects all writes of the object after that one, until Heal.
-func (d *FaultInjector) AtWrite(object string, skip int, fault CallFault, lasting bool) {
+func (d *FaultInjector) InjectAtWrite(object string, skip int, fault CallFault, lasting bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.fault, d.skip, d.lasting, d.active, d.object = fault, skip, lasting, true, object
