--- a/internal/edge/billing/fault_test.go
+++ b/internal/edge/billing/fault_test.go
@@ -58,7 +58,7 @@
 		_ = work(ctx, way)
 	}()
 	select {
-	case <-way.Reached():
+	case <-way.Injected():
 	case <-done:
 	}
 	if !f.down {
--- a/internal/edge/configuration/apply_test.go
+++ b/internal/edge/configuration/apply_test.go
@@ -54,7 +54,7 @@
 	go func() { told <- testPublisher(way).Apply(ctx, 1, ours) }()
 	var err error
 	select {
-	case <-way.Reached():
+	case <-way.Injected():
 		if a.rival {
 			_ = testPublisher(memory).Apply(t.Context(), 1, theirs)
 		}
--- a/internal/edge/duty/fault_test.go
+++ b/internal/edge/duty/fault_test.go
@@ -98,7 +98,7 @@
 	disturbed := standin.NewFaultInjector(memory)
 	disturbed.InjectAt(c.firstCall, c.disturbance, c.lasting)
 	first, stopFirst := startKeeper(t, disturbed, holder("entry-1", 1))
-	<-disturbed.Reached()
+	<-disturbed.Injected()
 	memory.Outage(c.platformDown)
 	second, _ := startKeeper(t, memory, holder("entry-2", 2))
 	detector := detectOverlaps(first, second)
--- a/internal/edge/fleet/fault_test.go
+++ b/internal/edge/fleet/fault_test.go
@@ -246,7 +246,7 @@
 	first := startContender(memory, "entry-1", 1)
 	first.platform.InjectAt(c.call, c.disturbance, true)
 	defer func() { first.stop() }()
-	<-first.platform.Reached()
+	<-first.platform.Injected()
 	if c.leaseLapses {
 		first.lease.InjectAt(0, c.leaseDisturbance(), true)
 	}
--- a/internal/edge/trainer/batch_test.go
+++ b/internal/edge/trainer/batch_test.go
@@ -108,7 +108,7 @@
 	taken, done := make(chan struct{}), make(chan bool, 1)
 	go func() {
 		select {
-		case <-way.Reached():
+		case <-way.Injected():
 			f.happen(w, way)
 			done <- true
 		case <-taken:
--- a/internal/standin/platform/disturbed.go
+++ b/internal/standin/platform/disturbed.go
@@ -74,8 +74,8 @@
 	d.fault, d.skip, d.lasting, d.active, d.object = fault, skip, lasting, true, object
 }
 
-// Reached returns a channel that is closed once a fault was injected into a call.
-func (d *FaultInjector) Reached() <-chan struct{} { return d.injected }
+// Injected returns a channel that is closed once a fault was injected into a call.
+func (d *FaultInjector) Injected() <-chan struct{} { return d.injected }
 
 // Heal stops the fault: late calls take effect, and blocked calls go on. It may be called once.
 func (d *FaultInjector) Heal() {
