--- a/internal/edge/billing/fault_test.go
+++ b/internal/edge/billing/fault_test.go
@@ -15,7 +15,7 @@
 )
 
 var disturbances = []standin.CallFault{
-	standin.Refused, standin.RequestLost, standin.AnswerLost, standin.Late, standin.Doubled, standin.HeldBefore, standin.HeldAfter,
+	standin.Refused, standin.RequestLost, standin.AnswerLost, standin.Late, standin.Duplicated, standin.HeldBefore, standin.HeldAfter,
 }
 
 // fault is what happens to a host from one of its calls on.
--- a/internal/edge/fleet/fault_test.go
+++ b/internal/edge/fleet/fault_test.go
@@ -235,7 +235,7 @@
 
 // leaseDisturbance returns a disturbance under which the lease lapses. Doubled calls would still renew it.
 func (c orderCase) leaseDisturbance() standin.CallFault {
-	if c.disturbance == standin.Doubled {
+	if c.disturbance == standin.Duplicated {
 		return standin.RequestLost
 	}
 	return c.disturbance
--- a/internal/edge/trainer/batch_test.go
+++ b/internal/edge/trainer/batch_test.go
@@ -55,7 +55,7 @@
 	{"cut both ways", standin.RequestLost, healLater},
 	{"cut one way or answer lost", standin.AnswerLost, healLater},
 	{"late", standin.Late, healLater},
-	{"doubled", standin.Doubled, healLater},
+	{"doubled", standin.Duplicated, healLater},
 	{"refused", standin.Refused, healLater},
 	{"killed before the effect", standin.HeldBefore, killWriter},
 	{"killed after the effect", standin.HeldAfter, killWriter},
@@ -68,7 +68,7 @@
 	{"killed after the effect while the platform is down", standin.HeldAfter, duringOutage(jobTiming().Term, killWriter)},
 	{"woken before the effect while the platform is down", standin.HeldBefore, duringOutage(2*jobTiming().Term, healLater)},
 	{"woken after the effect while the platform is down", standin.HeldAfter, duringOutage(2*jobTiming().Term, healLater)},
-	{"slow", standin.Doubled, slowPlatform},
+	{"slow", standin.Duplicated, slowPlatform},
 }
 
 // A trainer gets a batch with other samples when it asks again, some samples twice, or none any more.
--- a/internal/standin/platform/disturbed.go
+++ b/internal/standin/platform/disturbed.go
@@ -24,8 +24,8 @@
 	AnswerLost CallFault = "answerLost"
 	// Late: the caller gets an error at once, and the call takes effect at Heal.
 	Late CallFault = "late"
-	// Doubled: the call arrives twice; the caller gets the first answer.
-	Doubled CallFault = "doubled"
+	// Duplicated: the call arrives twice; the caller gets the first answer.
+	Duplicated CallFault = "doubled"
 	// HeldBefore: the call is blocked before it is sent, until Heal.
 	HeldBefore CallFault = "heldBefore"
 	// HeldAfter: the call takes effect, and the caller gets the answer at Heal.
@@ -34,7 +34,7 @@
 
 // CallFaults returns all faults of calls.
 func CallFaults() []CallFault {
-	return []CallFault{Refused, RequestLost, AnswerLost, Late, Doubled, HeldBefore, HeldAfter}
+	return []CallFault{Refused, RequestLost, AnswerLost, Late, Duplicated, HeldBefore, HeldAfter}
 }
 
 // FaultInjector wraps a platform and injects a fault into one call, or into all calls from that one on until Heal. Watches
@@ -138,7 +138,7 @@
 	case Late:
 		d.deferEffect(func() { _, _ = call(detached) })
 		return zero, lost
-	case Doubled:
+	case Duplicated:
 		first, err := call(ctx)
 		_, _ = call(detached)
 		return first, err
