--- a/internal/edge/store/relay.go
+++ b/internal/edge/store/relay.go
@@ -90,9 +90,9 @@
 	return relayResponse{Unavailable: unavailable, OutcomeUnknown: !unavailable}
 }
 
-// Carry sends the call through one candidate after another until one returns an answer. It stops at a write that may have
+// Send sends the call through one candidate after another until one returns an answer. It stops at a write that may have
 // taken effect.
-func (r *Relay) Carry(ctx context.Context, call platform.Call) (platform.Reply, error) {
+func (r *Relay) Send(ctx context.Context, call platform.Call) (platform.Reply, error) {
 	candidates := r.candidates(time.Now())
 	for _, member := range candidates {
 		reply, err := r.callThrough(ctx, member, call)
--- a/internal/program/process/late.go
+++ b/internal/program/process/late.go
@@ -19,7 +19,7 @@
 // Send passes the call on to the relay.
 func (l *lateRelay) Send(ctx context.Context, call platform.Call) (platform.Reply, error) {
 	if relay := l.relay.Load(); relay != nil {
-		return relay.Carry(ctx, call)
+		return relay.Send(ctx, call)
 	}
 	return platform.Reply{}, product.ErrUnavailable
 }
