--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -43,7 +43,7 @@
 	Store  *store.Store
 	// Reports sends calls to the platform's interface for usage reports.
 	Reports store.Transport
-	// ServerCarrier returns the carrier for calls to a backend server.
+	// ServerCarrier returns the transport for calls to a backend server.
 	ServerCarrier func(backend.Server) store.Transport
 	View          *view.View
 	Book          *backend.Balancer
--- a/internal/edge/platform/client.go
+++ b/internal/edge/platform/client.go
@@ -163,9 +163,9 @@
 	return err
 }
 
-// write makes a call with an effect. It returns ErrUnavailable for a write that can't have been sent, and ErrUnsettled
-// for one whose answer was lost. If a lost answer counted as a failed write, the caller might write twice. If an unsent
-// write counted as lost, the caller would try to find out the effect of a write that never took place.
+// write makes a call with an effect. It returns ErrUnavailable for a write that can't have been sent, and
+// ErrOutcomeUnknown for one whose answer was lost. If a lost answer counted as a failed write, the caller might write
+// twice. If an unsent write counted as lost, the caller would try to find out the effect of a write that never took place.
 func (c *Client) write(
 	ctx context.Context, method, path string, query url.Values, body []byte, into any,
 ) error {
--- a/internal/edge/platform/platform.go
+++ b/internal/edge/platform/platform.go
@@ -45,7 +45,7 @@
 	// List returns the objects whose name starts with prefix, sorted by name.
 	List(ctx context.Context, prefix string) ([]Object, error)
 	// Put writes the value if the object's version is still ifVersion, where 0 means that the object must not exist. It
-	// returns the new version, or ErrConflict, ErrUnavailable or ErrUnsettled.
+	// returns the new version, or ErrConflict, ErrUnavailable or ErrOutcomeUnknown.
 	Put(ctx context.Context, name string, value json.RawMessage, ifVersion Version) (Version, error)
 	// Delete removes the object if its version is still ifVersion.
 	Delete(ctx context.Context, name string, ifVersion Version) error
--- a/internal/edge/platform/short_test.go
+++ b/internal/edge/platform/short_test.go
@@ -15,8 +15,9 @@
 )
 
 // Guards against a truncated answer counting as a successful write or an empty read, as when the platform's host crashes
-// while it sends the answer. Such a write must be reported as ErrUnsettled, and such a read as ErrUnavailable.
-func TestTruncatedAnswerCountsAsLost(t *testing.T) {
+// while it sends the answer. Only a complete answer counts: a write with half of one must return ErrOutcomeUnknown, and a
+// read ErrUnavailable.
+func TestShortAnswerIsNoAnswer(t *testing.T) {
 	answers := []string{
 		"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 40\r\n\r\n{\"version\":1",
 		"HTTP/1.1 200 OK\r\nContent-Le",
--- a/internal/edge/store/http.go
+++ b/internal/edge/store/http.go
@@ -12,7 +12,7 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// HTTPTransport sends calls over HTTPTransport to one address.
+// HTTPTransport sends calls over HTTP to one address.
 type HTTPTransport struct {
 	address netip.AddrPort
 	client  *exchange.Client
@@ -24,7 +24,7 @@
 }
 
 // Send sends the call once, without retries. The error is a product.ErrUnavailable if the call was not sent, else a
-// product.ErrUnsettled.
+// product.ErrOutcomeUnknown.
 func (h *HTTPTransport) Send(ctx context.Context, call platform.Call) (platform.Reply, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/edge/store/open_test.go
+++ b/internal/edge/store/open_test.go
@@ -28,7 +28,7 @@
 }
 
 // Guards against a create being reported as without effect although an attempt through another entry may have succeeded.
-func TestCreateThatMayHaveSucceededIsUnsettled(t *testing.T) {
+func TestOutcomeOfCreateThatMayHaveSucceededIsUnknown(t *testing.T) {
 	lost := errors.Wrap(product.ErrOutcomeUnknown, "the entry that carried it fell silent")
 	unsent := errors.Wrap(product.ErrUnavailable, "no connection")
 	for _, test := range []struct {
@@ -37,10 +37,26 @@
 		direct      scriptedTransport
 		relay       scriptedTransport
 	}{
-		{name: "direct call rejected, relayed call lost", direct: scriptedTransport{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}}, relay: scriptedTransport{replies: make([]platform.Reply, 1), errs: []error{lost}}},
-		{name: "direct call not sent, relayed call lost", direct: scriptedTransport{replies: make([]platform.Reply, 1), errs: []error{unsent}}, relay: scriptedTransport{replies: make([]platform.Reply, 1), errs: []error{lost}}},
-		{name: "relayed call lost first, then direct call rejected and relayed call not sent", unavailable: true, direct: scriptedTransport{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}}, relay: scriptedTransport{replies: make([]platform.Reply, 2), errs: []error{lost, unsent}}},
-		{name: "relayed call lost first, then no call sent", unavailable: true, direct: scriptedTransport{replies: make([]platform.Reply, 1), errs: []error{unsent}}, relay: scriptedTransport{replies: make([]platform.Reply, 2), errs: []error{lost, unsent}}},
+		{
+			name:   "direct call rejected, relayed call lost",
+			direct: scriptedTransport{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}},
+			relay:  scriptedTransport{replies: make([]platform.Reply, 1), errs: []error{lost}},
+		},
+		{
+			name:   "direct call not sent, relayed call lost",
+			direct: scriptedTransport{replies: make([]platform.Reply, 1), errs: []error{unsent}},
+			relay:  scriptedTransport{replies: make([]platform.Reply, 1), errs: []error{lost}},
+		},
+		{
+			name: "relayed call lost first, then direct call rejected and relayed call not sent", unavailable: true,
+			direct: scriptedTransport{replies: []platform.Reply{{Status: 503}}, errs: []error{nil}},
+			relay:  scriptedTransport{replies: make([]platform.Reply, 2), errs: []error{lost, unsent}},
+		},
+		{
+			name: "relayed call lost first, then no call sent", unavailable: true,
+			direct: scriptedTransport{replies: make([]platform.Reply, 1), errs: []error{unsent}},
+			relay:  scriptedTransport{replies: make([]platform.Reply, 2), errs: []error{lost, unsent}},
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := New(&test.direct, &test.relay, NewMetrics(prometheus.NewRegistry()), zerolog.Nop())
@@ -50,7 +66,7 @@
 			}
 			_, err := s.Create(t.Context(), "jobs", "j", []byte(`{}`))
 			if !errors.Is(err, product.ErrOutcomeUnknown) {
-				t.Errorf("got error %v, want ErrUnsettled", err)
+				t.Errorf("got error %v, want ErrOutcomeUnknown", err)
 			}
 		})
 	}
--- a/internal/edge/store/relay.go
+++ b/internal/edge/store/relay.go
@@ -100,7 +100,8 @@
 			return reply, err
 		}
 	}
-	return platform.Reply{}, errors.Wrapf(product.ErrUnavailable, "%s %s: not through %d other entries either", call.Method, call.Target, len(candidates))
+	return platform.Reply{}, errors.Wrapf(product.ErrUnavailable, "%s %s: not through %d other entries either",
+		call.Method, call.Target, len(candidates))
 }
 
 // callThrough sends the call through one entry.
--- a/internal/edge/store/relay_test.go
+++ b/internal/edge/store/relay_test.go
@@ -26,7 +26,7 @@
 	for range 50 {
 		candidates := relay.candidates(time.Now())
 		if len(candidates) != maxRelayAttempts {
-			t.Fatalf("got %d candidates, want %d", len(candidates), maxRelayAttempts)
+			t.Fatalf("got %d candidates, want maxRelayAttempts", len(candidates))
 		}
 		for i, candidate := range candidates {
 			if served[candidate.HostID] != (i < 2) || candidate.Leaving {
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -27,7 +27,7 @@
 // Transport sends a call to the store.
 type Transport interface {
 	// Send returns the answer, whatever its status, or an error that is a product.ErrUnavailable (not sent) or a
-	// product.ErrUnsettled (sent, but the answer was lost).
+	// product.ErrOutcomeUnknown (sent, but the answer was lost).
 	Send(ctx context.Context, call platform.Call) (platform.Reply, error)
 }
 
@@ -63,7 +63,8 @@
 	defer cancel()
 	started := time.Now()
 	reply, err := s.direct.Send(ctx, call)
-	s.log.Debug().Str("method", call.Method).Str("target", call.Target).Int("status", reply.Status).Err(err).Dur("took", time.Since(started)).Msg("store called")
+	s.log.Debug().Str("method", call.Method).Str("target", call.Target).Int("status", reply.Status).Err(err).
+		Dur("took", time.Since(started)).Msg("store called")
 	s.metrics.recordCall(call.Method, time.Since(started), err == nil && !rejected(reply))
 	return reply, err
 }
@@ -83,7 +84,8 @@
 //
 // A write may be sent over several paths, and each of them may have taken effect although its answer was lost. Judged by
 // the last attempt alone, a write was reported as without effect although the job or the end of a job that it wrote was in
-// the store. So a write is a product.ErrUnsettled as soon as one of its attempts is, unless a later attempt returns an answer.
+// the store. So a write is a product.ErrOutcomeUnknown as soon as one of its attempts is, unless a later attempt returns an
+// answer.
 func (s *Store) call(ctx context.Context, call platform.Call) (platform.Reply, error) {
 	var uncertain error
 	noteUncertain := func(err error) {
--- a/internal/edge/ticker/sleep_test.go
+++ b/internal/edge/ticker/sleep_test.go
@@ -21,7 +21,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := Sleep(test.ctx, test.duration); got != test.want {
-				t.Errorf("got %v, want %v", got, test.want)
+				t.Errorf("got %v", got)
 			}
 		})
 	}
--- a/internal/standin/platform/disturbed.go
+++ b/internal/standin/platform/disturbed.go
@@ -53,81 +53,81 @@
 	healed      chan struct{}
 }
 
-// NewFaultInjector wraps the platform; no fault is injected until At or AtWrite.
+// NewFaultInjector wraps the platform; no fault is injected until InjectAt or InjectAtWrite.
 func NewFaultInjector(inner edge.Platform) *FaultInjector {
 	return &FaultInjector{Platform: inner, injected: make(chan struct{}), healed: make(chan struct{})}
 }
 
 // InjectAt injects the fault into the call that comes after skip others. If lasting is set, it also affects all calls after
 // that one, until Heal.
-func (d *FaultInjector) InjectAt(skip int, fault CallFault, lasting bool) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.fault, d.skip, d.lasting, d.active, d.object = fault, skip, lasting, true, ""
+func (f *FaultInjector) InjectAt(skip int, fault CallFault, lasting bool) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.fault, f.skip, f.lasting, f.active, f.object = fault, skip, lasting, true, ""
 }
 
 // InjectAtWrite injects the fault into the write of the object that comes after skip other writes of it. If lasting is set, it
 // also affects all writes of the object after that one, until Heal.
-func (d *FaultInjector) InjectAtWrite(object string, skip int, fault CallFault, lasting bool) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.fault, d.skip, d.lasting, d.active, d.object = fault, skip, lasting, true, object
+func (f *FaultInjector) InjectAtWrite(object string, skip int, fault CallFault, lasting bool) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.fault, f.skip, f.lasting, f.active, f.object = fault, skip, lasting, true, object
 }
 
 // Injected returns a channel that is closed once a fault was injected into a call.
-func (d *FaultInjector) Injected() <-chan struct{} { return d.injected }
+func (f *FaultInjector) Injected() <-chan struct{} { return f.injected }
 
 // Heal stops the fault: late calls take effect, and blocked calls go on. It may be called once.
-func (d *FaultInjector) Heal() {
-	d.mutex.Lock()
-	late := d.lateEffects
-	d.lateEffects, d.active = nil, false
-	d.mutex.Unlock()
+func (f *FaultInjector) Heal() {
+	f.mutex.Lock()
+	late := f.lateEffects
+	f.lateEffects, f.active = nil, false
+	f.mutex.Unlock()
 	for _, effect := range late {
 		effect()
 	}
-	close(d.healed)
+	close(f.healed)
 }
 
 // nextFault returns the fault of the next call, or "" for none; object is the written object, or empty for reads.
-func (d *FaultInjector) nextFault(object string) CallFault {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	if !d.active || (d.object != "" && d.object != object) {
+func (f *FaultInjector) nextFault(object string) CallFault {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if !f.active || (f.object != "" && f.object != object) {
 		return ""
 	}
-	if d.skip > 0 {
-		d.skip--
+	if f.skip > 0 {
+		f.skip--
 		return ""
 	}
-	if !d.lasting {
-		d.active = false
+	if !f.lasting {
+		f.active = false
 	}
 	select {
-	case <-d.injected:
+	case <-f.injected:
 	default:
-		close(d.injected)
+		close(f.injected)
 	}
-	return d.fault
+	return f.fault
 }
 
 // deferEffect stores the effect of a call until Heal.
-func (d *FaultInjector) deferEffect(effect func()) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.lateEffects = append(d.lateEffects, effect)
+func (f *FaultInjector) deferEffect(effect func()) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.lateEffects = append(f.lateEffects, effect)
 }
 
 // callWithFault makes one call with its fault, if any. A call whose answer is lost, or that arrives late or twice, takes
 // effect even if ctx ended, since it had been sent by then. written names the object of a write and is empty for reads.
-func callWithFault[T any](ctx context.Context, d *FaultInjector, written string, call func(context.Context) (T, error)) (T, error) {
+func callWithFault[T any](ctx context.Context, f *FaultInjector, written string, call func(context.Context) (T, error)) (T, error) {
 	var zero T
 	lost := errors.Wrap(edge.ErrUnavailable, "disturbed")
 	if written != "" {
 		lost = errors.Wrap(edge.ErrOutcomeUnknown, "disturbed")
 	}
 	detached := context.WithoutCancel(ctx)
-	switch d.nextFault(written) {
+	switch f.nextFault(written) {
 	case Refused:
 		return zero, errors.Wrap(edge.ErrUnavailable, "disturbed")
 	case RequestLost:
@@ -136,69 +136,69 @@
 		_, _ = call(detached)
 		return zero, lost
 	case Late:
-		d.deferEffect(func() { _, _ = call(detached) })
+		f.deferEffect(func() { _, _ = call(detached) })
 		return zero, lost
 	case Duplicated:
 		first, err := call(ctx)
 		_, _ = call(detached)
 		return first, err
 	case HeldBefore:
-		<-d.healed
+		<-f.healed
 		return call(ctx)
 	case HeldAfter:
 		answer, err := call(ctx)
-		<-d.healed
+		<-f.healed
 		return answer, err
 	default:
 		return call(ctx)
 	}
 }
 
-// emptyAnswer is the answer to calls that return only an error.
-type emptyAnswer struct{}
+// empty is the answer to calls that return only an error.
+type empty struct{}
 
 // Get implements edge.Store.
-func (d *FaultInjector) Get(ctx context.Context, name string) (edge.Object, error) {
-	return callWithFault(ctx, d, "", func(ctx context.Context) (edge.Object, error) { return d.Platform.Get(ctx, name) })
+func (f *FaultInjector) Get(ctx context.Context, name string) (edge.Object, error) {
+	return callWithFault(ctx, f, "", func(ctx context.Context) (edge.Object, error) { return f.Platform.Get(ctx, name) })
 }
 
 // List implements edge.Store.
-func (d *FaultInjector) List(ctx context.Context, prefix string) ([]edge.Object, error) {
-	return callWithFault(ctx, d, "", func(ctx context.Context) ([]edge.Object, error) { return d.Platform.List(ctx, prefix) })
+func (f *FaultInjector) List(ctx context.Context, prefix string) ([]edge.Object, error) {
+	return callWithFault(ctx, f, "", func(ctx context.Context) ([]edge.Object, error) { return f.Platform.List(ctx, prefix) })
 }
 
 // Watch implements edge.Store.
-func (d *FaultInjector) Watch(ctx context.Context, name string, after edge.Version, wait time.Duration) (edge.Object, error) {
-	return callWithFault(ctx, d, "", func(ctx context.Context) (edge.Object, error) {
-		return d.Platform.Watch(ctx, name, after, wait)
+func (f *FaultInjector) Watch(ctx context.Context, name string, after edge.Version, wait time.Duration) (edge.Object, error) {
+	return callWithFault(ctx, f, "", func(ctx context.Context) (edge.Object, error) {
+		return f.Platform.Watch(ctx, name, after, wait)
 	})
 }
 
 // Put implements edge.Store.
-func (d *FaultInjector) Put(ctx context.Context, name string, value json.RawMessage, ifVersion edge.Version) (edge.Version, error) {
-	return callWithFault(ctx, d, name, func(ctx context.Context) (edge.Version, error) {
-		return d.Platform.Put(ctx, name, value, ifVersion)
+func (f *FaultInjector) Put(ctx context.Context, name string, value json.RawMessage, ifVersion edge.Version) (edge.Version, error) {
+	return callWithFault(ctx, f, name, func(ctx context.Context) (edge.Version, error) {
+		return f.Platform.Put(ctx, name, value, ifVersion)
 	})
 }
 
 // Delete implements edge.Store.
-func (d *FaultInjector) Delete(ctx context.Context, name string, ifVersion edge.Version) error {
-	_, err := callWithFault(ctx, d, name, func(ctx context.Context) (emptyAnswer, error) {
-		return emptyAnswer{}, d.Platform.Delete(ctx, name, ifVersion)
+func (f *FaultInjector) Delete(ctx context.Context, name string, ifVersion edge.Version) error {
+	_, err := callWithFault(ctx, f, name, func(ctx context.Context) (empty, error) {
+		return empty{}, f.Platform.Delete(ctx, name, ifVersion)
 	})
 	return err
 }
 
 // Order implements edge.ServerOrders.
-func (d *FaultInjector) Order(ctx context.Context, order edge.ServerOrder) error {
-	_, err := callWithFault(ctx, d, order.Pool, func(ctx context.Context) (emptyAnswer, error) { return emptyAnswer{}, d.Platform.Order(ctx, order) })
+func (f *FaultInjector) Order(ctx context.Context, order edge.ServerOrder) error {
+	_, err := callWithFault(ctx, f, order.Pool, func(ctx context.Context) (empty, error) { return empty{}, f.Platform.Order(ctx, order) })
 	return err
 }
 
 // Report implements edge.Reports.
-func (d *FaultInjector) Report(ctx context.Context, name string, raw json.RawMessage) error {
-	_, err := callWithFault(ctx, d, name, func(ctx context.Context) (emptyAnswer, error) {
-		return emptyAnswer{}, d.Platform.Report(ctx, name, raw)
+func (f *FaultInjector) Report(ctx context.Context, name string, raw json.RawMessage) error {
+	_, err := callWithFault(ctx, f, name, func(ctx context.Context) (empty, error) {
+		return empty{}, f.Platform.Report(ctx, name, raw)
 	})
 	return err
 }
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -140,7 +140,7 @@
 }
 
 // applyWrite admits a write, waits for its delay and runs its effect with the mutex held. If the context ends during the
-// delay, the write still takes effect, and the caller gets ErrUnsettled.
+// delay, the write still takes effect, and the caller gets ErrOutcomeUnknown.
 func (m *Memory) applyWrite(ctx context.Context, kind CallKind, effect func() error) error {
 	if ctx.Err() != nil {
 		return errors.Wrap(edge.ErrUnavailable, ctx.Err().Error())
