--- a/internal/edge/platform/client.go
+++ b/internal/edge/platform/client.go
@@ -139,7 +139,7 @@
 	return errors.Wrapf(err, "%s/%s", order.AvailabilityZone, order.Pool)
 }
 
-// Report implements Reports.
+// Report implements UsageReports.
 func (c *Client) Report(ctx context.Context, name string, raw json.RawMessage) error {
 	err := c.write(ctx, http.MethodPut, objectPath(PathUsageReports, name), nil, raw, nil)
 	return errors.Wrap(err, name)
--- a/internal/edge/platform/dryrun.go
+++ b/internal/edge/platform/dryrun.go
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// Report implements Reports.
+// Report implements UsageReports.
 func (d *DryRun) Report(context.Context, string, json.RawMessage) error {
 	return nil
 }
--- a/internal/edge/platform/logged.go
+++ b/internal/edge/platform/logged.go
@@ -70,7 +70,7 @@
 	return err
 }
 
-// Report implements Reports.
+// Report implements UsageReports.
 func (l *Logged) Report(ctx context.Context, name string, raw json.RawMessage) error {
 	start := time.Now()
 	err := l.inner.Report(ctx, name, raw)
--- a/internal/edge/store/relay.go
+++ b/internal/edge/store/relay.go
@@ -71,7 +71,7 @@
 	return 1
 }
 
-// Serve lets other entries call the store through this one. While the store is unavailable to this host, it refuses their calls.
+// Serve lets other entries call the store through this one. It refuses their calls while this host's own direct calls fail.
 func Serve(registry *peer.Registry, store *Store) {
 	peer.Handle(registry, MethodCall, func(ctx context.Context, call platform.Call) (relayResponse, error) {
 		if store.DirectUnavailable(time.Now()) {
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -1,5 +1,5 @@
 // Package store is the client of the platform's store that all parts of a process share. It calls the store directly, or
-// through another entry while the store rejects or can't be reached from this host.
+// through another entry while the store rejects this host's calls or can't be reached from it.
 package store
 
 import (
@@ -19,8 +19,8 @@
 	// callTimeout bounds a call, beyond the time that a watch may wait. The store answers in milliseconds, and within a
 	// third of a second while it is slow. A host that is cut off uses another one after this time.
 	callTimeout = 800 * time.Millisecond
-	// unavailableTime is how long calls go through another host first after a direct call failed. A direct call in that
-	// time would most likely fail too and cost as much.
+	// unavailableTime is how long calls go through another host first after a direct call failed. Another direct call in
+	// that time would cost as much and be rejected too.
 	unavailableTime = 2 * time.Second
 )
 
@@ -84,8 +84,8 @@
 //
 // A write may be sent over several paths, and each of them may have taken effect although its answer was lost. Judged by
 // the last attempt alone, a write was reported as without effect although the job or the end of a job that it wrote was in
-// the store. So a write is a product.ErrOutcomeUnknown as soon as one of its attempts is, unless a later attempt returns an
-// answer.
+// the store. So a write returns product.ErrOutcomeUnknown if any of its attempts did, unless a later attempt gets an answer
+// that is not a rejection.
 func (s *Store) call(ctx context.Context, call platform.Call) (platform.Reply, error) {
 	var uncertain error
 	noteUncertain := func(err error) {
@@ -244,6 +244,7 @@
 	return err
 }
 
+// write sends a write of an object and returns the object's new version.
 func (s *Store) write(ctx context.Context, call platform.Call, kind, name string) (product.Version, error) {
 	reply, err := s.call(ctx, call)
 	if err != nil {
--- a/internal/standin/platform/disturbed.go
+++ b/internal/standin/platform/disturbed.go
@@ -195,7 +195,7 @@
 	return err
 }
 
-// Report implements edge.Reports.
+// Report implements edge.UsageReports.
 func (f *FaultInjector) Report(ctx context.Context, name string, raw json.RawMessage) error {
 	_, err := callWithFault(ctx, f, name, func(ctx context.Context) (empty, error) {
 		return empty{}, f.Platform.Report(ctx, name, raw)
--- a/internal/standin/platform/interfaces.go
+++ b/internal/standin/platform/interfaces.go
@@ -36,7 +36,7 @@
 	return slices.Clone(m.orders)
 }
 
-// Report implements edge.Reports. A second report under the same name but with other bytes is not stored; it is recorded
+// Report implements edge.UsageReports. A second report under the same name but with other bytes is not stored; it is recorded
 // as a violation and refused with ErrConflict.
 func (m *Memory) Report(ctx context.Context, name string, raw json.RawMessage) error {
 	err := m.applyWrite(ctx, KindReport, func() error {
