--- a/internal/edge/leader/report.go
+++ b/internal/edge/leader/report.go
@@ -79,7 +79,7 @@
 	}
 	reply, err := r.deps.Reports.Send(ctx, call)
 	if err == nil {
-		err = platform.ReadDone(reply)
+		err = platform.CheckStatus(reply)
 	}
 	r.deps.Log.Info().Int64("window", window).Uint64("fencing", uint64(holder.Fencing)).
 		Interface("counts", counts).AnErr("answer", err).Msg("usage reported")
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -220,7 +220,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Wrapf(platform.ReadDone(reply), "%s/%s", kind, name)
+	return errors.Wrapf(platform.CheckStatus(reply), "%s/%s", kind, name)
 }
 
 // OpenRetirements returns the hosts that the platform wants to remove and that have not been reported as drained yet. It
