--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -236,7 +236,7 @@
 
 // ReportRetired reports that a host is drained, so that the platform may remove it.
 func (s *Store) ReportRetired(ctx context.Context, host string) error {
-	call, err := platform.Retired(host)
+	call, err := platform.CompleteRetirement(host)
 	if err != nil {
 		return err
 	}
