--- a/internal/edge/leader/weights.go
+++ b/internal/edge/leader/weights.go
@@ -173,6 +173,6 @@
 		result.err = err
 		return result
 	}
-	result.answer = platform.ReadOrder(reply)
+	result.answer = platform.ReadOrderAnswer(reply)
 	return result
 }
