--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -230,7 +230,7 @@
 	if err != nil {
 		return nil, 0, readError(err)
 	}
-	hosts, revision, err := platform.OpenRetirements(reply)
+	hosts, revision, err := platform.ReadOpenRetirements(reply)
 	return hosts, revision, errors.Wrap(readError(err), platform.KindRetirements)
 }
 
