--- a/internal/edge/gateway/gateway.go
+++ b/internal/edge/gateway/gateway.go
@@ -91,7 +91,7 @@
 
 // callerRequest is what the gateway knows about one request of a caller.
 type callerRequest struct {
-	caller platform.Caller
+	caller platform.CallerHeaders
 	// table is the routing table of the configuration that applied when the request arrived.
 	table *routing.Table
 	route routing.Route
