--- a/internal/edge/gateway/gateway.go
+++ b/internal/edge/gateway/gateway.go
@@ -109,7 +109,7 @@
 	if g.leaving.Load() {
 		c.Set(fiber.HeaderConnection, "close")
 	}
-	r := callerRequest{caller: platform.ReadCaller(&c.Request().Header), arrived: time.Now()}
+	r := callerRequest{caller: platform.ReadCallerHeaders(&c.Request().Header), arrived: time.Now()}
 	if r.table = g.deps.View.Snapshot().Table; r.table == nil {
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonIsolated, noConfigurationRetryAfter, "no configuration is known here yet")
 	}
@@ -168,7 +168,7 @@
 		g.logRefusal(c, refused, status)
 	}
 	g.deps.Metrics.countRefusal(refused)
-	platform.EchoRequestID(&c.Response().Header, platform.ReadCaller(&c.Request().Header).RequestID)
+	platform.EchoRequestID(&c.Response().Header, platform.ReadCallerHeaders(&c.Request().Header).RequestID)
 	platform.SetRetryAfter(&c.Response().Header, refused.RetryAfter)
 	return c.Status(status).JSON(refused)
 }
@@ -180,7 +180,7 @@
 		line = line.Uint64("configuration", table.Version)
 	}
 	line.Str("method", c.Method()).Str("path", string(c.Request().URI().PathOriginal())).
-		Str("request", platform.ReadCaller(&c.Request().Header).RequestID).Int("status", status).
+		Str("request", platform.ReadCallerHeaders(&c.Request().Header).RequestID).Int("status", status).
 		Stringer("verdict", refusal.Verdict).Str("reason", string(refusal.Reason)).Str("detail", refusal.Detail).
 		Dur("retryAfter", refusal.RetryAfter).Msg("request refused")
 }
