--- a/internal/edge/gateway/forward.go
+++ b/internal/edge/gateway/forward.go
@@ -49,7 +49,7 @@
 		ID:   r.caller.RequestID,
 		Pool: func() (string, bool) { return pool, true },
 		Build: func(to *fasthttp.Request, server backend.Server) {
-			platform.FromCaller(to, from, platform.Hop{Server: server, Organisation: r.organisation.Name, Remaining: time.Until(r.deadline)})
+			platform.BuildForwardedRequest(to, from, platform.Hop{Server: server, Organisation: r.organisation.Name, Remaining: time.Until(r.deadline)})
 		},
 		Deadline:    r.deadline,
 		Idempotent:  r.route.Kind == routing.KindIdempotent,
