--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -128,7 +128,7 @@
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	hop := platform.Hop{Server: r.server, Organisation: r.job.spec.Organisation}
-	platform.FromItem(req, r.job.spec, r.item, r.output.LastEvent, hop)
+	platform.BuildItemRequest(req, r.job.spec, r.item, r.output.LastEvent, hop)
 	stream, err := r.manager.servers.Open(ctx, req)
 	if err != nil {
 		return r.handleStreamError(ctx, err)
