--- a/internal/edge/batchjob/reward.go
+++ b/internal/edge/batchjob/reward.go
@@ -115,7 +115,7 @@
 			return now.Pool(rand.Float64()), ok
 		},
 		Build: func(to *fasthttp.Request, server backend.Server) {
-			platform.FromReward(to, reward, platform.Hop{Server: server, Remaining: time.Until(end)})
+			platform.BuildRewardRequest(to, reward, platform.Hop{Server: server, Remaining: time.Until(end)})
 		},
 		Deadline:    end,
 		Idempotent:  true,
