--- a/internal/edge/call/attempt.go
+++ b/internal/edge/call/attempt.go
@@ -61,7 +61,7 @@
 	case attempt.Answer.NotRun:
 		attempt.Outcome = verdict.NotRun
 		attempt.Cause = errors.Errorf("status %d", attempt.Answer.Status)
-	case !attempt.Answer.Signed() || attempt.Answer.Coded:
+	case !attempt.Answer.Signed() || attempt.Answer.ContentEncoded:
 		attempt.Cause = errors.Errorf("status %d without a server's signature", attempt.Answer.Status)
 	default:
 		attempt.Outcome = verdict.Ran
