--- a/internal/edge/gateway/forward.go
+++ b/internal/edge/gateway/forward.go
@@ -79,5 +79,5 @@
 	}
 	refused := refusal.FromError(err)
 	line.Stringer("verdict", refused.Verdict).Str("reason", string(refused.Reason)).Str("detail", refused.Detail).
-		Dur("retryAfter", refused.RetryAfter).Int("status", platform.Status(refused)).Msg("request refused")
+		Dur("retryAfter", refused.RetryAfter).Int("status", platform.RefusalStatus(refused)).Msg("request refused")
 }
--- a/internal/edge/gateway/gateway.go
+++ b/internal/edge/gateway/gateway.go
@@ -163,7 +163,7 @@
 	if refused.Reason == verdict.ReasonTooLarge {
 		callerconn.Linger(c.RequestCtx().Conn())
 	}
-	status := platform.Status(refused)
+	status := platform.RefusalStatus(refused)
 	if logged, ok := c.Locals(refusalLogged{}).(bool); !ok || !logged {
 		g.logRefusal(c, refused, status)
 	}
