--- a/internal/edge/leader/weights.go
+++ b/internal/edge/leader/weights.go
@@ -163,7 +163,7 @@
 	}
 	result.accepted = accepted
 	call, err := platform.LoadWeights(holder, order.Server.ID,
-		platform.WeightOrder{Model: order.Model, Version: order.Version, Accepted: accepted})
+		platform.WeightOrder{Model: order.Model, Version: order.Version, AcceptedOrders: accepted})
 	if err != nil {
 		result.err = err
 		return result
