--- a/internal/edge/leader/weights.go
+++ b/internal/edge/leader/weights.go
@@ -159,7 +159,7 @@
 			result.err = err
 			return result
 		}
-		accepted = state.Accepted
+		accepted = state.AcceptedOrders
 	}
 	result.accepted = accepted
 	call, err := platform.LoadWeights(holder, order.Server.ID,
