--- a/internal/edge/leader/weights.go
+++ b/internal/edge/leader/weights.go
@@ -123,7 +123,7 @@
 	case result.answer == platform.OrderAccepted:
 		planner.RecordOrder(now, result.order)
 		s.accepted[key] = result.accepted + 1
-	case result.answer == platform.OrderHolds:
+	case result.answer == platform.OrderAlreadyApplied:
 		planner.RecordOrder(now, result.order)
 	case result.err != nil:
 		// The server may have accepted the order, so its count of accepted orders must be read again.
