--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -224,7 +224,7 @@
 }
 
 // readEvents appends the events of a stream to the item's output.
-func (r *itemRun) readEvents(ctx context.Context, events *platform.Events, stalled *time.Timer) outcome {
+func (r *itemRun) readEvents(ctx context.Context, events *platform.EventReader, stalled *time.Timer) outcome {
 	monitor := paceMonitor{book: r.manager.book, server: r.server.ID}
 	for {
 		event, err := events.Next()
