--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -148,7 +148,7 @@
 		}
 		return result
 	}
-	return r.readEvents(ctx, platform.NewEvents(stream), stalled)
+	return r.readEvents(ctx, platform.NewEventReader(stream), stalled)
 }
 
 var (
