--- a/internal/program/process/gateway_harness_test.go
+++ b/internal/program/process/gateway_harness_test.go
@@ -41,7 +41,7 @@
 	set     settings.Settings
 	callers string
 	// door is the gateway's way to the store.
-	door  *platformtest.Door
+	door  *platformtest.Endpoint
 	ended bool
 }
 
@@ -94,7 +94,7 @@
 	return d.startWith(set, door)
 }
 
-func (d *deployment) startWith(set settings.Settings, door *platformtest.Door) *testGateway {
+func (d *deployment) startWith(set settings.Settings, door *platformtest.Endpoint) *testGateway {
 	d.t.Helper()
 	var log zerolog.Logger
 	if testing.Verbose() {
--- a/internal/program/soak/process.go
+++ b/internal/program/soak/process.go
@@ -15,7 +15,7 @@
 type process struct {
 	name, program, callers, ready, settings string
 	// door is its way to the store, link where the other processes reach it.
-	door *platformtest.Door
+	door *platformtest.Endpoint
 	link *link
 	log  *os.File
 
