--- a/internal/program/demo/stage.go
+++ b/internal/program/demo/stage.go
@@ -69,7 +69,7 @@
 func (s *stage) startGateways(ctx context.Context, t platformtest.Cleaner, log zerolog.Logger) error {
 	addresses := loopback.Addresses()
 	for _, zone := range s.deployment.AvailabilityZones {
-		set, err := s.settings(zone, s.store.NewDoor(t).URL(), addresses)
+		set, err := s.settings(zone, s.store.NewEndpoint(t).URL(), addresses)
 		if err != nil {
 			return err
 		}
--- a/internal/program/process/gateway_harness_test.go
+++ b/internal/program/process/gateway_harness_test.go
@@ -81,7 +81,7 @@
 // start starts a gateway that knows the first one as a seed, and waits until it is ready.
 func (d *deployment) start(hostID string) *testGateway {
 	d.t.Helper()
-	door := d.store.NewDoor(d.t)
+	door := d.store.NewEndpoint(d.t)
 	set := settings.Settings{
 		Listen: platformtest.Address(), PeerListen: platformtest.Address(), AdminListen: platformtest.Address(),
 		AvailabilityZone: "north-a", HostID: hostID, PlatformURL: door.URL(), ReportsURL: d.duties.URL(),
--- a/internal/program/process/register_test.go
+++ b/internal/program/process/register_test.go
@@ -28,7 +28,7 @@
 // startWithSeed starts a gateway with a single seed.
 func (d *deployment) startWithSeed(hostID string, seed netip.AddrPort) *testGateway {
 	d.t.Helper()
-	door := d.store.NewDoor(d.t)
+	door := d.store.NewEndpoint(d.t)
 	set := d.gateways[0].set
 	set.HostID, set.PlatformURL = hostID, door.URL()
 	set.Listen, set.PeerListen, set.AdminListen = platformtest.Address(), platformtest.Address(), platformtest.Address()
--- a/internal/program/soak/world.go
+++ b/internal/program/soak/world.go
@@ -125,7 +125,7 @@
 	callers, peers, admin := platformtest.Address(), platformtest.Address(), platformtest.Address()
 	p := &process{
 		name: name, program: o.Program, callers: "http://" + callers.String(), ready: "http://" + admin.String() + "/readyz",
-		door: w.store.NewDoor(c), settings: filepath.Join(o.Folder, name+".json"),
+		door: w.store.NewEndpoint(c), settings: filepath.Join(o.Folder, name+".json"),
 	}
 	settings, err := json.Marshal(map[string]any{
 		"hostId": name, "availabilityZone": "north-a", "listen": callers, "peerListen": peers, "peerAdvertise": advertised, "adminListen": admin,
