--- a/internal/program/process/gateway_batch_test.go
+++ b/internal/program/process/gateway_batch_test.go
@@ -397,7 +397,7 @@
 func TestAnEntryThatTheStoreTurnsAwayAcceptsJobs(t *testing.T) {
 	d := newDeployment(t, 2)
 	d.eventually("entries know each other", func() bool { return len(d.gateways[1].gossip.Alive(time.Now())) == 1 })
-	d.gateways[1].door.Close()
+	d.gateways[1].door.RefuseCalls()
 	d.submit(d.gateways[1], "j1", submission(4, 4, 1))
 	d.checkResults(d.readAll(d.gateways[1], "j1", 8), 8, streamEvents)
 }
--- a/internal/program/process/gateway_call_test.go
+++ b/internal/program/process/gateway_call_test.go
@@ -153,7 +153,7 @@
 	d := newDeployment(t, 3)
 	away := d.gateways[2]
 	d.eventually("entries know each other", func() bool { return len(away.gossip.Alive(time.Now())) == 2 })
-	away.door.Close()
+	away.door.RefuseCalls()
 	d.configure("another key", keySouth)
 	for _, g := range d.gateways {
 		d.eventually("the key is refused at "+g.set.HostID, func() bool {
--- a/internal/program/soak/trouble.go
+++ b/internal/program/soak/trouble.go
@@ -63,7 +63,7 @@
 	case troubleHangUp:
 		p.signal(syscall.SIGHUP)
 	case troubleTurnAway:
-		p.door.Close()
+		p.door.RefuseCalls()
 		ticker.Sleep(w.ctx, e.lasts)
 		p.door.Open()
 	case troubleSilence:
