--- a/internal/program/soak/trouble.go
+++ b/internal/program/soak/trouble.go
@@ -67,7 +67,7 @@
 		ticker.Sleep(w.ctx, e.lasts)
 		p.door.Open()
 	case troubleSilence:
-		p.door.Silence()
+		p.door.HangCalls()
 		ticker.Sleep(w.ctx, e.lasts)
 		p.door.Open()
 	case troubleLinkDelay, troubleLinkReset, troubleLinkOneWay, troubleLinkSilence:
