--- a/internal/program/soak/trouble.go
+++ b/internal/program/soak/trouble.go
@@ -65,11 +65,11 @@
 	case troubleTurnAway:
 		p.door.RefuseCalls()
 		ticker.Sleep(w.ctx, e.lasts)
-		p.door.Open()
+		p.door.ServeCalls()
 	case troubleSilence:
 		p.door.HangCalls()
 		ticker.Sleep(w.ctx, e.lasts)
-		p.door.Open()
+		p.door.ServeCalls()
 	case troubleLinkDelay, troubleLinkReset, troubleLinkOneWay, troubleLinkSilence:
 		w.disturbLink(e)
 	default:
@@ -191,7 +191,7 @@
 		w.store.Register(server, false)
 	}
 	for _, p := range w.processes {
-		p.door.Open()
+		p.door.ServeCalls()
 		p.link.heal()
 		p.signal(syscall.SIGCONT)
 		w.start(p)
