--- a/internal/program/process/gateway_batch_test.go
+++ b/internal/program/process/gateway_batch_test.go
@@ -352,7 +352,7 @@
 	d.store.SetFault(func(method, target string) platformtest.Fault {
 		if method == http.MethodPost && target == "/objects/jobs" && !lost {
 			lost = true
-			return platformtest.Lose
+			return platformtest.LoseAnswer
 		}
 		return platformtest.Serve
 	})
@@ -373,7 +373,7 @@
 		name  string
 		fault platformtest.Fault
 	}{
-		{name: "answer lost", fault: platformtest.Lose},
+		{name: "answer lost", fault: platformtest.LoseAnswer},
 		{name: "refused", fault: platformtest.Refuse},
 		{name: "broken before", fault: platformtest.Break},
 	} {
--- a/internal/program/soak/trouble.go
+++ b/internal/program/soak/trouble.go
@@ -89,7 +89,7 @@
 		w.store.SetFault(func(method, _ string) platformtest.Fault {
 			calls++
 			if method != http.MethodGet && calls%3 == 0 {
-				return platformtest.Lose
+				return platformtest.LoseAnswer
 			}
 			return platformtest.Serve
 		})
