--- a/internal/program/process/gateway_batch_test.go
+++ b/internal/program/process/gateway_batch_test.go
@@ -375,7 +375,7 @@
 	}{
 		{name: "answer lost", fault: platformtest.LoseAnswer},
 		{name: "refused", fault: platformtest.Refuse},
-		{name: "broken before", fault: platformtest.Break},
+		{name: "broken before", fault: platformtest.DropCall},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d := newDeployment(t, 1)
