--- a/internal/program/process/gateway_batch_test.go
+++ b/internal/program/process/gateway_batch_test.go
@@ -70,7 +70,7 @@
 		{name: "cut after the last event", first: platformtest.CutAtEnd},
 		{name: "refused", first: platformtest.Shed},
 		{name: "failed once", first: platformtest.Fail},
-		{name: "another's answer", first: platformtest.Foreign},
+		{name: "another's answer", first: platformtest.WrongRequest},
 		{name: "no signature", first: platformtest.Unsigned},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/program/soak/trouble.go
+++ b/internal/program/soak/trouble.go
@@ -13,7 +13,7 @@
 
 // serverBehaviours are what disturbed servers do with part of their requests.
 var serverBehaviours = []platformtest.Behaviour{
-	platformtest.Shed, platformtest.Cut, platformtest.CutWithin, platformtest.CutAtEnd, platformtest.Foreign, platformtest.Unsigned, platformtest.Hang,
+	platformtest.Shed, platformtest.Cut, platformtest.CutWithin, platformtest.CutAtEnd, platformtest.WrongRequest, platformtest.Unsigned, platformtest.Hang,
 	platformtest.Repeat,
 }
 
@@ -148,7 +148,7 @@
 		case engine && n%cutPart == 0:
 			return platformtest.Cut
 		case !engine && n%faultPart == 0:
-			return platformtest.Foreign
+			return platformtest.WrongRequest
 		case !engine && n%faultPart == 1:
 			return platformtest.Cut
 		default:
