--- a/internal/program/demo/player.go
+++ b/internal/program/demo/player.go
@@ -100,7 +100,7 @@
 
 // lookUp asks what may be repeated; the servers break two of the calls.
 func (p *player) lookUp(ctx context.Context) error {
-	faults := map[int]platformtest.Behaviour{1: platformtest.Cut, 3: platformtest.WrongRequest}
+	faults := map[int]platformtest.Behaviour{1: platformtest.CutConnection, 3: platformtest.WrongRequest}
 	for i := range lookups {
 		body := fmt.Sprintf("look-up-%d", i)
 		got, err := p.call(ctx, i, p.deployment.Caller, p.deployment.Lookup, body, faults[i])
@@ -124,7 +124,7 @@
 	}{
 		{"booking", platformtest.Answer, http.StatusOK},
 		{"booking-that-a-server-sheds", platformtest.Shed, http.StatusOK},
-		{"booking-whose-answer-is-lost", platformtest.Cut, http.StatusBadGateway},
+		{"booking-whose-answer-is-lost", platformtest.CutConnection, http.StatusBadGateway},
 	} {
 		got, err := p.call(ctx, i, p.deployment.Caller, p.deployment.Booking, test.what, test.fault)
 		if err != nil {
--- a/internal/program/process/gateway_batch_test.go
+++ b/internal/program/process/gateway_batch_test.go
@@ -64,7 +64,7 @@
 		name  string
 		first platformtest.Behaviour
 	}{
-		{name: "cut between events", first: platformtest.Cut},
+		{name: "cut between events", first: platformtest.CutConnection},
 		{name: "cut in the middle of an event", first: platformtest.CutWithin},
 		// All events came and the end did not: the server that goes on after the last event has none to send, and names no version.
 		{name: "cut after the last event", first: platformtest.CutAtEnd},
--- a/internal/program/process/gateway_call_test.go
+++ b/internal/program/process/gateway_call_test.go
@@ -64,8 +64,8 @@
 	}{
 		{name: "refused, idempotent", first: platformtest.Shed, path: "/safe/", status: 200, sent: 2},
 		{name: "refused, once", first: platformtest.Shed, path: "/once/", status: 200, sent: 2},
-		{name: "answer lost, idempotent", first: platformtest.Cut, path: "/safe/", status: 200, sent: 2},
-		{name: "answer lost, once", first: platformtest.Cut, path: "/once/", status: 502, sent: 1},
+		{name: "answer lost, idempotent", first: platformtest.CutConnection, path: "/safe/", status: 200, sent: 2},
+		{name: "answer lost, once", first: platformtest.CutConnection, path: "/once/", status: 502, sent: 1},
 		{name: "another's answer, idempotent", first: platformtest.WrongRequest, path: "/safe/", status: 200, sent: 2},
 		{name: "another's answer, once", first: platformtest.WrongRequest, path: "/once/", status: 502, sent: 1},
 		{name: "no signature, idempotent", first: platformtest.Unsigned, path: "/safe/", status: 200, sent: 2},
--- a/internal/program/process/gateway_reward_test.go
+++ b/internal/program/process/gateway_reward_test.go
@@ -96,7 +96,7 @@
 	}{
 		{name: "refused", did: platformtest.Shed},
 		{name: "failed once", did: platformtest.Fail},
-		{name: "answer lost", did: platformtest.Cut},
+		{name: "answer lost", did: platformtest.CutConnection},
 		{name: "another's answer", did: platformtest.WrongRequest},
 		{name: "no signature", did: platformtest.Unsigned},
 		{name: "no answer", did: platformtest.Hang},
--- a/internal/program/soak/trouble.go
+++ b/internal/program/soak/trouble.go
@@ -13,7 +13,7 @@
 
 // serverBehaviours are what disturbed servers do with part of their requests.
 var serverBehaviours = []platformtest.Behaviour{
-	platformtest.Shed, platformtest.Cut, platformtest.CutWithin, platformtest.CutAtEnd, platformtest.WrongRequest, platformtest.Unsigned, platformtest.Hang,
+	platformtest.Shed, platformtest.CutConnection, platformtest.CutWithin, platformtest.CutAtEnd, platformtest.WrongRequest, platformtest.Unsigned, platformtest.Hang,
 	platformtest.Repeat,
 }
 
@@ -146,11 +146,11 @@
 		case engine && r.Resumed() && n%repeatPart == 0:
 			return platformtest.Repeat
 		case engine && n%cutPart == 0:
-			return platformtest.Cut
+			return platformtest.CutConnection
 		case !engine && n%faultPart == 0:
 			return platformtest.WrongRequest
 		case !engine && n%faultPart == 1:
-			return platformtest.Cut
+			return platformtest.CutConnection
 		default:
 			return platformtest.Answer
 		}
