--- a/internal/program/process/gateway_batch_test.go
+++ b/internal/program/process/gateway_batch_test.go
@@ -65,7 +65,7 @@
 		first platformtest.Behaviour
 	}{
 		{name: "cut between events", first: platformtest.CutConnection},
-		{name: "cut in the middle of an event", first: platformtest.CutWithin},
+		{name: "cut in the middle of an event", first: platformtest.CutMidEvent},
 		// All events came and the end did not: the server that goes on after the last event has none to send, and names no version.
 		{name: "cut after the last event", first: platformtest.CutAtEnd},
 		{name: "refused", first: platformtest.Shed},
--- a/internal/program/soak/trouble.go
+++ b/internal/program/soak/trouble.go
@@ -13,7 +13,7 @@
 
 // serverBehaviours are what disturbed servers do with part of their requests.
 var serverBehaviours = []platformtest.Behaviour{
-	platformtest.Shed, platformtest.CutConnection, platformtest.CutWithin, platformtest.CutAtEnd, platformtest.WrongRequest, platformtest.Unsigned, platformtest.Hang,
+	platformtest.Shed, platformtest.CutConnection, platformtest.CutMidEvent, platformtest.CutAtEnd, platformtest.WrongRequest, platformtest.Unsigned, platformtest.Hang,
 	platformtest.Repeat,
 }
 
