--- a/internal/program/soak/trouble.go
+++ b/internal/program/soak/trouble.go
@@ -14,7 +14,7 @@
 // serverBehaviours are what disturbed servers do with part of their requests.
 var serverBehaviours = []platformtest.Behaviour{
 	platformtest.Shed, platformtest.CutConnection, platformtest.CutMidEvent, platformtest.CutAtEnd, platformtest.WrongRequest, platformtest.Unsigned, platformtest.Hang,
-	platformtest.Repeat,
+	platformtest.RepeatLastEvent,
 }
 
 // isolating are the disturbances during which a process can't hear what the others or the store say.
@@ -144,7 +144,7 @@
 	server.Behave(func(n int, r platformtest.Request) platformtest.Behaviour {
 		switch {
 		case engine && r.Resumed() && n%repeatPart == 0:
-			return platformtest.Repeat
+			return platformtest.RepeatLastEvent
 		case engine && n%cutPart == 0:
 			return platformtest.CutConnection
 		case !engine && n%faultPart == 0:
