--- a/internal/program/process/gateway_batch_test.go
+++ b/internal/program/process/gateway_batch_test.go
@@ -101,7 +101,7 @@
 		behaviour platformtest.Behaviour
 		runs      int
 	}{
-		{name: "impossible", behaviour: platformtest.Impossible, runs: 1},
+		{name: "impossible", behaviour: platformtest.Unprocessable, runs: 1},
 		{name: "failing each time", behaviour: platformtest.Fail, runs: 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/program/process/gateway_reward_test.go
+++ b/internal/program/process/gateway_reward_test.go
@@ -159,7 +159,7 @@
 	const watched = 1200 * time.Millisecond
 	d := newDeployment(t, 1)
 	for _, desk := range d.services {
-		desk.Behave(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Impossible })
+		desk.Behave(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Unprocessable })
 	}
 	d.submit(d.gateways[0], "j1", scoredSubmission(1))
 	d.eventually("items are being scored", func() bool { return len(d.rewardCalls()) >= 2 })
