--- a/internal/program/soak/check.go
+++ b/internal/program/soak/check.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		return slices.ContainsFunc(service.Seen(), func(request platformtest.Request) bool {
-			return request.ID() == rewardPrefix+item && request.Did.AnswersCalls() && request.At.After(whole)
+			return request.ID() == rewardPrefix+item && request.Did.AnswersPlainCalls() && request.At.After(whole)
 		})
 	}
 	return false
