--- a/internal/program/demo/player.go
+++ b/internal/program/demo/player.go
@@ -47,7 +47,7 @@
 		engine.SetStream(streamEvents, eventPace)
 	}
 	for _, service := range s.services {
-		service.Behave(func(_ int, r platformtest.Request) platformtest.Behaviour { return p.behaviour(r.Body) })
+		service.SetBehaviour(func(_ int, r platformtest.Request) platformtest.Behaviour { return p.behaviour(r.Body) })
 	}
 	return p
 }
--- a/internal/program/process/gateway_batch_test.go
+++ b/internal/program/process/gateway_batch_test.go
@@ -78,7 +78,7 @@
 			var mu sync.Mutex
 			failed := map[string]bool{}
 			for _, engine := range d.engines {
-				engine.Behave(func(_ int, r platformtest.Request) platformtest.Behaviour {
+				engine.SetBehaviour(func(_ int, r platformtest.Request) platformtest.Behaviour {
 					mu.Lock()
 					defer mu.Unlock()
 					id := r.ID()
@@ -107,7 +107,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			d := newDeployment(t, 1)
 			for _, engine := range d.engines {
-				engine.Behave(func(_ int, r platformtest.Request) platformtest.Behaviour {
+				engine.SetBehaviour(func(_ int, r platformtest.Request) platformtest.Behaviour {
 					if r.ID() == "item-0a" {
 						return test.behaviour
 					}
--- a/internal/program/process/gateway_call_test.go
+++ b/internal/program/process/gateway_call_test.go
@@ -79,7 +79,7 @@
 			var mu sync.Mutex
 			sent := 0
 			for _, server := range d.services {
-				server.Behave(func(int, platformtest.Request) platformtest.Behaviour {
+				server.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour {
 					mu.Lock()
 					defer mu.Unlock()
 					sent++
@@ -103,7 +103,7 @@
 func TestGatewayRefusesAtOnceWhenAllAreFull(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, server := range d.services {
-		server.Behave(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Shed })
+		server.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Shed })
 	}
 	started := time.Now()
 	got := d.ask(d.gateways[0], http.MethodPost, "/once/", keyNorth, "r1", "q")
@@ -117,7 +117,7 @@
 func TestGatewayAnswersAtTheRoutesTimeout(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, server := range d.services {
-		server.Behave(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Hang })
+		server.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Hang })
 	}
 	started := time.Now()
 	got := d.ask(d.gateways[0], http.MethodPost, "/short/", keyNorth, "r1", "q")
@@ -131,7 +131,7 @@
 	d := newDeployment(t, 1)
 	released := make(chan struct{}, 4)
 	for _, server := range d.services {
-		server.Behave(func(int, platformtest.Request) platformtest.Behaviour {
+		server.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour {
 			released <- struct{}{}
 			return platformtest.Hang
 		})
--- a/internal/program/process/gateway_reward_test.go
+++ b/internal/program/process/gateway_reward_test.go
@@ -106,7 +106,7 @@
 			var mu sync.Mutex
 			seen := map[string]bool{}
 			for _, desk := range d.services {
-				desk.Behave(func(_ int, r platformtest.Request) platformtest.Behaviour {
+				desk.SetBehaviour(func(_ int, r platformtest.Request) platformtest.Behaviour {
 					mu.Lock()
 					defer mu.Unlock()
 					if seen[r.ID()] {
@@ -128,7 +128,7 @@
 func TestARewardCallThatAlwaysFailsLosesItsItem(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, desk := range d.services {
-		desk.Behave(func(_ int, r platformtest.Request) platformtest.Behaviour {
+		desk.SetBehaviour(func(_ int, r platformtest.Request) platformtest.Behaviour {
 			if r.ID() == rewardOf("item-0a") {
 				return platformtest.Fail
 			}
@@ -159,7 +159,7 @@
 	const watched = 1200 * time.Millisecond
 	d := newDeployment(t, 1)
 	for _, desk := range d.services {
-		desk.Behave(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Unprocessable })
+		desk.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Unprocessable })
 	}
 	d.submit(d.gateways[0], "j1", scoredSubmission(1))
 	d.eventually("items are being scored", func() bool { return len(d.rewardCalls()) >= 2 })
@@ -192,7 +192,7 @@
 			var mu sync.Mutex
 			silent := true
 			for _, desk := range d.services {
-				desk.Behave(func(int, platformtest.Request) platformtest.Behaviour {
+				desk.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour {
 					mu.Lock()
 					defer mu.Unlock()
 					if silent {
@@ -221,7 +221,7 @@
 	const endMost, watched, pollPause = 3 * time.Second, time.Second, 5 * time.Millisecond
 	d := newDeployment(t, 2)
 	for _, desk := range d.services {
-		desk.Behave(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Hang })
+		desk.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Hang })
 	}
 	d.submit(d.gateways[0], "j1", scoredSubmission(4))
 	home, _ := d.runner("j1")
--- a/internal/program/soak/trouble.go
+++ b/internal/program/soak/trouble.go
@@ -116,7 +116,7 @@
 func (w *world) disturbServer(e entry) {
 	server := w.all()[e.target%len(w.all())]
 	behaviour := serverBehaviours[int(e.draw*float64(len(serverBehaviours)))]
-	server.Behave(func(n int, _ platformtest.Request) platformtest.Behaviour {
+	server.SetBehaviour(func(n int, _ platformtest.Request) platformtest.Behaviour {
 		if n%disturbedPart == 0 {
 			return behaviour
 		}
@@ -141,7 +141,7 @@
 // event twice, passes on the answer to another request, or sends a call again that may have run.
 func (w *world) calm(server *platformtest.Server) {
 	engine := slices.Contains(w.engines, server)
-	server.Behave(func(n int, r platformtest.Request) platformtest.Behaviour {
+	server.SetBehaviour(func(n int, r platformtest.Request) platformtest.Behaviour {
 		switch {
 		case engine && r.Resumed() && n%repeatPart == 0:
 			return platformtest.RepeatLastEvent
