--- a/internal/program/demo/player.go
+++ b/internal/program/demo/player.go
@@ -141,7 +141,7 @@
 func (p *player) runs(of func(platformtest.Request) bool) int {
 	count := 0
 	for _, service := range p.stage.services {
-		for _, seen := range service.Seen() {
+		for _, seen := range service.Requests() {
 			if seen.Did != platformtest.Shed && of(seen) {
 				count++
 			}
@@ -248,7 +248,7 @@
 func (p *player) lookForKeys(context.Context) error {
 	p.seen.KeysSeen, p.seen.Misnamed = []string{}, []string{}
 	for _, server := range p.stage.servers() {
-		for _, seen := range server.Seen() {
+		for _, seen := range server.Requests() {
 			if p.holdsKey(seen) {
 				p.seen.KeysSeen = append(p.seen.KeysSeen, server.ID)
 			}
--- a/internal/program/process/gateway_batch_test.go
+++ b/internal/program/process/gateway_batch_test.go
@@ -40,7 +40,7 @@
 		}
 	}
 	for _, engine := range d.engines {
-		for _, seen := range engine.Seen() {
+		for _, seen := range engine.Requests() {
 			if seen.Organisation() != "north" || seen.Body != platformtest.Body || seen.Host != hostName || seen.Tokens() != platformtest.ItemTokens {
 				t.Errorf("%+v", seen)
 			}
@@ -122,7 +122,7 @@
 			}
 			runs := 0
 			for _, engine := range d.engines {
-				for _, seen := range engine.Seen() {
+				for _, seen := range engine.Requests() {
 					if seen.ID() == "item-0a" {
 						runs++
 					}
@@ -240,9 +240,9 @@
 		return ok && strings.Contains(string(object.Spec), `"entry-0 j1"`)
 	})
 	d.gateways[0].kill()
-	before := len(d.engines[0].Seen()) + len(d.engines[1].Seen())
+	before := len(d.engines[0].Requests()) + len(d.engines[1].Requests())
 	d.start("entry-9")
-	d.eventually("its items run again", func() bool { return len(d.engines[0].Seen())+len(d.engines[1].Seen()) > before })
+	d.eventually("its items run again", func() bool { return len(d.engines[0].Requests())+len(d.engines[1].Requests()) > before })
 }
 
 // Guards against items that begin anew when all entries die at once.
@@ -260,7 +260,7 @@
 	d.checkResults(d.readAll(d.gateways[2], "j1", 4), 4, events)
 	resumed := 0
 	for _, engine := range d.engines {
-		for _, seen := range engine.Seen() {
+		for _, seen := range engine.Requests() {
 			if seen.Resumed() {
 				resumed++
 			}
@@ -298,14 +298,14 @@
 		engine.SetStream(50, 100*time.Millisecond)
 	}
 	d.submit(d.gateways[0], "j1", submission(20, 20, 1))
-	d.eventually("items run", func() bool { return len(d.engines[0].Seen()) > 0 })
+	d.eventually("items run", func() bool { return len(d.engines[0].Requests()) > 0 })
 	if got := d.ask(d.gateways[1], http.MethodDelete, platformtest.JobTarget("j1", 0), keyNorth, "e", ""); got.status != http.StatusOK {
 		t.Fatalf("%+v", got)
 	}
 	d.eventually("the engines are free", func() bool { return len(d.gateways[0].book.Running())+len(d.gateways[1].book.Running()) == 0 })
-	before := len(d.engines[0].Seen()) + len(d.engines[1].Seen())
+	before := len(d.engines[0].Requests()) + len(d.engines[1].Requests())
 	time.Sleep(300 * time.Millisecond)
-	if after := len(d.engines[0].Seen()) + len(d.engines[1].Seen()); after != before {
+	if after := len(d.engines[0].Requests()) + len(d.engines[1].Requests()); after != before {
 		t.Errorf("%d items started after the end", after-before)
 	}
 }
--- a/internal/program/process/gateway_call_test.go
+++ b/internal/program/process/gateway_call_test.go
@@ -19,7 +19,7 @@
 	if got.status != http.StatusOK || !strings.HasSuffix(got.body, "answers question") || !signed || id != "r1" {
 		t.Fatalf("%+v", got)
 	}
-	seen := append(d.services[0].Seen(), d.services[1].Seen()...)
+	seen := append(d.services[0].Requests(), d.services[1].Requests()...)
 	if len(seen) != 1 || seen[0].Target != "/safe/a/../b?x=%20" || seen[0].Host != hostName || seen[0].Body != "question" {
 		t.Fatalf("%+v", seen)
 	}
@@ -48,7 +48,7 @@
 		})
 	}
 	for _, server := range d.servers() {
-		if seen := server.Seen(); len(seen) > 0 {
+		if seen := server.Requests(); len(seen) > 0 {
 			t.Errorf("%s saw %v", server.ID, seen)
 		}
 	}
@@ -176,13 +176,13 @@
 		}
 		return false
 	})
-	before := len(d.services[0].Seen())
+	before := len(d.services[0].Requests())
 	for range 10 {
 		if got := d.ask(d.gateways[0], http.MethodPost, "/safe/", keyNorth, "r", "q"); got.status != http.StatusOK {
 			t.Errorf("%+v", got)
 		}
 	}
-	if after := len(d.services[0].Seen()); after != before {
+	if after := len(d.services[0].Requests()); after != before {
 		t.Errorf("%d calls reached the draining server", after-before)
 	}
 }
--- a/internal/program/process/gateway_reward_test.go
+++ b/internal/program/process/gateway_reward_test.go
@@ -46,7 +46,7 @@
 		}
 		valid := false
 		for _, desk := range d.services {
-			for _, seen := range desk.Seen() {
+			for _, seen := range desk.Requests() {
 				if seen.ID() == rewardOf(each.ID) && each.Score == platformtest.Signature(desk.ID, seen.ID()) {
 					valid = valid || seen.At.After(made)
 				}
@@ -61,7 +61,7 @@
 func (d *deployment) rewardCalls() []platformtest.Request {
 	var calls []platformtest.Request
 	for _, desk := range d.services {
-		for _, seen := range desk.Seen() {
+		for _, seen := range desk.Requests() {
 			if strings.HasPrefix(seen.ID(), "score-") {
 				calls = append(calls, seen)
 			}
--- a/internal/program/soak/check.go
+++ b/internal/program/soak/check.go
@@ -16,7 +16,7 @@
 		jobs[j.id] = j
 	}
 	for _, server := range l.w.all() {
-		for _, request := range server.Seen() {
+		for _, request := range server.Requests() {
 			id := request.ID()
 			if item, ok := strings.CutPrefix(id, rewardPrefix); ok {
 				l.checkReward(jobs[jobOf(item)], request, server.ID)
@@ -56,7 +56,7 @@
 		if score != platformtest.Signature(service.ID, rewardPrefix+item) {
 			continue
 		}
-		return slices.ContainsFunc(service.Seen(), func(request platformtest.Request) bool {
+		return slices.ContainsFunc(service.Requests(), func(request platformtest.Request) bool {
 			return request.ID() == rewardPrefix+item && request.Did.AnswersPlainCalls() && request.At.After(whole)
 		})
 	}
