--- a/internal/program/process/gateway_reward_test.go
+++ b/internal/program/process/gateway_reward_test.go
@@ -40,7 +40,7 @@
 		}
 		var made time.Time
 		for _, engine := range d.engines {
-			if at, ok := engine.Whole(each.ID); ok && (made.IsZero() || at.Before(made)) {
+			if at, ok := engine.LastEventSentAt(each.ID); ok && (made.IsZero() || at.Before(made)) {
 				made = at
 			}
 		}
--- a/internal/program/soak/check.go
+++ b/internal/program/soak/check.go
@@ -126,7 +126,7 @@
 // whole returns when a server first sent the last event of an item.
 func (w *world) whole(item string) (first time.Time, ok bool) {
 	for _, engine := range w.engines {
-		if at, sent := engine.Whole(item); sent && (!ok || at.Before(first)) {
+		if at, sent := engine.LastEventSentAt(item); sent && (!ok || at.Before(first)) {
 			first, ok = at, true
 		}
 	}
