--- a/internal/program/demo/player.go
+++ b/internal/program/demo/player.go
@@ -142,7 +142,7 @@
 	count := 0
 	for _, service := range p.stage.services {
 		for _, seen := range service.Requests() {
-			if seen.Did != platformtest.Shed && of(seen) {
+			if seen.Behaviour != platformtest.Shed && of(seen) {
 				count++
 			}
 		}
--- a/internal/program/soak/check.go
+++ b/internal/program/soak/check.go
@@ -24,7 +24,7 @@
 			}
 			sound := request.Organisation() == organisation && request.Key() == "" && (isJob(request) || request.Body == "body of "+id)
 			l.ledger.check(promiseServer, sound, "server %s was sent %v with the body %q", server.ID, request.Header, request.Body)
-			if request.Did == platformtest.Shed {
+			if request.Behaviour == platformtest.Shed {
 				continue
 			}
 			ran[id]++
@@ -40,7 +40,7 @@
 func (l *load) checkReward(j *job, request platformtest.Request, server string) {
 	sound := request.Organisation() == "" && request.Key() == "" && request.Body == platformtest.RewardBody
 	l.ledger.check(promiseServer, sound, "server %s was sent the reward call %v with the body %q", server, request.Header, request.Body)
-	if request.Did != platformtest.Shed {
+	if request.Behaviour != platformtest.Shed {
 		l.checkStart(j, request, server)
 	}
 }
@@ -57,7 +57,7 @@
 			continue
 		}
 		return slices.ContainsFunc(service.Requests(), func(request platformtest.Request) bool {
-			return request.ID() == rewardPrefix+item && request.Did.AnswersPlainCalls() && request.At.After(whole)
+			return request.ID() == rewardPrefix+item && request.Behaviour.AnswersPlainCalls() && request.At.After(whole)
 		})
 	}
 	return false
