--- a/internal/program/process/gateway_reward_test.go
+++ b/internal/program/process/gateway_reward_test.go
@@ -48,7 +48,7 @@
 		for _, desk := range d.services {
 			for _, seen := range desk.Requests() {
 				if seen.ID() == rewardOf(each.ID) && each.Score == platformtest.Signature(desk.ID, seen.ID()) {
-					valid = valid || seen.At.After(made)
+					valid = valid || seen.ReceivedAt.After(made)
 				}
 			}
 		}
--- a/internal/program/soak/check.go
+++ b/internal/program/soak/check.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		return slices.ContainsFunc(service.Requests(), func(request platformtest.Request) bool {
-			return request.ID() == rewardPrefix+item && request.Behaviour.AnswersPlainCalls() && request.At.After(whole)
+			return request.ID() == rewardPrefix+item && request.Behaviour.AnswersPlainCalls() && request.ReceivedAt.After(whole)
 		})
 	}
 	return false
@@ -87,9 +87,9 @@
 	if j.ended.IsZero() {
 		return
 	}
-	late := request.At.Sub(j.ended)
-	l.ledger.check(promiseEnd, late <= startsTime || l.w.wasIsolated(request.At), "job %s was ended at %s; item %s started at %s at %s, %v later",
-		j.id, clock(j.ended), request.ID(), server, clock(request.At), late)
+	late := request.ReceivedAt.Sub(j.ended)
+	l.ledger.check(promiseEnd, late <= startsTime || l.w.wasIsolated(request.ReceivedAt), "job %s was ended at %s; item %s started at %s at %s, %v later",
+		j.id, clock(j.ended), request.ID(), server, clock(request.ReceivedAt), late)
 }
 
 // withdrawnTime is how long a withdrawn key may go on while processes are disturbed: longer than any disturbance.
