--- a/internal/program/process/gateway_call_test.go
+++ b/internal/program/process/gateway_call_test.go
@@ -23,7 +23,7 @@
 	if len(seen) != 1 || seen[0].Target != "/safe/a/../b?x=%20" || seen[0].Host != hostName || seen[0].Body != "question" {
 		t.Fatalf("%+v", seen)
 	}
-	if seen[0].Organisation() != "north" || seen[0].Key() != "" || !seen[0].Addressed() {
+	if seen[0].Organisation() != "north" || seen[0].Key() != "" || !seen[0].HasServerAndDeadline() {
 		t.Errorf("%v", seen[0].Header)
 	}
 }
--- a/internal/program/process/gateway_reward_test.go
+++ b/internal/program/process/gateway_reward_test.go
@@ -78,7 +78,7 @@
 	d.checkScores(first)
 	d.checkScores(d.readAll(d.gateways[0], "j1", 8))
 	for _, call := range d.rewardCalls() {
-		if call.Method != http.MethodPost || call.Body != platformtest.RewardBody || call.Host != hostName || !call.Addressed() {
+		if call.Method != http.MethodPost || call.Body != platformtest.RewardBody || call.Host != hostName || !call.HasServerAndDeadline() {
 			t.Errorf("%+v", call)
 		}
 		if call.Organisation() != "" || call.Key() != "" {
