--- a/internal/program/process/gateway_batch_test.go
+++ b/internal/program/process/gateway_batch_test.go
@@ -41,7 +41,7 @@
 	}
 	for _, engine := range d.engines {
 		for _, seen := range engine.Requests() {
-			if seen.Organisation() != "north" || seen.Body != platformtest.Body || seen.Host != hostName || seen.Tokens() != platformtest.ItemTokens {
+			if seen.Organisation() != "north" || seen.Body != platformtest.Body || seen.Host != hostName || seen.TokenCounts() != platformtest.ItemTokens {
 				t.Errorf("%+v", seen)
 			}
 		}
