--- a/internal/program/process/gateway_harness_test.go
+++ b/internal/program/process/gateway_harness_test.go
@@ -83,7 +83,7 @@
 	d.t.Helper()
 	door := d.store.NewEndpoint(d.t)
 	set := settings.Settings{
-		Listen: platformtest.Address(), PeerListen: platformtest.Address(), AdminListen: platformtest.Address(),
+		Listen: platformtest.UnusedAddress(), PeerListen: platformtest.UnusedAddress(), AdminListen: platformtest.UnusedAddress(),
 		AvailabilityZone: "north-a", HostID: hostID, PlatformURL: door.URL(), ReportsURL: d.duties.URL(),
 		PeerSecret: "a secret of the tests", UsageWindow: time.Second, LeaveDelay: 100 * time.Millisecond, DrainTime: 5 * time.Second,
 		BodyLimitBytes: 1 << 20,
--- a/internal/program/process/register_test.go
+++ b/internal/program/process/register_test.go
@@ -11,7 +11,7 @@
 // Guards against an entry that stays isolated because none of its seeds is reachable.
 func TestAnEntryWithStaleSeedsFindsTheOthers(t *testing.T) {
 	d := newDeployment(t, 2)
-	late := d.startWithSeed("entry-late", platformtest.Address())
+	late := d.startWithSeed("entry-late", platformtest.UnusedAddress())
 	d.eventually("the late entry knows the others", func() bool { return len(late.gossip.Alive(time.Now())) == 2 })
 	d.eventually("the others know the late entry", func() bool { return len(d.gateways[0].gossip.Alive(time.Now())) == 2 })
 }
@@ -19,9 +19,9 @@
 // Guards against a stale address in the store after an entry restarts at another one.
 func TestAChangedAddressIsUpdated(t *testing.T) {
 	d := newDeployment(t, 0)
-	d.store.Put(kindMembers, "entry-0", platformtest.Address())
+	d.store.Put(kindMembers, "entry-0", platformtest.UnusedAddress())
 	d.start("entry-0")
-	second := d.startWithSeed("entry-1", platformtest.Address())
+	second := d.startWithSeed("entry-1", platformtest.UnusedAddress())
 	d.eventually("the second entry knows the first", func() bool { return len(second.gossip.Alive(time.Now())) == 1 })
 }
 
@@ -31,7 +31,7 @@
 	door := d.store.NewEndpoint(d.t)
 	set := d.gateways[0].set
 	set.HostID, set.PlatformURL = hostID, door.URL()
-	set.Listen, set.PeerListen, set.AdminListen = platformtest.Address(), platformtest.Address(), platformtest.Address()
+	set.Listen, set.PeerListen, set.AdminListen = platformtest.UnusedAddress(), platformtest.UnusedAddress(), platformtest.UnusedAddress()
 	set.Seeds = []netip.AddrPort{seed}
 	return d.startWith(set, door)
 }
--- a/internal/program/soak/harm_test.go
+++ b/internal/program/soak/harm_test.go
@@ -13,7 +13,7 @@
 // whole after that, and new connections must pass where that is asked for.
 func TestLinkHoldsWhatItIsToldTo(t *testing.T) {
 	const held = 100 * time.Millisecond
-	target := platformtest.Address()
+	target := platformtest.UnusedAddress()
 	echo, err := net.Listen("tcp", target.String())
 	if err != nil {
 		t.Fatal(err)
@@ -24,7 +24,7 @@
 			go func() { _, _ = io.Copy(conn, conn) }()
 		}
 	}()
-	address := platformtest.Address()
+	address := platformtest.UnusedAddress()
 	l, err := newLink(t.Context(), address, target)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/program/soak/world.go
+++ b/internal/program/soak/world.go
@@ -72,11 +72,11 @@
 		w.calm(server)
 		w.store.Register(server, false)
 	}
-	seed := platformtest.Address()
+	seed := platformtest.UnusedAddress()
 	for i := range processes {
 		advertised := seed
 		if i > 0 {
-			advertised = platformtest.Address()
+			advertised = platformtest.UnusedAddress()
 		}
 		p, err := w.newProcess(entryName(i), o, seed, advertised, c)
 		if err != nil {
@@ -122,7 +122,7 @@
 
 // newProcess prepares a process that others reach at the advertised address, through its link.
 func (w *world) newProcess(name string, o Options, seed, advertised netip.AddrPort, c platformtest.Cleaner) (*process, error) {
-	callers, peers, admin := platformtest.Address(), platformtest.Address(), platformtest.Address()
+	callers, peers, admin := platformtest.UnusedAddress(), platformtest.UnusedAddress(), platformtest.UnusedAddress()
 	p := &process{
 		name: name, program: o.Program, callers: "http://" + callers.String(), ready: "http://" + admin.String() + "/readyz",
 		door: w.store.NewEndpoint(c), settings: filepath.Join(o.Folder, name+".json"),
