--- a/internal/program/demo/client.go
+++ b/internal/program/demo/client.go
@@ -50,7 +50,7 @@
 		return answer{}, errors.Wrap(err, q.path)
 	}
 	request.Host = c.host
-	platformtest.Ask(request, q.id, q.key, patience)
+	platformtest.SetCallerHeaders(request, q.id, q.key, patience)
 	if q.wait > 0 {
 		platformtest.Wait(request, q.wait)
 	}
--- a/internal/program/process/gateway_call_test.go
+++ b/internal/program/process/gateway_call_test.go
@@ -138,7 +138,7 @@
 	}
 	request, _ := http.NewRequest(http.MethodPost, d.gateways[0].callers+"/once/", strings.NewReader("q"))
 	request.Host = hostName
-	platformtest.Ask(request, "r1", keyNorth, time.Minute)
+	platformtest.SetCallerHeaders(request, "r1", keyNorth, time.Minute)
 	impatient := http.Client{Timeout: 300 * time.Millisecond}
 	if response, err := impatient.Do(request); err == nil {
 		_ = response.Body.Close()
--- a/internal/program/process/gateway_harness_test.go
+++ b/internal/program/process/gateway_harness_test.go
@@ -159,7 +159,7 @@
 		return answer{}, err
 	}
 	request.Host = hostName
-	platformtest.Ask(request, id, key, 5*time.Second)
+	platformtest.SetCallerHeaders(request, id, key, 5*time.Second)
 	for _, each := range change {
 		each(request)
 	}
--- a/internal/program/soak/load.go
+++ b/internal/program/soak/load.go
@@ -108,7 +108,7 @@
 		return 0, ""
 	}
 	request.Host = hostName
-	platformtest.Ask(request, q.id, q.key, patience)
+	platformtest.SetCallerHeaders(request, q.id, q.key, patience)
 	platformtest.Wait(request, q.wait)
 	client := l.kept
 	if q.fresh {
