--- a/internal/program/process/gateway_call_test.go
+++ b/internal/program/process/gateway_call_test.go
@@ -13,7 +13,7 @@
 func TestGatewayServesACall(t *testing.T) {
 	d := newDeployment(t, 1)
 	got := d.ask(d.gateways[0], http.MethodPost, "/safe/a/../b?x=%20", keyNorth, "r1", "question", func(request *http.Request) {
-		platformtest.Pretend(request, "somebody")
+		platformtest.SpoofOrganisation(request, "somebody")
 	})
 	id, signed := platformtest.Signed(got.header)
 	if got.status != http.StatusOK || !strings.HasSuffix(got.body, "answers question") || !signed || id != "r1" {
