--- a/internal/program/demo/client.go
+++ b/internal/program/demo/client.go
@@ -52,7 +52,7 @@
 	request.Host = c.host
 	platformtest.SetCallerHeaders(request, q.id, q.key, patience)
 	if q.wait > 0 {
-		platformtest.Wait(request, q.wait)
+		platformtest.SetMaxWait(request, q.wait)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
--- a/internal/program/process/gateway_harness_test.go
+++ b/internal/program/process/gateway_harness_test.go
@@ -186,7 +186,7 @@
 // read reads the results of a job from a position on.
 func (d *deployment) read(g *testGateway, job string, from int) (platformtest.Results, int) {
 	d.t.Helper()
-	patient := func(request *http.Request) { platformtest.Wait(request, 500*time.Millisecond) }
+	patient := func(request *http.Request) { platformtest.SetMaxWait(request, 500*time.Millisecond) }
 	got, err := d.try(g, http.MethodGet, platformtest.JobTarget(job, from), keyNorth, "read", "", patient)
 	if err != nil {
 		return platformtest.Results{}, 0
--- a/internal/program/soak/load.go
+++ b/internal/program/soak/load.go
@@ -109,7 +109,7 @@
 	}
 	request.Host = hostName
 	platformtest.SetCallerHeaders(request, q.id, q.key, patience)
-	platformtest.Wait(request, q.wait)
+	platformtest.SetMaxWait(request, q.wait)
 	client := l.kept
 	if q.fresh {
 		client = l.fresh
