--- a/internal/program/process/gateway_duty_test.go
+++ b/internal/program/process/gateway_duty_test.go
@@ -35,7 +35,7 @@
 func TestWeightsThatAreTooOldAreNotUsed(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, engine := range d.engines {
-		d.store.Claim(engine, "m", 5)
+		d.store.RegisterWithVersion(engine, "m", 5)
 	}
 	d.engines[1].SetVersion("m", 5)
 	d.eventually("the entry knows the list", func() bool {
--- a/internal/program/soak/trouble.go
+++ b/internal/program/soak/trouble.go
@@ -167,7 +167,7 @@
 	w.mu.Unlock()
 	w.store.NameVersion(model, version)
 	// The list says of one engine that it has the weights, and the engine has not: it was started again with those from before.
-	w.store.Claim(w.engines[version%len(w.engines)], model, version)
+	w.store.RegisterWithVersion(w.engines[version%len(w.engines)], model, version)
 }
 
 // followEngines registers the weights that engines have loaded, as they do themselves.
