--- a/internal/program/demo/training.go
+++ b/internal/program/demo/training.go
@@ -166,7 +166,7 @@
 // changeWeights names new weights and waits until an engine was ordered to load them.
 func (p *player) changeWeights(ctx context.Context) error {
 	sent := time.Now()
-	p.stage.store.NameVersion(p.deployment.Model, secondVersion)
+	p.stage.store.PutModelVersion(p.deployment.Model, secondVersion)
 	// An engine that is not ordered in time is named among the promises.
 	_ = until(ctx, "engine ordered to load new weights", orderLimit, func() bool {
 		return slices.ContainsFunc(p.stage.engines, func(engine *platformtest.Server) bool { return len(engine.Orders()) > 0 })
--- a/internal/program/process/gateway_duty_test.go
+++ b/internal/program/process/gateway_duty_test.go
@@ -11,7 +11,7 @@
 
 func TestVersionsAreLoadedAndUsed(t *testing.T) {
 	d := newDeployment(t, 2)
-	d.store.NameVersion("m", 3)
+	d.store.PutModelVersion("m", 3)
 	d.eventually("an engine was ordered", func() bool { return len(d.engines[0].Orders())+len(d.engines[1].Orders()) > 0 })
 	for _, engine := range d.engines {
 		for _, order := range engine.Orders() {
--- a/internal/program/soak/trouble.go
+++ b/internal/program/soak/trouble.go
@@ -165,7 +165,7 @@
 	w.weights++
 	version := w.weights
 	w.mu.Unlock()
-	w.store.NameVersion(model, version)
+	w.store.PutModelVersion(model, version)
 	// The list says of one engine that it has the weights, and the engine has not: it was started again with those from before.
 	w.store.RegisterWithVersion(w.engines[version%len(w.engines)], model, version)
 }
