--- a/internal/program/demo/player.go
+++ b/internal/program/demo/player.go
@@ -207,7 +207,7 @@
 func (p *player) retire(ctx context.Context) error {
 	const host = "disk-host"
 	p.stage.store.Retire(host)
-	p.seen.Retired = until(ctx, "host reported as empty", retireLimit, func() bool { return p.stage.store.Retired(host) }) == nil
+	p.seen.Retired = until(ctx, "host reported as empty", retireLimit, func() bool { return p.stage.store.ReportedEmpty(host) }) == nil
 	p.tell("a host to be emptied was reported as empty: %t", p.seen.Retired)
 	return ctx.Err()
 }
--- a/internal/program/process/gateway_duty_test.go
+++ b/internal/program/process/gateway_duty_test.go
@@ -108,7 +108,7 @@
 func TestRetirementsAreReported(t *testing.T) {
 	d := newDeployment(t, 1)
 	d.store.Retire("store-1")
-	d.eventually("the host may be taken away", func() bool { return d.store.Retired("store-1") })
+	d.eventually("the host may be taken away", func() bool { return d.store.ReportedEmpty("store-1") })
 }
 
 // Guards against a holder of the duties that ignores the token rates of jobs that run at other entries.
