--- a/internal/program/demo/stage.go
+++ b/internal/program/demo/stage.go
@@ -28,7 +28,7 @@
 type stage struct {
 	deployment Deployment
 	store      *platformtest.Store
-	duties     *platformtest.Duties
+	duties     *platformtest.UsageReceiver
 	services   []*platformtest.Server
 	engines    []*platformtest.Server
 	gateways   []*entry
--- a/internal/program/process/gateway_duty_test.go
+++ b/internal/program/process/gateway_duty_test.go
@@ -55,7 +55,7 @@
 }
 
 // reports returns the last figures of each window and checks that no window was reported with two.
-func reports(t *testing.T, duties *platformtest.Duties) map[int64]map[string]uint64 {
+func reports(t *testing.T, duties *platformtest.UsageReceiver) map[int64]map[string]uint64 {
 	t.Helper()
 	windows := map[int64]map[string]uint64{}
 	fence := uint64(0)
--- a/internal/program/process/gateway_harness_test.go
+++ b/internal/program/process/gateway_harness_test.go
@@ -27,7 +27,7 @@
 type deployment struct {
 	t        *testing.T
 	store    *platformtest.Store
-	duties   *platformtest.Duties
+	duties   *platformtest.UsageReceiver
 	services []*platformtest.Server
 	engines  []*platformtest.Server
 	gateways []*testGateway
--- a/internal/program/soak/world.go
+++ b/internal/program/soak/world.go
@@ -42,7 +42,7 @@
 	ctx       context.Context
 	ledger    *ledger
 	store     *platformtest.Store
-	duties    *platformtest.Duties
+	duties    *platformtest.UsageReceiver
 	services  []*platformtest.Server
 	engines   []*platformtest.Server
 	processes []*process
