--- a/internal/program/demo/stage.go
+++ b/internal/program/demo/stage.go
@@ -43,7 +43,7 @@
 
 // newStage starts the stand-ins: a plain service and an engine in each availability zone.
 func newStage(t platformtest.Cleaner, d Deployment) *stage {
-	s := &stage{deployment: d, store: platformtest.NewStore(t), duties: platformtest.NewDuties(t)}
+	s := &stage{deployment: d, store: platformtest.NewStore(t), duties: platformtest.NewUsageReceiver(t)}
 	for _, zone := range d.AvailabilityZones {
 		s.services = append(s.services, platformtest.NewServer(t, d.Service+"-"+zone, d.Service, nil))
 		s.engines = append(s.engines, platformtest.NewServer(t, d.Engines+"-"+zone, d.Engines, map[string]int{d.Model: firstVersion}))
--- a/internal/program/process/gateway_harness_test.go
+++ b/internal/program/process/gateway_harness_test.go
@@ -48,7 +48,7 @@
 // newDeployment starts the platform with two services and two engines, and so many gateways.
 func newDeployment(t *testing.T, gateways int) *deployment {
 	t.Helper()
-	d := &deployment{t: t, store: platformtest.NewStore(t), duties: platformtest.NewDuties(t)}
+	d := &deployment{t: t, store: platformtest.NewStore(t), duties: platformtest.NewUsageReceiver(t)}
 	for i := range 2 {
 		d.services = append(d.services, platformtest.NewServer(t, fmt.Sprintf("desk-%d", i), "desk", nil))
 		d.engines = append(d.engines, platformtest.NewServer(t, fmt.Sprintf("engine-%d", i), "engines", map[string]int{"m": 1}))
--- a/internal/program/soak/world.go
+++ b/internal/program/soak/world.go
@@ -60,7 +60,7 @@
 // newWorld starts the stand-ins and the processes, which end by the cleaner.
 func newWorld(ctx context.Context, o Options, c platformtest.Cleaner) (*world, error) {
 	w := &world{
-		ctx: ctx, ledger: newLedger(), store: platformtest.NewStore(c), duties: platformtest.NewDuties(c), weights: 1, retired: map[string]time.Time{},
+		ctx: ctx, ledger: newLedger(), store: platformtest.NewStore(c), duties: platformtest.NewUsageReceiver(c), weights: 1, retired: map[string]time.Time{},
 	}
 	for i := range servers {
 		w.services = append(w.services, platformtest.NewServer(c, serviceName(i), "desk", nil))
