--- a/internal/program/process/gateway_duty_test.go
+++ b/internal/program/process/gateway_duty_test.go
@@ -64,10 +64,10 @@
 			t.Errorf("window %d: %v and %v", report.Window, known, report.Counts)
 		}
 		windows[report.Window] = report.Counts
-		if report.Fence < fence {
-			t.Errorf("fencing number %d after %d", report.Fence, fence)
+		if report.Fencing < fence {
+			t.Errorf("fencing number %d after %d", report.Fencing, fence)
 		}
-		fence = report.Fence
+		fence = report.Fencing
 	}
 	return windows
 }
--- a/internal/program/soak/check.go
+++ b/internal/program/soak/check.go
@@ -155,8 +155,8 @@
 		known, again := windows[report.Window]
 		l.ledger.check(promiseReport, !again || known == report.Counts[organisation], "window %d was reported with %d and %d", report.Window, known, report.Counts[organisation])
 		windows[report.Window] = report.Counts[organisation]
-		l.ledger.check(promiseFence, report.Fence >= fence, "a report came under %d after %d", report.Fence, fence)
-		fence = max(fence, report.Fence)
+		l.ledger.check(promiseFence, report.Fencing >= fence, "a report came under %d after %d", report.Fencing, fence)
+		fence = max(fence, report.Fencing)
 	}
 	for _, engine := range l.w.engines {
 		last := uint64(0)
