--- a/internal/program/process/gateway_batch_test.go
+++ b/internal/program/process/gateway_batch_test.go
@@ -41,12 +41,12 @@
 	}
 	for _, engine := range d.engines {
 		for _, seen := range engine.Requests() {
-			if seen.Organisation() != "north" || seen.Body != platformtest.Body || seen.Host != hostName || seen.TokenCounts() != platformtest.ItemTokens {
+			if seen.Organisation() != "north" || seen.Body != platformtest.ItemBody || seen.Host != hostName || seen.TokenCounts() != platformtest.ItemTokens {
 				t.Errorf("%+v", seen)
 			}
 		}
 	}
-	if got := d.ask(d.gateways[1], http.MethodGet, platformtest.ItemTarget("j1", "item-0a"), keyNorth, "b", ""); got.status != http.StatusOK || got.body != platformtest.Body {
+	if got := d.ask(d.gateways[1], http.MethodGet, platformtest.ItemTarget("j1", "item-0a"), keyNorth, "b", ""); got.status != http.StatusOK || got.body != platformtest.ItemBody {
 		t.Errorf("body of an item: %+v", got)
 	}
 	if got := d.ask(d.gateways[1], http.MethodGet, platformtest.JobTarget("j1", 0), keySouth, "b", ""); got.status != http.StatusNotFound {
@@ -221,7 +221,7 @@
 	d.submit(d.gateways[0], "j1", submission(4, 4, 1))
 	d.gateways[0].kill()
 	back := d.start("entry-9")
-	if got := d.ask(back, http.MethodGet, platformtest.ItemTarget("j1", "item-3b"), keyNorth, "b", ""); got.status != http.StatusOK || got.body != platformtest.Body {
+	if got := d.ask(back, http.MethodGet, platformtest.ItemTarget("j1", "item-3b"), keyNorth, "b", ""); got.status != http.StatusOK || got.body != platformtest.ItemBody {
 		t.Errorf("body of an item: %+v", got)
 	}
 	d.checkResults(d.readAll(back, "j1", 8), 8, streamEvents)
--- a/internal/program/soak/job.go
+++ b/internal/program/soak/job.go
@@ -198,7 +198,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if r.status == http.StatusOK {
-		j.ledger.check(promiseBody, r.body == platformtest.Body, "item %s %v with the body %.80q", item, r, r.body)
+		j.ledger.check(promiseBody, r.body == platformtest.ItemBody, "item %s %v with the body %.80q", item, r, r.body)
 	}
 	if saysUnknown(r.status) {
 		j.denials = append(j.denials, bodyDenial{item: item, reply: r})
