--- a/internal/program/demo/training.go
+++ b/internal/program/demo/training.go
@@ -132,7 +132,7 @@
 	times := map[string]int{}
 	for _, result := range results {
 		times[result.ID]++
-		if result.State != platformtest.Completed || result.Text != platformtest.Text(result.ID, streamEvents) || len(result.Versions) == 0 {
+		if result.State != platformtest.Completed || result.Text != platformtest.OutputText(result.ID, streamEvents) || len(result.Versions) == 0 {
 			seen.Wrong++
 			continue
 		}
--- a/internal/program/process/gateway_harness_test.go
+++ b/internal/program/process/gateway_harness_test.go
@@ -228,7 +228,7 @@
 			d.t.Errorf("%s is listed twice", each.ID)
 		}
 		seen[each.ID] = true
-		if each.State != platformtest.Completed || each.Text != platformtest.Text(each.ID, events) {
+		if each.State != platformtest.Completed || each.Text != platformtest.OutputText(each.ID, events) {
 			d.t.Errorf("%s is %s with %q", each.ID, each.State, each.Text)
 		}
 	}
--- a/internal/program/soak/job.go
+++ b/internal/program/soak/job.go
@@ -214,7 +214,7 @@
 			continue
 		}
 		result := each.result
-		whole := result.State == platformtest.Completed && result.Text == platformtest.Text(result.ID, itemEvents)
+		whole := result.State == platformtest.Completed && result.Text == platformtest.OutputText(result.ID, itemEvents)
 		older := func(v int) bool { return v < j.minVersion }
 		allowed := len(result.Versions) > 0 && !slices.ContainsFunc(result.Versions, older)
 		j.ledger.check(promiseItem, !seen[result.ID] && whole && allowed, "job %s, of weights %d or newer, lists %v; listed before: %v",
