--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -229,11 +229,13 @@
 		duty.WithContendIf(func() bool { return !heard() }))
 	g.duties.Store(g.keeper)
 	g.leader = leader.New(ctx, leader.Deps{
-		HostID:        self.HostID,
-		Keeper:        g.keeper,
-		Store:         g.store,
-		Reports:       reports,
-		ServerCarrier: func(server backend.Server) store.Transport { return store.NewHTTPTransport(server.Address, serverCalls) },
+		HostID:  self.HostID,
+		Keeper:  g.keeper,
+		Store:   g.store,
+		Reports: reports,
+		ServerCarrier: func(server backend.Server) store.Transport {
+			return store.NewHTTPTransport(server.Address, serverCalls)
+		},
 		View:          g.view,
 		Book:          g.book,
 		Ledger:        g.ledger,
