--- a/internal/core/delivery/ask.go
+++ b/internal/core/delivery/ask.go
@@ -6,35 +6,35 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// retrySoon is when a trainer comes back after a refusal that passes by itself: a lease moves
-// within seconds, and the platform is tried again each second.
-const retrySoon = time.Second
+// retryDelay is the Retry-After of refusals for conditions that pass by themselves: a lease changes hands
+// within seconds, and an unreachable platform is retried every second.
+const retryDelay = time.Second
 
-// ask is a request of the trainer that waits for its answer.
-type ask struct {
+// pendingRequest is a request of the trainer that has not been answered yet.
+type pendingRequest struct {
 	id     AskID
 	event  Event
 	cursor *Cursor
-	// sent says that a write for the request was sent and may have taken effect.
-	sent bool
-	// readUp says that the object was read after the request came, since its cursor differed.
-	readUp bool
+	// writeSent says that a write for the request was sent and may have taken effect.
+	writeSent bool
+	// reread says that the object was read again for this request because its cursor differed from the record.
+	reread bool
 }
 
-func newAsk(event Event) *ask {
+func newPendingRequest(event Event) *pendingRequest {
 	switch e := event.(type) {
 	case StepAsked:
-		return &ask{id: e.ID, event: e, cursor: e.Cursor}
+		return &pendingRequest{id: e.ID, event: e, cursor: e.Cursor}
 	case BatchAsked:
-		return &ask{id: e.ID, event: e, cursor: e.Cursor}
+		return &pendingRequest{id: e.ID, event: e, cursor: e.Cursor}
 	case VersionAsked:
-		return &ask{id: e.ID, event: e, cursor: e.Cursor}
+		return &pendingRequest{id: e.ID, event: e, cursor: e.Cursor}
 	}
-	return &ask{event: event}
+	return &pendingRequest{event: event}
 }
 
-// outcome is what became of one look at a request: an answer, a move that has to be made first,
-// or neither while it waits.
+// outcome is the result of evaluating a request: an answer, a transition that has to be made first, or neither
+// while the request waits.
 type outcome struct {
 	result Result
 	next   *Record
@@ -42,128 +42,137 @@
 
 func waiting() outcome { return outcome{} }
 
-func refused(reason verdict.Reason, retryAfter time.Duration, format string, args ...any) outcome {
+func refuse(reason verdict.Reason, retryAfter time.Duration, format string, args ...any) outcome {
 	return outcome{result: Refused{verdict.Refuse(verdict.NotRun, reason, retryAfter, format, args...)}}
 }
 
-// answerOne answers one request or makes one move alone; it returns false when nothing is left to do.
+// answerOne answers one request or makes one offline transition; it returns false if neither was possible.
 func (j *Job) answerOne() bool {
-	for i, a := range j.asks {
-		done := j.try(a)
-		if done.result != nil {
-			j.asks = append(j.asks[:i:i], j.asks[i+1:]...)
-			j.answer(a, done.result)
+	for i, request := range j.requests {
+		evaluated := j.evaluate(request)
+		if evaluated.result != nil {
+			j.requests = append(j.requests[:i:i], j.requests[i+1:]...)
+			j.answer(request, evaluated.result)
 			return true
 		}
-		if done.next != nil && j.move(a, *done.next) {
+		if evaluated.next != nil && j.transition(request, *evaluated.next) {
 			return true
 		}
-		if j.writing != nil {
+		if j.pendingWrite != nil {
 			return false
 		}
 	}
 	return false
 }
 
-// move starts the write of a move, or makes it alone; it returns true if it was made.
-func (j *Job) move(a *ask, next Record) bool {
+// transition starts the write of a transition, or makes it offline; it returns true if it was made offline.
+func (j *Job) transition(request *pendingRequest, next Record) bool {
 	if j.mayWrite() {
-		a.sent = true
-		j.write(next)
+		request.writeSent = true
+		j.startWrite(next)
 		return false
 	}
-	if _, version := a.event.(VersionAsked); version || !j.mayMoveAlone(a.cursor) {
+	if _, version := request.event.(VersionAsked); version || !j.mayProceedOffline(request.cursor) {
 		return false
 	}
-	if j.unsettled != nil && sameMove(*j.unsettled, next) {
-		// The lost write may have taken effect: hand out the very same batch.
-		next = *j.unsettled
-		j.extended = true
+	if j.uncertainWrite != nil && sameTransition(*j.uncertainWrite, next) {
+		// The uncertain write may have taken effect: hand out the identical batch.
+		next = *j.uncertainWrite
+		j.extendsUncertain = true
 	}
-	if !j.extended {
-		j.unsettled = nil
+	if !j.extendsUncertain {
+		j.uncertainWrite = nil
 	}
 	j.record = next
 	j.record.Step = next.Step.clone()
 	j.unwritten = true
-	j.sync()
+	j.syncSamples()
 	return true
 }
 
-func sameMove(a, b Record) bool {
+// sameTransition reports whether two records make the same batch number the newest of the same step under the
+// same model version.
+func sameTransition(a, b Record) bool {
 	return a.ModelVersion == b.ModelVersion && a.Step.key() == b.Step.key() &&
 		a.Step != nil && a.Step.Manifest != nil && a.Step.Batch == b.Step.Batch &&
 		b.Step.Manifest != nil && a.Step.Manifest.Batch == b.Step.Manifest.Batch
 }
 
-func (j *Job) try(a *ask) outcome {
-	if refusal, ok := j.checkCursor(a.cursor); !ok {
+// evaluate determines the outcome of a request in the current state.
+func (j *Job) evaluate(request *pendingRequest) outcome {
+	if refusal, ok := j.checkCursor(request.cursor); !ok {
 		return refusal
 	}
-	if !j.loaded && !j.mayMoveAlone(a.cursor) {
+	if !j.confirmed && !j.mayProceedOffline(request.cursor) {
 		return waiting()
 	}
-	if j.readsUp(a) {
+	if j.rereadRecord(request) {
 		return waiting()
 	}
-	switch e := a.event.(type) {
+	switch e := request.event.(type) {
 	case StepAsked:
-		return j.tryStep(e)
+		return j.evaluateStep(e)
 	case BatchAsked:
-		return j.tryBatch(e)
+		return j.evaluateBatch(e)
 	case VersionAsked:
-		return j.tryVersion(e)
+		return j.evaluateVersion(e)
 	}
 	return waiting()
 }
 
-// readsUp reads the object again, once for each request, if the trainer has another batch than this job
-// knows of.
+// rereadRecord reads the object again, once per request, if the cursor differs from the record; it returns
+// true while the request has to wait for the read.
 //
-// Failure: a write of an earlier coordinator comes late, after this one has read the object; the earlier
-// one finds it there and hands out its batch. This one would take the trainer's cursor for that of a batch
-// handed out in an outage, and refuse to repeat the batch for good.
-func (j *Job) readsUp(a *ask) bool {
-	if a.readUp || !j.loaded || a.cursor == nil || !j.differs(a.cursor) {
+// It guards against this failure: a write of an earlier coordinator takes effect late, after this coordinator
+// has read the object. The earlier one sees its write in the object and hands out the batch. This one would
+// take the trainer's cursor for that of a batch handed out in an outage, and refuse to repeat the batch
+// permanently.
+func (j *Job) rereadRecord(request *pendingRequest) bool {
+	if request.reread || !j.confirmed || request.cursor == nil || !j.cursorDiffers(request.cursor) {
 		return false
 	}
 	if !j.reading {
-		a.readUp = true
-		j.loaded = false
-		j.read()
+		request.reread = true
+		j.confirmed = false
+		j.startRead()
 	}
 	return true
 }
 
+// checkCursor refuses a cursor of another job, or one that a later holder of the lease issued; ok is false
+// then.
 func (j *Job) checkCursor(cursor *Cursor) (outcome, bool) {
 	switch {
 	case cursor == nil:
 		return outcome{}, true
 	case cursor.Job != j.name:
-		return refused(verdict.ReasonBadRequest, 0, "the cursor is of trainer job %s", cursor.Job), false
-	case cursor.Fencing > j.fence():
-		// The trainer was served by a later holder of the lease: this one must not go on.
-		return refused(verdict.ReasonNotLeader, retrySoon, "a later coordinator serves the job"), false
+		return refuse(verdict.ReasonBadRequest, 0, "the cursor is of trainer job %s", cursor.Job), false
+	case cursor.Fencing > j.fencingNumber():
+		// The trainer was served by a later holder of the lease, so this coordinator must not serve it.
+		return refuse(verdict.ReasonNotLeader, retryDelay, "a later coordinator serves the job"), false
 	}
 	return outcome{}, true
 }
 
-func (j *Job) tryVersion(e VersionAsked) outcome {
-	// Moves made alone are written before a new version: in one write with it their manifests,
-	// right when they were handed out, would stand in the object beyond the staleness bound.
-	if !j.loaded || j.unwritten {
+// evaluateVersion decides on a published model version. Versions only increase; the same version again is
+// accepted if its weights are the same.
+func (j *Job) evaluateVersion(e VersionAsked) outcome {
+	// Offline transitions are written before a new version is accepted. Written together with it, their
+	// manifests, which were within the staleness bound when they were handed out, would exceed it in the
+	// object.
+	if !j.confirmed || j.unwritten {
 		return waiting()
 	}
-	if refusal, ok := j.merge(e.Cursor); !ok {
+	if refusal, ok := j.mergeCursor(e.Cursor); !ok {
 		return refusal
 	}
 	switch known := j.record; {
 	case e.Version < known.ModelVersion:
-		return refused(verdict.ReasonConflict, 0, "version %d is older than %d", e.Version, known.ModelVersion)
+		return refuse(verdict.ReasonConflict, 0, "version %d is older than %d", e.Version, known.ModelVersion)
 	case e.Version == known.ModelVersion && e.Weights != known.Weights:
-		return refused(verdict.ReasonConflict, 0, "version %d has other weights", e.Version)
+		return refuse(verdict.ReasonConflict, 0, "version %d has other weights", e.Version)
 	case e.Version == known.ModelVersion:
-		return outcome{result: VersionAccepted{Version: e.Version, Weights: e.Weights, Cursor: j.cursorAfter(e.Cursor)}}
+		return outcome{result: VersionAccepted{Version: e.Version, Weights: e.Weights, Cursor: j.cursorForVersion(e.Cursor)}}
 	}
 	next := j.record
 	next.Step = j.record.Step.clone()
@@ -172,21 +181,23 @@
 	return outcome{next: &next}
 }
 
-// cursorAfter returns the cursor of the record's step, or nil if there is none or the trainer's is of a
-// later step. A trainer takes over the cursor of each answer: one of a successor that never saw that
-// step would take it back to batches that it has.
-func (j *Job) cursorAfter(sent *Cursor) *Cursor {
+// cursorForVersion returns the cursor for the answer to a published version. It is nil if there is no step, or
+// if the trainer's cursor is of a later step than the record's: a trainer takes over the cursor of each
+// answer, and that of a successor that never saw the later step would take it back to batches that it already
+// has.
+func (j *Job) cursorForVersion(sent *Cursor) *Cursor {
 	step := j.record.Step
 	if step == nil || sent != nil && sent.Step > step.Step {
 		return nil
 	}
-	cursor := j.cursorFor(sent)
+	cursor := j.cursorForAnswer(sent)
 	return &cursor
 }
 
-// cursorFor is the cursor for an answer to a trainer that sent one. What that says of a manifest goes on with it: the
-// trainer takes over the cursor of each answer, and may ask for its batch again.
-func (j *Job) cursorFor(sent *Cursor) Cursor {
+// cursorForAnswer returns the cursor for the answer to a trainer that sent the given one. It keeps the
+// manifest location of the sent cursor while the batch is the same: the trainer takes over the cursor of each
+// answer and may request its batch again.
+func (j *Job) cursorForAnswer(sent *Cursor) Cursor {
 	cursor := j.cursor()
 	if sent != nil && sent.Step == cursor.Step && sent.Batch == cursor.Batch && sent.Delivered.Equal(cursor.Delivered) {
 		cursor.Kept = sent.Kept
@@ -194,7 +205,7 @@
 	return cursor
 }
 
-// cursor returns the cursor that goes out with the newest batch.
+// cursor returns the cursor that is issued with the newest batch.
 func (j *Job) cursor() Cursor {
 	step := j.record.Step
 	return Cursor{
@@ -204,24 +215,25 @@
 		Batch:        step.Batch,
 		Delivered:    step.Delivered.Clone(),
 		Complete:     step.Complete(),
-		ModelVersion: j.current(),
-		Fencing:      j.fence(),
+		ModelVersion: j.newestPossibleVersion(),
+		Fencing:      j.fencingNumber(),
 	}
 }
 
 func (j *Job) expire(e AskExpired) {
-	for i, a := range j.asks {
-		if a.id != e.ID {
+	for i, request := range j.requests {
+		if request.id != e.ID {
 			continue
 		}
-		j.asks = append(j.asks[:i:i], j.asks[i+1:]...)
-		j.answer(a, Refused{j.expiry(e.RetryAfter)})
+		j.requests = append(j.requests[:i:i], j.requests[i+1:]...)
+		j.answer(request, Refused{j.expiryRefusal(e.RetryAfter)})
 		return
 	}
 }
 
-func (j *Job) expiry(retryAfter time.Duration) *verdict.Refusal {
-	if j.down {
+// expiryRefusal returns the refusal of a request that waited for too long.
+func (j *Job) expiryRefusal(retryAfter time.Duration) *verdict.Refusal {
+	if j.platformDown {
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonPlatformUnavailable,
 			retryAfter, "trainer job %s waits for the platform", j.name)
 	}
@@ -229,25 +241,25 @@
 		retryAfter, "trainer job %s is not that far yet", j.name)
 }
 
-// answer ends a request. After a write whose answer was lost a refusal can't say "not run".
-func (j *Job) answer(a *ask, result Result) {
-	if no, ok := result.(Refused); ok && a.sent {
-		no.Refusal.Verdict = verdict.MayHaveRun
+// answer completes a request. After a write that may have taken effect, a refusal can't say "not run".
+func (j *Job) answer(request *pendingRequest, result Result) {
+	if refused, ok := result.(Refused); ok && request.writeSent {
+		refused.Refusal.Verdict = verdict.MayHaveRun
 	}
-	j.effects = append(j.effects, Answer{ID: a.id, Result: result})
+	j.effects = append(j.effects, Answer{ID: request.id, Result: result})
 }
 
 func (j *Job) refuseAll() {
-	for _, a := range j.asks {
-		j.answer(a, Refused{verdict.Refuse(verdict.NotRun, verdict.ReasonNotLeader,
-			retrySoon, "another coordinator serves trainer job %s", j.name)})
+	for _, request := range j.requests {
+		j.answer(request, Refused{verdict.Refuse(verdict.NotRun, verdict.ReasonNotLeader,
+			retryDelay, "another coordinator serves trainer job %s", j.name)})
 	}
-	j.asks = nil
+	j.requests = nil
 }
 
-// unsend notes that the write under way is known not to have taken effect.
-func (j *Job) unsend() {
-	for _, a := range j.asks {
-		a.sent = false
+// clearWriteSent records that the write in flight is known not to have taken effect.
+func (j *Job) clearWriteSent() {
+	for _, request := range j.requests {
+		request.writeSent = false
 	}
 }
--- a/internal/core/delivery/bitmap.go
+++ b/internal/core/delivery/bitmap.go
@@ -5,28 +5,28 @@
 	"math/bits"
 )
 
-// Bitmap is a set of the samples of one step by their position in the step.
+// Bitmap is a set of samples of one step, represented by their positions in the step.
 type Bitmap []byte
 
 const bitsPerByte = 8
 
-// NewBitmap returns an empty set for size samples.
+// NewBitmap returns an empty set with room for size samples.
 func NewBitmap(size int) Bitmap {
 	return make(Bitmap, (size+bitsPerByte-1)/bitsPerByte)
 }
 
-// Has says whether the position is in the set.
+// Has reports whether the position is in the set.
 func (b Bitmap) Has(position int) bool {
-	at := position / bitsPerByte
-	return at < len(b) && b[at]&(1<<(position%bitsPerByte)) != 0
+	index := position / bitsPerByte
+	return index < len(b) && b[index]&(1<<(position%bitsPerByte)) != 0
 }
 
-// Set adds the position, which is below the size.
+// Set adds the position, which must be below the size of the set.
 func (b Bitmap) Set(position int) {
 	b[position/bitsPerByte] |= 1 << (position % bitsPerByte)
 }
 
-// Clear removes the position, which is below the size.
+// Clear removes the position, which must be below the size of the set.
 func (b Bitmap) Clear(position int) {
 	b[position/bitsPerByte] &^= 1 << (position % bitsPerByte)
 }
@@ -40,12 +40,12 @@
 	return count
 }
 
-// Equal compares two sets of one step.
+// Equal reports whether two sets of the same step have the same members.
 func (b Bitmap) Equal(other Bitmap) bool {
 	return bytes.Equal(b, other)
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns an independent copy.
 func (b Bitmap) Clone() Bitmap {
 	return bytes.Clone(b)
 }
--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -7,13 +7,13 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// AskID names a waiting request of the trainer.
+// AskID identifies a pending request of the trainer.
 type AskID uint64
 
-// Event is something that happened to the job; see Job.Handle.
+// Event is an input of the job's state machine; see Job.Handle.
 type Event interface{ event() }
 
-// Requests of the trainer. Each is answered by exactly one Answer, at once or later.
+// Requests of the trainer. Each gets exactly one Answer, immediately or later.
 type (
 	// StepAsked posts a step.
 	StepAsked struct {
@@ -22,27 +22,27 @@
 		Digest    string
 		Sizes     []int
 		BatchSize int
-		// Chunks is the number of objects that hold the body once it is stored.
+		// Chunks is the number of objects that hold the step's body once it is stored.
 		Chunks int
 		Cursor *Cursor
 	}
-	// BatchAsked asks for a batch and acknowledges the one before.
+	// BatchAsked requests a batch and acknowledges the one before.
 	BatchAsked struct {
 		ID     AskID
 		Step   int
 		Batch  int
 		Cursor *Cursor
-		// Manifest is what the cursor's Kept names, once it was found.
+		// Manifest is the manifest that the cursor refers to, once the caller has fetched it; see BatchKept.
 		Manifest *Manifest
 	}
-	// VersionAsked posts a model version.
+	// VersionAsked publishes a model version.
 	VersionAsked struct {
 		ID      AskID
 		Version int
 		Weights string
 		Cursor  *Cursor
 	}
-	// AskExpired refuses a request that still waits.
+	// AskExpired refuses a request that is still pending.
 	AskExpired struct {
 		ID         AskID
 		RetryAfter time.Duration
@@ -51,48 +51,51 @@
 
 // Results of the effects Read and Write.
 type (
-	// Loaded brings the job object; an absent one has the zero record and version 0.
+	// Loaded carries the job object; for an absent object Record is the zero record and Version is 0.
 	Loaded struct {
 		Record  Record
 		Version uint64
 	}
-	// ReadFailed says that the platform could not be read.
+	// ReadFailed reports that the platform could not be read.
 	ReadFailed struct{}
-	// Written says that the write took effect.
+	// Written reports that the write took effect.
 	Written struct{ Version uint64 }
-	// WriteConflicted says that the object had moved; nothing was written.
+	// WriteConflicted reports that the object had another version than expected; nothing was written.
 	WriteConflicted struct{}
-	// WriteUnavailable says that nothing was written, since the platform is down.
+	// WriteUnavailable reports that nothing was written: the platform is down or refused the write, or the
+	// write was not sent in time.
 	WriteUnavailable struct{}
-	// WriteUnsettled says that the answer was lost; the write may take effect, even later.
+	// WriteUnsettled reports that the answer was lost: the write may have taken effect, or may still do so
+	// later.
 	WriteUnsettled struct{}
-	// WriteFenced says that the lease ended right before the write; nothing was sent.
+	// WriteFenced reports that the lease ended just before the write; nothing was sent.
 	WriteFenced struct{}
 )
 
-// Changes around the job.
+// Changes of the lease, the platform, the configuration and the stored contents, and the clock tick.
 type (
-	// FenceChanged tells whether the lease is held, and its fencing number. Renewed says that
-	// the lease was held without a gap since the last number, so that no other holder came between.
+	// FenceChanged reports whether the lease is held, and its fencing number. Renewed means that the lease has
+	// been held without a gap since the previous number, so no other host held it in between.
 	FenceChanged struct {
 		Number  uint64
 		Held    bool
 		Renewed bool
 	}
-	// Superseded says that another holder of the lease was seen.
+	// Superseded reports that another host holds the lease.
 	Superseded struct{}
-	// OutageChanged says whether the platform is down for most hosts, and nobody is known to have reached it
-	// since this host's last term ended, so that no other host can have taken the lease.
+	// OutageChanged reports whether an outage of the platform is established: the platform is down for most
+	// hosts, and no host is known to have reached it since this host's last lease term ended. No other host
+	// can have taken the lease then.
 	OutageChanged struct{ Established bool }
-	// BoundChanged sets the staleness bound, in versions.
+	// BoundChanged sets the staleness bound, in model versions.
 	BoundChanged struct{ Bound int }
-	// Ticked comes about once a second and tries an unreachable platform again.
+	// Ticked arrives about once a second and retries an unreachable platform.
 	Ticked struct{}
-	// ContentLost says that no host holds the content of a batch any more.
+	// ContentLost reports that no host holds the content of a batch any more.
 	ContentLost struct{ Step, Batch int }
 )
 
-// Work names one attempt at a sample. Results of an attempt that was given up are ignored.
+// Work identifies one attempt at a sample. Results of abandoned attempts are ignored.
 type Work struct {
 	Step     int
 	Position int
@@ -101,25 +104,26 @@
 
 // Progress of samples.
 type (
-	// SampleStarted says that an engine works on the sample.
+	// SampleStarted reports that an engine is generating the sample.
 	SampleStarted struct{ Work Work }
-	// SampleFailed brings the tokens so far, to resume from.
+	// SampleFailed reports a failed generation and carries the tokens so far, from which the next call
+	// resumes.
 	SampleFailed struct {
 		Work   Work
 		Tokens []Token
 	}
-	// SampleGenerated brings all tokens and the digest of the encoded content.
+	// SampleGenerated carries all tokens and the digest of the encoded content.
 	SampleGenerated struct {
 		Work   Work
 		Tokens []Token
 		Digest string
 	}
-	// SampleCopied names the second host that holds the content.
+	// SampleCopied reports the second host that holds the content.
 	SampleCopied struct {
 		Work Work
 		Host netip.AddrPort
 	}
-	// SampleScored brings the score.
+	// SampleScored carries the score.
 	SampleScored struct {
 		Work  Work
 		Score float64
@@ -149,21 +153,21 @@
 func (SampleCopied) event()     {}
 func (SampleScored) event()     {}
 
-// Effect is something that the caller of Job.Handle does.
+// Effect is an action that the caller of Job.Handle carries out.
 type Effect interface{ effect() }
 
-// The effects. At most one Read or Write is under way at a time.
+// The effects. At most one Read or Write is in flight at a time.
 type (
 	// Read loads the job object.
 	Read struct{}
-	// Write updates the job object if its version is still IfVersion and the lease is held.
+	// Write updates the job object if its version is still IfVersion and the lease is still held.
 	Write struct {
 		Record    Record
 		IfVersion uint64
-		// Body says that the body of the record's step is stored before.
+		// Body asks to store the body of the record's step before the record.
 		Body bool
 	}
-	// Answer ends a request of the trainer.
+	// Answer completes a request of the trainer.
 	Answer struct {
 		ID     AskID
 		Result Result
@@ -190,10 +194,12 @@
 		Step     int
 		Manifest Manifest
 		Cursor   Cursor
-		// Unwritten says that the manifest is not in the job object: it has to be kept before the batch is handed out.
+		// Unwritten means that the manifest is not in the job object: the caller stores the manifest on hosts
+		// before it hands out the batch.
 		Unwritten bool
 	}
-	// BatchKept answers BatchAsked: the manifest is to be found, and the batch asked for with it.
+	// BatchKept answers BatchAsked: the caller fetches the manifest from the given hosts and sends BatchAsked
+	// again with it.
 	BatchKept struct {
 		Step int
 		Kept Kept
--- a/internal/core/delivery/job.go
+++ b/internal/core/delivery/job.go
@@ -7,136 +7,145 @@
 	"slices"
 )
 
-// Job is the state machine of one trainer job at one coordinator. Two coordinators may both
-// believe that they are in charge; what they agree on is the job object, or else the cursor that
-// the trainer sends.
+// Job is the state machine of one trainer job at one coordinator. Two coordinators may both believe that they
+// are in charge. They agree through the job object or, failing that, through the cursor that the trainer
+// sends.
 //
-// A move (a new step, batch or model version) is normally a conditional write of the job object,
-// handed out once the write is known to have taken effect. While the platform is down the job may
-// move alone, without the write, under these rules:
-//   - the request carries a cursor, which says what the trainer has;
-//   - this coordinator issued the cursor, under a lease of its own, so no other coordinator can
-//     move alone past the same cursor;
-//   - this coordinator had read the job object under its newest lease;
+// A transition is a new step, batch or model version. Normally it is a conditional write of the job object,
+// and its result is handed out once the write is known to have taken effect. While the platform is down the
+// job may proceed offline: it applies a transition without the write, under these rules:
+//   - the request carries a cursor, which shows what the trainer has received;
+//   - this coordinator issued the cursor, under a lease that it held, so no other coordinator can proceed
+//     offline from the same cursor;
+//   - this coordinator has read the job object under its newest lease;
 //   - its last read failed, and the platform has been down for all hosts since its lease ended;
-//   - a model version never moves alone.
+//   - a model version is never accepted offline.
 //
-// Such moves are written when the platform is back. If another coordinator has moved the object
-// meanwhile they are dropped, and the trainer's next cursor tells what it had received: the
-// trainer is the one consumer, so its cursor decides between two branches.
+// Offline transitions are written when the platform is back. If another coordinator has changed the object in
+// the meantime they are dropped, and the trainer's next cursor shows what it had received: the trainer is the
+// only consumer, so its cursor decides between two diverging branches.
 //
-// What remains open: a coordinator that is cut off together with most of the hosts that judge of an
-// outage may move alone with a version that a successor has just replaced; and a batch that was handed
-// out alone and not written before another coordinator takes the job is made anew under its number for a
-// trainer whose cursor shows that it never had it. One whose cursor shows that it had is given the same
-// batch again, for as long as a host has the manifest that the cursor names; see Kept.
+// Two gaps remain. A coordinator that is cut off together with most of the hosts that decide whether there is
+// an outage may proceed offline with a model version that a successor has just replaced. And a batch that was
+// handed out offline, and not written before another coordinator takes over the job, is created anew under its
+// number for a trainer whose cursor shows that it never received the batch. A trainer whose cursor shows that
+// it did is given the same batch again, as long as a host has the manifest that the cursor locates; see Kept.
 type Job struct {
-	name  string
-	self  netip.AddrPort
-	bound int
+	name           string
+	self           netip.AddrPort
+	stalenessBound int
 
-	// record is the object as stored, with the moves made alone on top.
+	// record is the stored object with the offline transitions applied on top; unwritten says that there are
+	// some.
 	record    Record
 	unwritten bool
-	// stored is the version of the object on which record rests.
-	stored uint64
-	// storedStep names the step whose body is stored.
+	// storedVersion is the version of the stored object on which record is based.
+	storedVersion uint64
+	// storedStep identifies the step whose body is stored.
 	storedStep stepKey
-	// loaded says that the object's state was confirmed since the last doubt.
-	loaded bool
-	// writing and reading are the operations under way.
-	writing  *Record
-	reading  bool
-	readTerm uint64
-	// unsettled is the last write whose answer was lost, unless record went another way since.
-	unsettled *Record
-	// extended says that record has gone on from unsettled.
-	extended bool
-	// floor is the newest model version that may be in force, though unconfirmed.
-	floor int
-	// down says that the last read failed; outage is what OutageChanged said last.
-	down   bool
-	outage bool
-	// resting says that the platform refused the last write; the next one waits for a tick.
-	resting bool
-	lost    ContentLost
+	// confirmed says that the stored object is known: it was read or written under the current lease, and no
+	// write has become uncertain and no read has failed since.
+	confirmed bool
+	// pendingWrite and reading are the operations in flight; readTerm is the first fencing number of the lease
+	// term in which the read began.
+	pendingWrite *Record
+	reading      bool
+	readTerm     uint64
+	// uncertainWrite is the last write whose answer was lost, until record is replaced or diverges from it.
+	uncertainWrite *Record
+	// extendsUncertain says that record continues from uncertainWrite.
+	extendsUncertain bool
+	// uncertainVersion is the newest model version among the uncertain writes that may still take effect; 0 if
+	// there are none.
+	uncertainVersion int
+	// platformDown says that the last read failed; outage is the value of the last OutageChanged.
+	platformDown bool
+	outage       bool
+	// writePaused says that the last write was refused or not sent; the next one waits for a tick.
+	writePaused bool
+	lostBatch   ContentLost
 
-	held bool
-	// terms are the times of holding the lease, the newest last.
-	terms      []term
+	leaseHeld bool
+	// leaseTerms are the terms in which this coordinator held the lease, oldest first.
+	leaseTerms []leaseTerm
+	// loadedTerm is the first fencing number of the lease term in which the object was last read.
 	loadedTerm uint64
+	// superseded says that another coordinator holds the lease.
 	superseded bool
 
-	asks        []*ask
-	samples     []Sample
-	samplesStep stepKey
-	discarded   int
-	effects     []Effect
+	requests   []*pendingRequest
+	samples    []Sample
+	samplesKey stepKey
+	discarded  int
+	effects    []Effect
 }
 
-// term is a time during which the lease was held without a gap, by its fencing numbers.
-type term struct {
+// leaseTerm is the range of fencing numbers under which the lease was held without a gap.
+type leaseTerm struct {
 	first uint64
 	last  uint64
 }
 
-// keptTerms bounds the memory of former terms; a cursor is rarely older than the term before.
-const keptTerms = 16
+// maxTerms limits the number of lease terms remembered; a cursor is rarely older than the previous term.
+const maxTerms = 16
 
+// stepKey identifies a step and its body.
 type stepKey struct {
 	step   int
 	digest string
 }
 
-// Sample is the state of one sample.
+// Sample is the state of one sample of the current step.
 type Sample struct {
 	State   SampleState
 	Attempt int
-	// Prefix holds the tokens of a failed call, to resume from.
+	// Prefix holds the tokens of a failed call, from which the next call resumes.
 	Prefix []Token
-	// Digest names the content, from StateGenerated on.
+	// Digest is the digest of the content, set from StateGenerated on.
 	Digest string
-	// Oldest is the oldest weight version among the tokens so far.
-	Oldest int
-	Copy   netip.AddrPort
-	Score  float64
-	scored bool
+	// OldestVersion is the oldest weight version among the tokens so far.
+	OldestVersion int
+	// CopyHost is the second host that holds the content, set from StateCopied on.
+	CopyHost netip.AddrPort
+	Score    float64
+	scored   bool
 }
 
-// NewJob returns the machine for a job at the host with the peer address self.
+// NewJob returns the state machine of a job at the host with the peer address self. The staleness bound is the
+// number of versions by which a sample's oldest token may lag behind the model version.
 func NewJob(name string, self netip.AddrPort, bound int) *Job {
-	return &Job{name: name, self: self, bound: bound}
+	return &Job{name: name, self: self, stalenessBound: bound}
 }
 
-// Handle takes one event and returns what is to be done.
+// Handle applies one event and returns the effects that the caller has to carry out.
 func (j *Job) Handle(event Event) []Effect {
 	j.effects = nil
 	switch e := event.(type) {
 	case StepAsked, BatchAsked, VersionAsked:
-		j.asks = append(j.asks, newAsk(event))
+		j.requests = append(j.requests, newPendingRequest(event))
 	case AskExpired:
 		j.expire(e)
 	case Loaded:
-		j.load(e)
+		j.handleLoaded(e)
 	case ReadFailed:
 		j.reading = false
-		j.down = true
-		// A write whose answer was lost may have landed since the last read.
-		j.loaded = false
+		j.platformDown = true
+		// An uncertain write may have taken effect since the last read.
+		j.confirmed = false
 	case Written, WriteConflicted, WriteUnavailable, WriteUnsettled, WriteFenced:
 		j.finishWrite(event)
 	case FenceChanged:
-		j.changeFence(e)
+		j.changeLease(e)
 	case Superseded:
 		j.supersede()
 	case OutageChanged:
 		j.outage = e.Established
 	case BoundChanged:
-		j.bound = e.Bound
+		j.stalenessBound = e.Bound
 	case Ticked:
 		j.tick()
 	case ContentLost:
-		j.lost = e
+		j.lostBatch = e
 	default:
 		j.handleSample(event)
 	}
@@ -144,183 +153,185 @@
 	return j.effects
 }
 
-// advance answers what can be answered and starts the next move.
+// advance answers the requests that can be answered and starts the next transition.
 func (j *Job) advance() {
 	j.discardStale()
 	if j.superseded {
 		j.refuseAll()
 		return
 	}
-	for j.writing == nil && j.answerOne() {
+	for j.pendingWrite == nil && j.answerOne() {
 	}
-	j.dropLost()
+	j.dropLostBatch()
 	if j.unwritten && j.mayWrite() {
-		j.write(j.record)
+		j.startWrite(j.record)
 	}
 }
 
 func (j *Job) mayWrite() bool {
-	return j.loaded && j.held && !j.down && !j.resting && !j.reading && j.writing == nil
+	return j.confirmed && j.leaseHeld && !j.platformDown && !j.writePaused && !j.reading && j.pendingWrite == nil
 }
 
-// mayMoveAlone holds the rules of Job for a move without the platform. The failure they guard
-// against: a coordinator that wakes up late, or can't reach the platform while others can, would
-// otherwise hand out samples that its successor has delivered, or that are too old by a version that its
-// successor has accepted. While the platform is down for all there is no successor.
-func (j *Job) mayMoveAlone(cursor *Cursor) bool {
-	return j.down && j.outage && cursor != nil && j.issued(cursor) &&
-		j.loadedTerm == j.term().first && j.writing == nil
+// mayProceedOffline reports whether the rules in the comment of Job allow a transition without the platform.
+// They guard against a coordinator that resumes late, or can't reach the platform while others can: it would
+// hand out samples that its successor has delivered, or samples that are stale by a version that its successor
+// has accepted. While the platform is down for all hosts there is no successor.
+func (j *Job) mayProceedOffline(cursor *Cursor) bool {
+	return j.platformDown && j.outage && cursor != nil && j.issuedCursor(cursor) &&
+		j.loadedTerm == j.currentTerm().first && j.pendingWrite == nil
 }
 
-func (j *Job) issued(cursor *Cursor) bool {
-	return slices.ContainsFunc(j.terms, func(t term) bool {
+// issuedCursor reports whether this coordinator issued the cursor.
+func (j *Job) issuedCursor(cursor *Cursor) bool {
+	return slices.ContainsFunc(j.leaseTerms, func(t leaseTerm) bool {
 		return t.first <= cursor.Fencing && cursor.Fencing <= t.last
 	})
 }
 
-// term returns the newest term; the zero one before the first.
-func (j *Job) term() term {
-	if len(j.terms) == 0 {
-		return term{}
+// currentTerm returns the newest lease term, or the zero term before the first.
+func (j *Job) currentTerm() leaseTerm {
+	if len(j.leaseTerms) == 0 {
+		return leaseTerm{}
 	}
-	return j.terms[len(j.terms)-1]
+	return j.leaseTerms[len(j.leaseTerms)-1]
 }
 
-// fence returns the newest fencing number.
-func (j *Job) fence() uint64 {
-	return j.term().last
+// fencingNumber returns the newest fencing number.
+func (j *Job) fencingNumber() uint64 {
+	return j.currentTerm().last
 }
 
-func (j *Job) write(next Record) {
-	next.Fencing = j.fence()
-	j.writing = &next
+func (j *Job) startWrite(next Record) {
+	next.Fencing = j.fencingNumber()
+	j.pendingWrite = &next
 	body := next.Step != nil && next.Step.key() != j.storedStep
-	j.effects = append(j.effects, Write{Record: next, IfVersion: j.stored, Body: body})
+	j.effects = append(j.effects, Write{Record: next, IfVersion: j.storedVersion, Body: body})
 }
 
-func (j *Job) read() {
+func (j *Job) startRead() {
 	if j.reading {
 		return
 	}
 	j.reading = true
-	j.readTerm = j.term().first
+	j.readTerm = j.currentTerm().first
 	j.effects = append(j.effects, Read{})
 }
 
 func (j *Job) finishWrite(event Event) {
-	next := j.writing
+	next := j.pendingWrite
 	if next == nil {
 		return
 	}
-	j.writing = nil
-	j.loaded = false
+	j.pendingWrite = nil
+	j.confirmed = false
 	switch e := event.(type) {
 	case Written:
-		j.down = false
-		j.loaded = true
+		j.platformDown = false
+		j.confirmed = true
 		j.adopt(*next, e.Version)
 	case WriteConflicted:
-		j.unsend()
-		j.down = false
-		j.read()
+		j.clearWriteSent()
+		j.platformDown = false
+		j.startRead()
 	case WriteUnavailable:
-		// A write that was not sent is no outage either. Failure: the process is stopped between the
-		// decision and the write, and the write's time is over when it wakes; taken for an outage, that
-		// would let it hand out batches of its own beside those of its successor. The read tells them
-		// apart: it begins after the wake, and brings the successor's record unless the platform is down.
-		j.unsend()
-		j.resting = true
-		j.read()
+		// A write that was not sent doesn't prove an outage either. Failure: the process is stopped between
+		// the decision to write and the write, and the write's deadline has passed when it resumes. If that
+		// counted as an outage, the process would hand out batches of its own next to those of its successor.
+		// The read that follows tells the two cases apart: it begins after the process resumes, and returns
+		// the successor's record unless the platform is down.
+		j.clearWriteSent()
+		j.writePaused = true
+		j.startRead()
 	case WriteUnsettled:
-		j.unsettled = next
-		j.extended = false
-		j.floor = max(j.floor, next.ModelVersion)
-		// One lost answer is no outage: only a failed read allows moves without the platform.
-		j.read()
+		j.uncertainWrite = next
+		j.extendsUncertain = false
+		j.uncertainVersion = max(j.uncertainVersion, next.ModelVersion)
+		// One lost answer doesn't prove an outage: only a failed read allows offline transitions.
+		j.startRead()
 	case WriteFenced:
-		j.unsend()
-		j.held = false
+		j.clearWriteSent()
+		j.leaseHeld = false
 	}
 }
 
-// adopt takes the object as stored.
+// adopt replaces the record with the stored object.
 func (j *Job) adopt(record Record, version uint64) {
-	if version != j.stored {
-		// A write whose answer was lost rested on the version before: it can't land any more.
-		j.floor = 0
+	if version != j.storedVersion {
+		// An uncertain write was based on an earlier version, so it can't take effect any more.
+		j.uncertainVersion = 0
 	}
 	j.record = record
 	j.record.Step = record.Step.clone()
-	j.stored = version
+	j.storedVersion = version
 	j.storedStep = record.Step.key()
 	j.unwritten = false
-	j.unsettled = nil
-	j.sync()
+	j.uncertainWrite = nil
+	j.syncSamples()
 }
 
-func (j *Job) load(e Loaded) {
+func (j *Job) handleLoaded(e Loaded) {
 	j.reading = false
-	j.down = false
-	// A read that began in an older term may miss the last write of a holder in between.
-	if j.readTerm != j.term().first {
-		j.read()
+	j.platformDown = false
+	// A read that began in an earlier term may miss the last write of a holder in between.
+	if j.readTerm != j.currentTerm().first {
+		j.startRead()
 		return
 	}
-	if e.Record.Fencing > j.fence() {
+	if e.Record.Fencing > j.fencingNumber() {
 		j.supersede()
 		return
 	}
-	j.loaded = true
-	j.loadedTerm = j.term().first
-	landed := j.extended && j.unsettled != nil && sameRecord(*j.unsettled, e.Record)
-	if j.unwritten && (e.Version == j.stored || landed) {
-		j.stored = e.Version
+	j.confirmed = true
+	j.loadedTerm = j.currentTerm().first
+	tookEffect := j.extendsUncertain && j.uncertainWrite != nil && sameRecord(*j.uncertainWrite, e.Record)
+	if j.unwritten && (e.Version == j.storedVersion || tookEffect) {
+		j.storedVersion = e.Version
 		j.storedStep = e.Record.Step.key()
 		return
 	}
 	j.adopt(e.Record, e.Version)
 }
 
-func (j *Job) changeFence(e FenceChanged) {
-	j.held = e.Held
-	if !e.Held || e.Number == j.fence() {
+func (j *Job) changeLease(e FenceChanged) {
+	j.leaseHeld = e.Held
+	if !e.Held || e.Number == j.fencingNumber() {
 		return
 	}
-	if e.Renewed && len(j.terms) > 0 {
-		j.terms[len(j.terms)-1].last = e.Number
+	if e.Renewed && len(j.leaseTerms) > 0 {
+		j.leaseTerms[len(j.leaseTerms)-1].last = e.Number
 		return
 	}
-	j.terms = append(j.terms, term{first: e.Number, last: e.Number})
-	j.terms = j.terms[max(0, len(j.terms)-keptTerms):]
+	j.leaseTerms = append(j.leaseTerms, leaseTerm{first: e.Number, last: e.Number})
+	j.leaseTerms = j.leaseTerms[max(0, len(j.leaseTerms)-maxTerms):]
 	j.superseded = false
-	j.loaded = false
-	j.read()
+	j.confirmed = false
+	j.startRead()
 }
 
 func (j *Job) supersede() {
 	j.superseded = true
-	j.held = false
-	j.loaded = false
+	j.leaseHeld = false
+	j.confirmed = false
 }
 
-// tick ends the rest after a refused write. It reads again after a failure, and while the lease is not
+// tick allows writes again after a refused one. It reads again after a failure, and while the lease is not
 // held, to find out whether the platform is down or another coordinator has taken over.
 func (j *Job) tick() {
-	j.resting = false
-	if j.writing == nil && (j.down || !j.loaded || !j.held) {
-		j.read()
+	j.writePaused = false
+	if j.pendingWrite == nil && (j.platformDown || !j.confirmed || !j.leaseHeld) {
+		j.startRead()
 	}
 }
 
-// dropLost gives up the newest batch if its content is gone from all hosts. The trainer has not
-// acknowledged it, and asks for it again; a batch of other samples takes its number.
-func (j *Job) dropLost() {
+// dropLostBatch withdraws the newest batch if no host holds its content any more. The trainer has not
+// acknowledged the batch and requests it again; a batch of other samples takes its number.
+func (j *Job) dropLostBatch() {
 	step := j.record.Step
-	if j.lost.Batch == 0 || step == nil || step.Manifest == nil || !j.mayWrite() {
+	if j.lostBatch.Batch == 0 || step == nil || step.Manifest == nil || !j.mayWrite() {
 		return
 	}
-	if step.Step != j.lost.Step || step.Batch != j.lost.Batch {
-		j.lost = ContentLost{}
+	if step.Step != j.lostBatch.Step || step.Batch != j.lostBatch.Batch {
+		j.lostBatch = ContentLost{}
 		return
 	}
 	for _, ref := range step.Manifest.Refs {
@@ -331,8 +342,8 @@
 	next.Step.Delivered, _ = step.deliveredBefore()
 	next.Step.Batch--
 	next.Step.Manifest = nil
-	j.lost = ContentLost{}
-	j.write(next)
+	j.lostBatch = ContentLost{}
+	j.startWrite(next)
 }
 
 func (s *StepRecord) key() stepKey {
@@ -342,7 +353,7 @@
 	return stepKey{step: s.Step, digest: s.Digest}
 }
 
-// sameRecord compares two records by their stored form.
+// sameRecord reports whether two records have the same stored form.
 func sameRecord(a, b Record) bool {
 	var left, right any
 	rawA, errA := json.Marshal(a)
--- a/internal/core/delivery/job_rapid_test.go
+++ b/internal/core/delivery/job_rapid_test.go
@@ -6,10 +6,10 @@
 	"pgregory.net/rapid"
 )
 
-// Users see: a trainer learns from a sample twice, misses one, or gets one made by weights that are
-// too old. Order: coordinators die, pause and believe on in their lease, answers of the platform are
-// lost or late, it is down for a while, and new model versions race deliveries. Cause: two
-// coordinators, or one and its successor, move the same job from different knowledge.
+// Guards against a trainer that gets a sample twice, misses one, or gets a stale one. Coordinators die, pause
+// and keep believing that they hold the lease; answers of the platform are lost or late; the platform is down
+// for a while; and new model versions race with deliveries. The failure arises when two coordinators, or one
+// and its successor, change the same job from different knowledge of its state.
 func TestEverySampleIsDeliveredOnce(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -23,101 +23,102 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				w := newWorld(t, c.useCursor)
+				s := newSimulation(t, c.useCursor)
 				for range rapid.IntRange(0, 2).Draw(t, "rounds before") {
-					w.round(0)
-					w.workAll(0, 0)
+					s.serveRequest(0)
+					s.advanceAllSamples(0, 0)
 				}
-				t.Repeat(w.actions(c.outages))
-				w.heal()
+				t.Repeat(s.actions(c.outages))
+				s.recoverAndFinish()
 			})
 		})
 	}
 }
 
-// actions are the moves of a random schedule.
-func (w *world) actions(outages bool) map[string]func(*rapid.T) {
-	coord := func(t *rapid.T) int { return rapid.IntRange(0, len(w.coords)-1).Draw(t, "coordinator") }
+// actions returns the steps of a random schedule. The failures saved in testdata select actions by the order
+// of their names, so a renamed or added action changes what these runs replay.
+func (s *simulation) actions(outages bool) map[string]func(*rapid.T) {
+	pickCoordinator := func(t *rapid.T) int { return rapid.IntRange(0, len(s.coordinators)-1).Draw(t, "coordinator") }
 	actions := map[string]func(*rapid.T){
-		"ask": func(t *rapid.T) { w.ask(coord(t)) },
+		"ask": func(t *rapid.T) { s.sendRequest(pickCoordinator(t)) },
 		"askTwice": func(*rapid.T) {
-			w.ask(0)
-			w.ask(1)
+			s.sendRequest(0)
+			s.sendRequest(1)
 		},
-		"askAgain": func(t *rapid.T) { w.askAgain(coord(t)) },
-		"round1":   func(t *rapid.T) { w.round(coord(t)) },
-		"round2":   func(t *rapid.T) { w.round(coord(t)) },
-		"round3":   func(t *rapid.T) { w.round(coord(t)) },
-		"workAll1": func(t *rapid.T) { w.workAll(coord(t), w.record.ModelVersion) },
-		"workAll2": func(t *rapid.T) { w.workAll(coord(t), w.record.ModelVersion) },
-		"read":     func(t *rapid.T) { w.runRead(coord(t)) },
+		"askAgain": func(t *rapid.T) { s.repeatBatchRequest(pickCoordinator(t)) },
+		"round1":   func(t *rapid.T) { s.serveRequest(pickCoordinator(t)) },
+		"round2":   func(t *rapid.T) { s.serveRequest(pickCoordinator(t)) },
+		"round3":   func(t *rapid.T) { s.serveRequest(pickCoordinator(t)) },
+		"workAll1": func(t *rapid.T) { s.advanceAllSamples(pickCoordinator(t), s.record.ModelVersion) },
+		"workAll2": func(t *rapid.T) { s.advanceAllSamples(pickCoordinator(t), s.record.ModelVersion) },
+		"read":     func(t *rapid.T) { s.completeRead(pickCoordinator(t)) },
 		"write": func(t *rapid.T) {
-			how := rapid.SampledFrom([]fate{fateDone, fateDone, fateDone, fateLostApplied, fateLostLate, fateUnsent}).Draw(t, "fate")
-			w.runWrite(coord(t), how)
+			fault := rapid.SampledFrom([]writeFault{faultNone, faultNone, faultNone, faultAnswerLost, faultDelayed, faultUnsent}).Draw(t, "fault")
+			s.completeWrite(pickCoordinator(t), fault)
 		},
-		"late": func(*rapid.T) { w.runLate() },
-		"tick": func(t *rapid.T) { w.feed(coord(t), Ticked{}) },
+		"late": func(*rapid.T) { s.applyDelayedWrite() },
+		"tick": func(t *rapid.T) { s.handle(pickCoordinator(t), Ticked{}) },
 		"take": func(t *rapid.T) {
-			if w.up {
-				w.take(coord(t))
+			if s.platformUp {
+				s.acquireLease(pickCoordinator(t))
 			}
 		},
 		"renew": func(t *rapid.T) {
-			if w.up {
-				w.renew(coord(t))
+			if s.platformUp {
+				s.renewLease(pickCoordinator(t))
 			}
 		},
-		"learn": func(*rapid.T) { w.learn() },
+		"learn": func(*rapid.T) { s.announceOutage() },
 		"cut": func(t *rapid.T) {
-			c := w.coords[coord(t)]
-			c.cut = !c.cut
+			c := s.coordinators[pickCoordinator(t)]
+			c.disconnected = !c.disconnected
 		},
-		"lapse": func(t *rapid.T) { w.feed(coord(t), FenceChanged{}) },
+		"lapse": func(t *rapid.T) { s.handle(pickCoordinator(t), FenceChanged{}) },
 		"kill": func(t *rapid.T) {
-			at := coord(t)
-			if write := w.coords[at].write; write != nil && rapid.Bool().Draw(t, "sent") {
-				w.late = append(w.late, lateWrite{w.coords[at], write.Record, write.IfVersion})
+			index := pickCoordinator(t)
+			if write := s.coordinators[index].write; write != nil && rapid.Bool().Draw(t, "sent") {
+				s.delayedWrites = append(s.delayedWrites, delayedWrite{s.coordinators[index], write.Record, write.IfVersion})
 			}
-			w.coords[at] = w.newCoordinator()
+			s.coordinators[index] = s.newCoordinator()
 		},
-		"expire": func(t *rapid.T) { w.feed(coord(t), AskExpired{ID: w.asked}) },
+		"expire": func(t *rapid.T) { s.handle(pickCoordinator(t), AskExpired{ID: s.lastRequest}) },
 		"receive": func(t *rapid.T) {
-			if len(w.replies) > 0 {
-				w.receive(rapid.IntRange(0, len(w.replies)-1).Draw(t, "reply"))
+			if len(s.replies) > 0 {
+				s.receive(rapid.IntRange(0, len(s.replies)-1).Draw(t, "reply"))
 			}
 		},
 		"dropReply": func(*rapid.T) {
-			if len(w.replies) > 0 {
-				w.replies = w.replies[1:]
+			if len(s.replies) > 0 {
+				s.replies = s.replies[1:]
 			}
 		},
-		"version": func(t *rapid.T) { w.postVersion(coord(t), w.record.ModelVersion+1) },
+		"version": func(t *rapid.T) { s.postVersion(pickCoordinator(t), s.record.ModelVersion+1) },
 	}
 	for _, name := range []string{"work1", "work2", "work3"} {
 		actions[name] = func(t *rapid.T) {
-			at := coord(t)
+			index := pickCoordinator(t)
 			for range rapid.IntRange(1, 20).Draw(t, "stages") {
-				version := max(0, w.record.ModelVersion-rapid.IntRange(0, 1).Draw(t, "lag"))
-				w.progress(at, rapid.IntRange(0, 30).Draw(t, "pick"), version)
+				version := max(0, s.record.ModelVersion-rapid.IntRange(0, 1).Draw(t, "lag"))
+				s.advanceSample(index, rapid.IntRange(0, 30).Draw(t, "pick"), version)
 			}
 		}
 	}
 	if outages {
 		actions["outage"] = func(t *rapid.T) {
-			w.up = !w.up
-			w.outages++
+			s.platformUp = !s.platformUp
+			s.outages++
 			if rapid.IntRange(0, 3).Draw(t, "known at once") > 0 {
-				w.learn()
+				s.announceOutage()
 			}
 		}
 		actions["outageRounds"] = func(t *rapid.T) {
-			w.up = false
-			w.outages++
-			w.learn()
-			at := coord(t)
+			s.platformUp = false
+			s.outages++
+			s.announceOutage()
+			index := pickCoordinator(t)
 			for range rapid.IntRange(1, 3).Draw(t, "rounds") {
-				w.round(at)
-				w.workAll(at, w.record.ModelVersion)
+				s.serveRequest(index)
+				s.advanceAllSamples(index, s.record.ModelVersion)
 			}
 		}
 	}
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -10,26 +10,27 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// script feeds a job by hand.
-type script struct {
+// harness passes events to a job and checks its effects.
+type harness struct {
 	t   *testing.T
 	job *Job
-	// version is that of the object after the last write.
+	// version is the object's version after the last write.
 	version uint64
 }
 
-// newScript returns a job under its first lease, number 10, that has read an absent object.
-func newScript(t *testing.T, bound int) *script {
-	s := &script{t: t, job: NewJob("fees", netip.MustParseAddrPort("127.0.0.1:7001"), bound)}
-	s.job.Handle(OutageChanged{Established: true})
-	s.job.Handle(FenceChanged{Number: 10, Held: true})
-	s.job.Handle(Loaded{Record: Record{Job: "fees"}})
-	return s
+// newHarness returns a job that holds its first lease, with fencing number 10, and has read an absent object.
+// An outage of the platform is established.
+func newHarness(t *testing.T, bound int) *harness {
+	h := &harness{t: t, job: NewJob("fees", netip.MustParseAddrPort("127.0.0.1:7001"), bound)}
+	h.job.Handle(OutageChanged{Established: true})
+	h.job.Handle(FenceChanged{Number: 10, Held: true})
+	h.job.Handle(Loaded{Record: Record{Job: "fees"}})
+	return h
 }
 
-// the returns the only effect of a kind.
-func the[E Effect](s *script, effects []Effect) E {
-	s.t.Helper()
+// onlyEffect returns the only effect of type E, and fails if there is none or more than one.
+func onlyEffect[E Effect](h *harness, effects []Effect) E {
+	h.t.Helper()
 	var found []E
 	for _, effect := range effects {
 		if e, ok := effect.(E); ok {
@@ -37,320 +38,322 @@
 		}
 	}
 	if len(found) != 1 {
-		s.t.Fatalf("%d effects of the kind in %+v", len(found), effects)
+		h.t.Fatalf("%d effects of the requested type, want 1: %+v", len(found), effects)
 	}
 	return found[0]
 }
 
-// commit feeds an event whose write takes effect, and returns the answer.
-func (s *script) commit(event Event) Answer {
-	s.t.Helper()
-	the[Write](s, s.job.Handle(event))
-	s.version++
-	return the[Answer](s, s.job.Handle(Written{Version: s.version}))
+// commit handles an event whose write takes effect, and returns the answer.
+func (h *harness) commit(event Event) Answer {
+	h.t.Helper()
+	onlyEffect[Write](h, h.job.Handle(event))
+	h.version++
+	return onlyEffect[Answer](h, h.job.Handle(Written{Version: h.version}))
 }
 
-// waits feeds an event that must have no effect.
-func (s *script) waits(event Event) {
-	s.t.Helper()
-	if effects := s.job.Handle(event); len(effects) != 0 {
-		s.t.Errorf("%T: %+v", event, effects)
+// expectNoEffects handles an event that must have no effect.
+func (h *harness) expectNoEffects(event Event) {
+	h.t.Helper()
+	if effects := h.job.Handle(event); len(effects) != 0 {
+		h.t.Errorf("%T had effects: %+v", event, effects)
 	}
 }
 
-// lose ends the lease and the next read fails.
-func (s *script) lose() {
-	s.t.Helper()
-	s.job.Handle(FenceChanged{})
-	the[Read](s, s.job.Handle(Ticked{}))
-	s.job.Handle(ReadFailed{})
+// loseLeaseAndPlatform ends the lease and lets the next read fail.
+func (h *harness) loseLeaseAndPlatform() {
+	h.t.Helper()
+	h.job.Handle(FenceChanged{})
+	onlyEffect[Read](h, h.job.Handle(Ticked{}))
+	h.job.Handle(ReadFailed{})
 }
 
-// readUp feeds an event whose cursor differs from the object, which is read again and has not changed.
-func (s *script) readUp(event Event) []Effect {
-	s.t.Helper()
-	record := s.job.record
-	the[Read](s, s.job.Handle(event))
-	return s.job.Handle(Loaded{Record: record, Version: s.version})
+// handleWithReread handles an event whose cursor differs from the record, and answers the reread with the
+// unchanged object.
+func (h *harness) handleWithReread(event Event) []Effect {
+	h.t.Helper()
+	record := h.job.record
+	onlyEffect[Read](h, h.job.Handle(event))
+	return h.job.Handle(Loaded{Record: record, Version: h.version})
 }
 
-func (s *script) postStep() Cursor {
-	s.t.Helper()
-	answer := s.commit(StepAsked{ID: 1, Step: 1, Digest: "body", Sizes: []int{4, 2}, BatchSize: 2, Chunks: 1})
+func (h *harness) postStep() Cursor {
+	h.t.Helper()
+	answer := h.commit(StepAsked{ID: 1, Step: 1, Digest: "body", Sizes: []int{4, 2}, BatchSize: 2, Chunks: 1})
 	return answer.Result.(StepAccepted).Cursor
 }
 
-// ready makes samples of one weight version ready for a batch.
-func (s *script) ready(version int, positions ...int) {
+// prepareSamples makes samples ready for a batch, with tokens of one weight version.
+func (h *harness) prepareSamples(version int, positions ...int) {
 	for _, position := range positions {
-		_, work := s.job.Sample(position)
-		s.job.Handle(SampleStarted{Work: work})
-		s.job.Handle(SampleGenerated{Work: work, Tokens: []Token{{Text: "x", Version: version}}, Digest: "d"})
-		s.job.Handle(SampleCopied{Work: work})
-		s.job.Handle(SampleScored{Work: work, Score: 1})
+		_, work := h.job.Sample(position)
+		h.job.Handle(SampleStarted{Work: work})
+		h.job.Handle(SampleGenerated{Work: work, Tokens: []Token{{Text: "x", Version: version}}, Digest: "d"})
+		h.job.Handle(SampleCopied{Work: work})
+		h.job.Handle(SampleScored{Work: work, Score: 1})
 	}
 }
 
-func (s *script) refusal(effects []Effect) verdict.Refusal {
-	s.t.Helper()
-	refused, ok := the[Answer](s, effects).Result.(Refused)
+func (h *harness) refusal(effects []Effect) verdict.Refusal {
+	h.t.Helper()
+	refused, ok := onlyEffect[Answer](h, effects).Result.(Refused)
 	if !ok {
-		s.t.Fatalf("not refused: %+v", effects)
+		h.t.Fatalf("got effects %+v, want a refusal", effects)
 	}
 	return *refused.Refusal
 }
 
-// A trainer would wait for ever: samples that a new version makes stale are neither delivered nor
-// generated again. All samples are ready when version 2 comes.
+// Guards against samples that a new version makes stale and that are then neither delivered nor generated
+// again, so that the trainer waits forever. The samples are ready when version 2 arrives.
 func TestStaleSamplesAreGeneratedAgain(t *testing.T) {
-	s := newScript(t, 0)
-	s.postStep()
-	s.ready(1, 0, 1, 2)
-	s.commit(VersionAsked{ID: 2, Version: 2})
-	sample, _ := s.job.Sample(0)
-	if status := s.job.Status(); status.Discarded != 3 || status.Samples["pending"] != 6 || sample.Attempt != 1 {
-		t.Errorf("%+v %+v", status, sample)
+	h := newHarness(t, 0)
+	h.postStep()
+	h.prepareSamples(1, 0, 1, 2)
+	h.commit(VersionAsked{ID: 2, Version: 2})
+	sample, _ := h.job.Sample(0)
+	if status := h.job.Status(); status.Discarded != 3 || status.Samples["pending"] != 6 || sample.Attempt != 1 {
+		t.Errorf("got status %+v, sample %+v", status, sample)
 	}
 }
 
-// A trainer would get samples that are too old by its own new version. The answer to the write of
-// version 2 is lost, the platform goes down, and the trainer asks for a batch with its cursor.
-func TestUnsettledVersionHoldsUpMovesAlone(t *testing.T) {
-	s := newScript(t, 0)
-	s.commit(VersionAsked{ID: 2, Version: 1})
-	cursor := s.postStep()
-	s.ready(1, 0, 1, 2)
-	the[Write](s, s.job.Handle(VersionAsked{ID: 3, Version: 2}))
-	the[Read](s, s.job.Handle(WriteUnsettled{}))
-	s.job.Handle(ReadFailed{})
-	s.waits(BatchAsked{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
+// Guards against samples that are stale by the trainer's own new version. The answer to the write of version 2
+// is lost, the platform goes down, and the trainer requests a batch with its cursor.
+func TestUncertainVersionBlocksOfflineBatch(t *testing.T) {
+	h := newHarness(t, 0)
+	h.commit(VersionAsked{ID: 2, Version: 1})
+	cursor := h.postStep()
+	h.prepareSamples(1, 0, 1, 2)
+	onlyEffect[Write](h, h.job.Handle(VersionAsked{ID: 3, Version: 2}))
+	onlyEffect[Read](h, h.job.Handle(WriteUnsettled{}))
+	h.job.Handle(ReadFailed{})
+	h.expectNoEffects(BatchAsked{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
 }
 
-// The same, but the lost write lands after it was looked for and not found.
-func TestLateVersionHoldsUpMovesAlone(t *testing.T) {
-	s := newScript(t, 0)
-	s.commit(VersionAsked{ID: 2, Version: 1})
-	cursor := s.postStep()
-	s.ready(1, 0, 1, 2)
-	before := s.job.record
-	the[Write](s, s.job.Handle(VersionAsked{ID: 3, Version: 2}))
-	s.job.Handle(AskExpired{ID: 3})
-	the[Read](s, s.job.Handle(WriteUnsettled{}))
-	s.job.Handle(Loaded{Record: before, Version: s.version})
-	s.lose()
-	s.waits(BatchAsked{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
+// Like TestUncertainVersionBlocksOfflineBatch, but the write may still take effect after a read did not find
+// it.
+func TestDelayedVersionBlocksOfflineBatch(t *testing.T) {
+	h := newHarness(t, 0)
+	h.commit(VersionAsked{ID: 2, Version: 1})
+	cursor := h.postStep()
+	h.prepareSamples(1, 0, 1, 2)
+	before := h.job.record
+	onlyEffect[Write](h, h.job.Handle(VersionAsked{ID: 3, Version: 2}))
+	h.job.Handle(AskExpired{ID: 3})
+	onlyEffect[Read](h, h.job.Handle(WriteUnsettled{}))
+	h.job.Handle(Loaded{Record: before, Version: h.version})
+	h.loseLeaseAndPlatform()
+	h.expectNoEffects(BatchAsked{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
 }
 
-// A trainer would see two versions of batch 1. The write of its manifest has an unknown fate, the
-// platform goes down, and meanwhile other samples are ready that would go first.
-func TestUnsettledBatchIsHandedOutUnchanged(t *testing.T) {
-	s := newScript(t, 1)
-	s.commit(VersionAsked{ID: 2, Version: 2})
-	cursor := s.postStep()
-	s.ready(2, 4, 5)
-	write := the[Write](s, s.job.Handle(BatchAsked{ID: 3, Step: 1, Batch: 1, Cursor: &cursor}))
-	the[Read](s, s.job.Handle(WriteUnsettled{}))
-	s.ready(1, 0, 1)
-	answer := the[Answer](s, s.job.Handle(ReadFailed{}))
+// Guards against two versions of batch 1. The outcome of the write of its manifest is unknown, the platform
+// goes down, and by then other samples are ready that would go first.
+func TestUncertainBatchIsServedUnchanged(t *testing.T) {
+	h := newHarness(t, 1)
+	h.commit(VersionAsked{ID: 2, Version: 2})
+	cursor := h.postStep()
+	h.prepareSamples(2, 4, 5)
+	write := onlyEffect[Write](h, h.job.Handle(BatchAsked{ID: 3, Step: 1, Batch: 1, Cursor: &cursor}))
+	onlyEffect[Read](h, h.job.Handle(WriteUnsettled{}))
+	h.prepareSamples(1, 0, 1)
+	answer := onlyEffect[Answer](h, h.job.Handle(ReadFailed{}))
 	got := answer.Result.(BatchReady).Manifest
 	if diff := cmp.Diff(*write.Record.Step.Manifest, got, cmpopts.EquateComparable(netip.AddrPort{})); diff != "" {
-		t.Errorf("(-written +handed out):\n%s", diff)
+		t.Errorf("(-written +served):\n%s", diff)
 	}
 }
 
-// A trainer would get a batch from a coordinator that another has replaced. The process is stopped
-// before its write is sent, and the write's time is over when it wakes: nothing was written, which
-// is no sign that the platform is down. Only a read that fails is one.
+// Guards against a batch from a coordinator that was replaced. The process is stopped before its write is
+// sent, and the write's deadline has passed when it resumes. Nothing was written, but that doesn't show that
+// the platform is down; only a failed read does.
 func TestUnsentWriteIsNoOutage(t *testing.T) {
 	for _, down := range []bool{false, true} {
-		s := newScript(t, 0)
-		cursor := s.postStep()
-		s.ready(0, 0, 1)
-		the[Write](s, s.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
-		s.job.Handle(FenceChanged{})
-		the[Read](s, s.job.Handle(WriteUnavailable{}))
+		h := newHarness(t, 0)
+		cursor := h.postStep()
+		h.prepareSamples(0, 0, 1)
+		onlyEffect[Write](h, h.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
+		h.job.Handle(FenceChanged{})
+		onlyEffect[Read](h, h.job.Handle(WriteUnavailable{}))
 		if down {
-			answer := the[Answer](s, s.job.Handle(ReadFailed{}))
+			answer := onlyEffect[Answer](h, h.job.Handle(ReadFailed{}))
 			if _, ready := answer.Result.(BatchReady); !ready {
-				t.Errorf("in an outage: %+v", answer.Result)
+				t.Errorf("got %+v in an outage, want a batch", answer.Result)
 			}
 			continue
 		}
-		got := s.refusal(s.job.Handle(Loaded{Record: Record{Job: "fees", Fencing: 20}, Version: 9}))
+		got := h.refusal(h.job.Handle(Loaded{Record: Record{Job: "fees", Fencing: 20}, Version: 9}))
 		if got.Reason != verdict.ReasonNotLeader {
-			t.Errorf("%+v", got)
+			t.Errorf("got refusal %+v", got)
 		}
 	}
 }
 
-// A trainer would get samples that are too old: a coordinator that can't reach the platform, which
-// others reach, has been replaced without knowing. It moves alone once the others find the platform
-// down too, and no longer than that.
+// Guards against stale samples from a coordinator that can't reach the platform while others can, and so was
+// replaced without knowing. It may proceed offline only while the other hosts find the platform down too.
 func TestFailedReadAloneIsNoOutage(t *testing.T) {
-	s := newScript(t, 0)
-	cursor := s.postStep()
-	s.ready(0, 0, 1, 2, 3)
-	s.job.Handle(OutageChanged{})
-	s.lose()
-	s.waits(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor})
-	ready := the[Answer](s, s.job.Handle(OutageChanged{Established: true})).Result.(BatchReady)
-	s.job.Handle(OutageChanged{})
-	s.waits(BatchAsked{ID: 3, Step: 1, Batch: 2, Cursor: &ready.Cursor})
+	h := newHarness(t, 0)
+	cursor := h.postStep()
+	h.prepareSamples(0, 0, 1, 2, 3)
+	h.job.Handle(OutageChanged{})
+	h.loseLeaseAndPlatform()
+	h.expectNoEffects(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor})
+	ready := onlyEffect[Answer](h, h.job.Handle(OutageChanged{Established: true})).Result.(BatchReady)
+	h.job.Handle(OutageChanged{})
+	h.expectNoEffects(BatchAsked{ID: 3, Step: 1, Batch: 2, Cursor: &ready.Cursor})
 }
 
-// A platform that refuses writes above its rate would be asked again without a pause, by a read and a
-// write in turn. After a refused write the next one waits for the next tick.
-func TestRefusedWriteRests(t *testing.T) {
-	s := newScript(t, 0)
-	s.postStep()
-	s.ready(0, 0, 1)
-	before := s.job.record
-	the[Write](s, s.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1}))
-	the[Read](s, s.job.Handle(WriteUnavailable{}))
-	s.waits(Loaded{Record: before, Version: s.version})
-	the[Write](s, s.job.Handle(Ticked{}))
+// Guards against a loop of reads and writes without a pause when the platform refuses writes above its rate
+// limit. After a refused write the next one waits for a tick.
+func TestRefusedWriteWaitsForTick(t *testing.T) {
+	h := newHarness(t, 0)
+	h.postStep()
+	h.prepareSamples(0, 0, 1)
+	before := h.job.record
+	onlyEffect[Write](h, h.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1}))
+	onlyEffect[Read](h, h.job.Handle(WriteUnavailable{}))
+	h.expectNoEffects(Loaded{Record: before, Version: h.version})
+	onlyEffect[Write](h, h.job.Handle(Ticked{}))
 }
 
-// A trainer would be sent back in time: it was served by a later coordinator, and the balancer
-// brings it to the one before, which has slept through the change.
-func TestCursorOfLaterCoordinatorIsObeyed(t *testing.T) {
-	s := newScript(t, 0)
-	cursor := s.postStep()
+// Guards against serving a trainer from outdated state. The trainer was served by a later coordinator, and the
+// load balancer routes it to the former one, which was paused during the change.
+func TestCursorOfLaterCoordinatorIsRefused(t *testing.T) {
+	h := newHarness(t, 0)
+	cursor := h.postStep()
 	cursor.Fencing = 11
-	got := s.refusal(s.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
+	got := h.refusal(h.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
 	if got.Reason != verdict.ReasonNotLeader || got.Verdict != verdict.NotRun {
-		t.Errorf("%+v", got)
+		t.Errorf("got refusal %+v", got)
 	}
 }
 
-// Requests would hang at a coordinator that lost its lease while paused: it reads in the job object
-// that a later one has written.
+// Guards against requests that hang at a coordinator that lost its lease while paused. It reads in the job
+// object that a later coordinator has written.
 func TestRecordOfLaterCoordinatorEndsService(t *testing.T) {
-	s := newScript(t, 0)
-	s.postStep()
-	s.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1})
-	s.job.Handle(FenceChanged{})
-	the[Read](s, s.job.Handle(Ticked{}))
-	got := s.refusal(s.job.Handle(Loaded{Record: Record{Job: "fees", Fencing: 20}, Version: 9}))
+	h := newHarness(t, 0)
+	h.postStep()
+	h.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1})
+	h.job.Handle(FenceChanged{})
+	onlyEffect[Read](h, h.job.Handle(Ticked{}))
+	got := h.refusal(h.job.Handle(Loaded{Record: Record{Job: "fees", Fencing: 20}, Version: 9}))
 	if got.Reason != verdict.ReasonNotLeader {
-		t.Errorf("%+v", got)
+		t.Errorf("got refusal %+v", got)
 	}
 }
 
-// A coordinator would move alone past what another has delivered. It loses the lease while a read
-// is under way, another serves the job and writes, and it takes the lease again; then the old
-// read's answer comes.
-func TestReadOfOlderTermIsRepeated(t *testing.T) {
-	s := newScript(t, 0)
-	cursor := s.postStep()
-	s.ready(0, 0, 1)
-	s.job.Handle(FenceChanged{})
-	old := s.job.record
-	the[Read](s, s.job.Handle(Ticked{}))
-	s.job.Handle(FenceChanged{Number: 30, Held: true})
-	the[Read](s, s.job.Handle(Loaded{Record: old, Version: s.version}))
-	s.job.Handle(ReadFailed{})
-	s.waits(BatchAsked{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
+// Guards against an offline batch that ignores what another coordinator delivered. The coordinator loses the
+// lease while a read is in flight, another one serves the job and writes, and the first takes the lease again;
+// then the answer to the old read arrives.
+func TestReadOfEarlierLeaseTermIsRepeated(t *testing.T) {
+	h := newHarness(t, 0)
+	cursor := h.postStep()
+	h.prepareSamples(0, 0, 1)
+	h.job.Handle(FenceChanged{})
+	old := h.job.record
+	onlyEffect[Read](h, h.job.Handle(Ticked{}))
+	h.job.Handle(FenceChanged{Number: 30, Held: true})
+	onlyEffect[Read](h, h.job.Handle(Loaded{Record: old, Version: h.version}))
+	h.job.Handle(ReadFailed{})
+	h.expectNoEffects(BatchAsked{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
 }
 
-// A trainer would get the samples of batch 1 again. A step was begun and batch 1 delivered in an
-// outage; the coordinator dies with it; the successor knows nothing of the step.
-func TestStepLearntFromCursor(t *testing.T) {
-	s := newScript(t, 0)
+// Guards against delivering the samples of batch 1 again. A step was begun and its batch 1 delivered in an
+// outage; the coordinator died before the platform was back, and its successor doesn't know the step.
+func TestStepRestoredFromCursor(t *testing.T) {
+	h := newHarness(t, 0)
 	cursor := Cursor{Job: "fees", Step: 5, Digest: "body", Batch: 1, Delivered: Bitmap{0b101}, Fencing: 9}
-	got := s.refusal(s.job.Handle(BatchAsked{ID: 1, Step: 5, Batch: 2, Cursor: &cursor}))
+	got := h.refusal(h.job.Handle(BatchAsked{ID: 1, Step: 5, Batch: 2, Cursor: &cursor}))
 	if got.Reason != verdict.ReasonNotFound {
-		t.Errorf("%+v", got)
+		t.Errorf("got refusal %+v", got)
 	}
-	write := the[Write](s, s.job.Handle(StepAsked{
+	write := onlyEffect[Write](h, h.job.Handle(StepAsked{
 		ID: 2, Step: 5, Digest: "body", Sizes: []int{4, 2}, BatchSize: 2, Chunks: 1, Cursor: &cursor,
 	}))
 	if step := write.Record.Step; !write.Body || step.Batch != 1 || !step.Delivered.Equal(cursor.Delivered) {
-		t.Errorf("%+v", step)
+		t.Errorf("got step %+v", step)
 	}
 }
 
-// An operator would be told "not run" of a version that is in force. Its write was sent, its answer
-// was lost, and the trainer's time is over.
-func TestExpiredAfterLostWriteMayHaveRun(t *testing.T) {
-	s := newScript(t, 0)
-	the[Write](s, s.job.Handle(VersionAsked{ID: 1, Version: 1}))
-	s.job.Handle(WriteUnsettled{})
-	if got := s.refusal(s.job.Handle(AskExpired{ID: 1})); got.Verdict != verdict.MayHaveRun {
-		t.Errorf("%+v", got)
+// Guards against telling an operator "not run" of a version that is in force. Its write was sent, the answer
+// was lost, and the trainer's request expires.
+func TestExpiryAfterUncertainWriteMayHaveRun(t *testing.T) {
+	h := newHarness(t, 0)
+	onlyEffect[Write](h, h.job.Handle(VersionAsked{ID: 1, Version: 1}))
+	h.job.Handle(WriteUnsettled{})
+	if got := h.refusal(h.job.Handle(AskExpired{ID: 1})); got.Verdict != verdict.MayHaveRun {
+		t.Errorf("got refusal %+v", got)
 	}
 }
 
-// A trainer would learn from a sample whose first half was made by weights that are too old. The
-// engine crashed at version 1 and the sample waits with its prefix; version 2 comes.
+// Guards against a sample whose first half was made by weights that are too old. The engine crashed at version
+// 1, the sample waits with its prefix, and version 2 arrives.
 func TestStalePrefixIsNotResumed(t *testing.T) {
-	s := newScript(t, 0)
-	s.postStep()
-	_, work := s.job.Sample(0)
-	s.job.Handle(SampleStarted{Work: work})
-	s.job.Handle(SampleFailed{Work: work, Tokens: []Token{{Text: "x", Version: 1}}})
-	s.commit(VersionAsked{ID: 2, Version: 2})
-	if sample, _ := s.job.Sample(0); len(sample.Prefix) != 0 || sample.Attempt != 1 {
-		t.Errorf("%+v", sample)
+	h := newHarness(t, 0)
+	h.postStep()
+	_, work := h.job.Sample(0)
+	h.job.Handle(SampleStarted{Work: work})
+	h.job.Handle(SampleFailed{Work: work, Tokens: []Token{{Text: "x", Version: 1}}})
+	h.commit(VersionAsked{ID: 2, Version: 2})
+	if sample, _ := h.job.Sample(0); len(sample.Prefix) != 0 || sample.Attempt != 1 {
+		t.Errorf("got sample %+v", sample)
 	}
 }
 
-// A trainer would be refused batch 1 for good when it asks again. A write of the former coordinator comes
-// late, after its successor has read the object; the former one finds it there and hands out batch 1. Now
-// the trainer asks the successor, whose knowledge is behind the trainer's cursor.
+// Guards against refusing batch 1 permanently when the trainer repeats its request. A write of the former
+// coordinator takes effect late, after the successor has read the object; the former one finds it there and
+// hands out batch 1. The trainer then asks the successor, whose record is behind the trainer's cursor.
 func TestCursorAheadOfLateWriteIsReadUp(t *testing.T) {
-	for _, landed := range []bool{true, false} {
-		s := newScript(t, 0)
-		cursor := s.postStep()
+	for _, tookEffect := range []bool{true, false} {
+		h := newHarness(t, 0)
+		cursor := h.postStep()
 		cursor.Batch = 1
 		cursor.Delivered = Bitmap{0b11}
 		cursor.Fencing = 5
-		record := s.job.record
+		record := h.job.record
 		record.Step = record.Step.clone()
-		if landed {
+		if tookEffect {
 			record.Step.Batch = 1
 			record.Step.Delivered = cursor.Delivered
-			record.Step.Manifest = &Manifest{Batch: 1, Refs: []Ref{{}, {Index: 1}}}
-			s.version++
+			record.Step.Manifest = &Manifest{Batch: 1, Refs: []SampleRef{{}, {Index: 1}}}
+			h.version++
 		}
-		the[Read](s, s.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
-		answer := the[Answer](s, s.job.Handle(Loaded{Record: record, Version: s.version}))
-		if _, ready := answer.Result.(BatchReady); ready != landed {
-			t.Errorf("landed %v: %+v", landed, answer.Result)
+		onlyEffect[Read](h, h.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
+		answer := onlyEffect[Answer](h, h.job.Handle(Loaded{Record: record, Version: h.version}))
+		if _, ready := answer.Result.(BatchReady); ready != tookEffect {
+			t.Errorf("write took effect %v: got %+v", tookEffect, answer.Result)
 		}
 	}
 }
 
-// A trainer would get samples twice. It took batch 1 of one coordinator, which handed it out in an
-// outage, while this one has written another batch 1; now it asks here for batch 2.
+// Guards against delivering samples twice. The trainer got batch 1 from another coordinator, which handed it
+// out in an outage, while this one has written a different batch 1; now the trainer requests batch 2 here.
 func TestCursorDecidesBetweenBranches(t *testing.T) {
-	s := newScript(t, 0)
-	cursor := s.postStep()
-	s.ready(0, 0, 1, 2, 3, 4, 5)
-	s.commit(BatchAsked{ID: 2, Step: 1, Batch: 1})
+	h := newHarness(t, 0)
+	cursor := h.postStep()
+	h.prepareSamples(0, 0, 1, 2, 3, 4, 5)
+	h.commit(BatchAsked{ID: 2, Step: 1, Batch: 1})
 	cursor.Batch = 1
 	cursor.Delivered = Bitmap{0b110000}
 	cursor.Fencing = 5
-	write := the[Write](s, s.readUp(BatchAsked{ID: 3, Step: 1, Batch: 2, Cursor: &cursor}))
+	write := onlyEffect[Write](h, h.handleWithReread(BatchAsked{ID: 3, Step: 1, Batch: 2, Cursor: &cursor}))
 	if got := write.Record.Step.Delivered; !got.Equal(Bitmap{0b110011}) {
-		t.Errorf("delivered %b", got)
+		t.Errorf("got delivered %b", got)
 	}
 }
 
-// A trainer would be taken back to what this coordinator remembers. It moved alone in an outage
-// and wakes when another has written the object: its own moves must not be written over that.
-func TestMovesAloneAreDroppedOverMovedObject(t *testing.T) {
-	s := newScript(t, 0)
-	cursor := s.postStep()
-	s.ready(0, 0, 1)
-	other := s.job.record
-	s.lose()
-	the[Answer](s, s.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
+// Guards against overwriting the progress of another coordinator. This one made transitions offline in an
+// outage, and resumes after the other has written the object: its own transitions must not be written over
+// that.
+func TestOfflineTransitionsAreDroppedWhenObjectChanged(t *testing.T) {
+	h := newHarness(t, 0)
+	cursor := h.postStep()
+	h.prepareSamples(0, 0, 1)
+	other := h.job.record
+	h.loseLeaseAndPlatform()
+	onlyEffect[Answer](h, h.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
 	other.ModelVersion = 1
 	other.Fencing = 20
-	s.job.Handle(FenceChanged{Number: 30, Held: true})
-	s.waits(Loaded{Record: other, Version: 9})
-	if status := s.job.Status(); status.Unwritten || status.ModelVersion != 1 || status.Batch != 0 {
-		t.Errorf("%+v", status)
+	h.job.Handle(FenceChanged{Number: 30, Held: true})
+	h.expectNoEffects(Loaded{Record: other, Version: 9})
+	if status := h.job.Status(); status.Unwritten || status.ModelVersion != 1 || status.Batch != 0 {
+		t.Errorf("got status %+v", status)
 	}
 }
--- a/internal/core/delivery/progress.go
+++ b/internal/core/delivery/progress.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// current returns the newest model version that may be in force. While the object's state is
-// unknown that includes a version whose write was sent and not answered.
-func (j *Job) current() int {
-	if j.loaded {
+// newestPossibleVersion returns the newest model version that may be in force. While the stored object is not
+// confirmed that includes a version whose write is uncertain.
+func (j *Job) newestPossibleVersion() int {
+	if j.confirmed {
 		return j.record.ModelVersion
 	}
-	return max(j.record.ModelVersion, j.floor)
+	return max(j.record.ModelVersion, j.uncertainVersion)
 }
 
-// sync brings the samples in line with the record after a move.
-func (j *Job) sync() {
+// syncSamples updates the samples to the record after a transition.
+func (j *Job) syncSamples() {
 	step := j.record.Step
 	if step == nil {
 		j.samples = nil
 		return
 	}
-	if j.samplesStep != step.key() {
-		j.samplesStep = step.key()
+	if j.samplesKey != step.key() {
+		j.samplesKey = step.key()
 		j.samples = make([]Sample, step.Samples())
 	}
 	for position := range j.samples {
@@ -36,8 +36,8 @@
 	}
 }
 
-// align sets the state after a move; a sample that the trainer turned out not to have goes back
-// to where it can be delivered from.
+// align updates the state of a sample after a transition. A sample that was batched or delivered before and no
+// longer is returns to StateScored if it has a score here; else it is generated again.
 func (s *Sample) align(delivered bool) {
 	switch {
 	case delivered:
@@ -50,22 +50,24 @@
 	}
 }
 
+// reset discards the sample's content, to be generated again by a new attempt.
 func (s *Sample) reset() {
 	*s = Sample{Attempt: s.Attempt + 1}
 }
 
-// stale says that some token was produced by weights older than the bound allows.
+// stale reports whether some token was produced by weights older than oldestAllowed. A sample that is in a
+// batch is never stale.
 func (s *Sample) stale(oldestAllowed int) bool {
 	if s.State >= StateBatched {
 		return false
 	}
 	hasTokens := len(s.Prefix) > 0 || s.State >= StateGenerated
-	return hasTokens && s.Oldest < oldestAllowed
+	return hasTokens && s.OldestVersion < oldestAllowed
 }
 
-// discardStale throws away samples beyond the staleness bound, to be generated again.
+// discardStale discards samples that exceed the staleness bound; they are generated again.
 func (j *Job) discardStale() {
-	oldestAllowed := j.record.ModelVersion - j.bound
+	oldestAllowed := j.record.ModelVersion - j.stalenessBound
 	for i := range j.samples {
 		if j.samples[i].stale(oldestAllowed) {
 			j.samples[i].reset()
@@ -74,9 +76,10 @@
 	}
 }
 
-// sample returns the sample of an attempt that is still wanted and in the state from.
-func (j *Job) sample(work Work, from SampleState) (*Sample, bool) {
-	if work.Step != j.samplesStep.step || work.Position < 0 || work.Position >= len(j.samples) {
+// findSample returns the sample of an attempt; ok is false if the attempt was abandoned or the sample is not
+// in the expected state.
+func (j *Job) findSample(work Work, from SampleState) (*Sample, bool) {
+	if work.Step != j.samplesKey.step || work.Position < 0 || work.Position >= len(j.samples) {
 		return nil, false
 	}
 	sample := &j.samples[work.Position]
@@ -86,7 +89,7 @@
 func (j *Job) handleSample(event Event) {
 	switch e := event.(type) {
 	case SampleStarted:
-		if sample, ok := j.sample(e.Work, StatePending); ok {
+		if sample, ok := j.findSample(e.Work, StatePending); ok {
 			sample.State = StateGenerating
 		}
 	case SampleFailed:
@@ -94,12 +97,12 @@
 	case SampleGenerated:
 		j.finishSample(e)
 	case SampleCopied:
-		if sample, ok := j.sample(e.Work, StateGenerated); ok {
+		if sample, ok := j.findSample(e.Work, StateGenerated); ok {
 			sample.State = StateCopied
-			sample.Copy = e.Host
+			sample.CopyHost = e.Host
 		}
 	case SampleScored:
-		if sample, ok := j.sample(e.Work, StateCopied); ok {
+		if sample, ok := j.findSample(e.Work, StateCopied); ok {
 			sample.State = StateScored
 			sample.Score = e.Score
 			sample.scored = true
@@ -108,51 +111,51 @@
 }
 
 func (j *Job) failSample(e SampleFailed) {
-	sample, ok := j.sample(e.Work, StateGenerating)
+	sample, ok := j.findSample(e.Work, StateGenerating)
 	if !ok {
 		return
 	}
 	sample.State = StatePending
-	// A hedge that failed early must not shorten the prefix that another call got.
+	// A hedged call that failed early must not shorten the prefix from the other call.
 	if len(e.Tokens) > len(sample.Prefix) {
 		sample.Prefix = e.Tokens
-		sample.Oldest, _ = Oldest(e.Tokens)
+		sample.OldestVersion, _ = OldestVersion(e.Tokens)
 	}
 }
 
 func (j *Job) finishSample(e SampleGenerated) {
-	sample, ok := j.sample(e.Work, StateGenerating)
+	sample, ok := j.findSample(e.Work, StateGenerating)
 	if !ok {
-		// The sample's other call failed, and this one, a hedge, went on.
-		sample, ok = j.sample(e.Work, StatePending)
+		// The other call for the sample failed, and this one, a hedge, continued.
+		sample, ok = j.findSample(e.Work, StatePending)
 	}
 	if !ok {
 		return
 	}
-	oldest, known := Oldest(e.Tokens)
+	oldest, known := OldestVersion(e.Tokens)
 	if !known {
-		// No token was produced by old weights; an empty sample is never stale.
-		oldest = j.current()
+		// An empty sample has no token from old weights, so it is never stale.
+		oldest = j.newestPossibleVersion()
 	}
 	sample.State = StateGenerated
 	sample.Prefix = nil
-	sample.Oldest = oldest
+	sample.OldestVersion = oldest
 	sample.Digest = e.Digest
 }
 
-// nextManifest builds the manifest of the next batch, or returns nil while samples are missing.
-// The samples with the oldest weights go first, since they would be the next to become stale.
+// nextManifest builds the manifest of the next batch, or returns nil while too few samples are ready. Samples
+// with the oldest weights go first, since they would be the next to become stale.
 func (j *Job) nextManifest() *Manifest {
 	step := j.record.Step
 	need := min(step.BatchSize, step.Samples()-step.Delivered.Count())
 	positions := slices.DeleteFunc(j.Positions(StateScored), func(position int) bool {
-		return j.samples[position].stale(j.current() - j.bound)
+		return j.samples[position].stale(j.newestPossibleVersion() - j.stalenessBound)
 	})
 	if need <= 0 || len(positions) < need {
 		return nil
 	}
 	slices.SortStableFunc(positions, func(a, b int) int {
-		return cmp.Compare(j.samples[a].Oldest, j.samples[b].Oldest)
+		return cmp.Compare(j.samples[a].OldestVersion, j.samples[b].OldestVersion)
 	})
 	positions = positions[:need]
 	slices.Sort(positions)
@@ -163,25 +166,25 @@
 		Holder:       j.self,
 	}
 	for _, position := range positions {
-		manifest.Refs = append(manifest.Refs, j.ref(position))
+		manifest.Refs = append(manifest.Refs, j.sampleRef(position))
 	}
 	return manifest
 }
 
-func (j *Job) ref(position int) Ref {
+func (j *Job) sampleRef(position int) SampleRef {
 	sample := &j.samples[position]
 	group, index := j.record.Step.Locate(position)
-	return Ref{
-		Group:  group,
-		Index:  index,
-		Digest: sample.Digest,
-		Score:  sample.Score,
-		Oldest: sample.Oldest,
-		Copy:   sample.Copy,
+	return SampleRef{
+		Group:         group,
+		Index:         index,
+		Digest:        sample.Digest,
+		Score:         sample.Score,
+		OldestVersion: sample.OldestVersion,
+		Copy:          sample.CopyHost,
 	}
 }
 
-// Positions returns the samples of the current step in a state, in order.
+// Positions returns the positions of the current step's samples in the given state, in ascending order.
 func (j *Job) Positions(state SampleState) []int {
 	var positions []int
 	for position := range j.samples {
@@ -192,18 +195,18 @@
 	return positions
 }
 
-// Sample returns a sample of the current step and the name of its present attempt.
+// Sample returns a sample of the current step and identifies its current attempt.
 func (j *Job) Sample(position int) (Sample, Work) {
 	sample := j.samples[position]
-	return sample, Work{Step: j.samplesStep.step, Position: position, Attempt: sample.Attempt}
+	return sample, Work{Step: j.samplesKey.step, Position: position, Attempt: sample.Attempt}
 }
 
-// Step returns the current step, which the caller does not change; nil before the first.
+// Step returns the current step, or nil before the first. The caller must not modify it.
 func (j *Job) Step() *StepRecord {
 	return j.record.Step
 }
 
-// Status is a snapshot for dumps and metrics.
+// Status is a snapshot of the job for debug output and metrics.
 type Status struct {
 	Job          string         `json:"job"`
 	ModelVersion int            `json:"modelVersion"`
@@ -211,30 +214,35 @@
 	Batch        int            `json:"batch"`
 	Batches      int            `json:"batches"`
 	Samples      map[string]int `json:"samples"`
-	// Discarded counts the samples thrown away as stale.
-	Discarded  int    `json:"discarded"`
-	Waiting    int    `json:"waiting"`
-	Fencing    uint64 `json:"fencing"`
-	Held       bool   `json:"held"`
-	Loaded     bool   `json:"loaded"`
-	Unwritten  bool   `json:"unwritten"`
-	Down       bool   `json:"platformDown"`
-	Superseded bool   `json:"superseded"`
-}
-
-// Status returns a snapshot that shares nothing with the job.
+	// Discarded is the number of samples discarded as stale.
+	Discarded int `json:"discarded"`
+	// Waiting is the number of pending requests.
+	Waiting int    `json:"waiting"`
+	Fencing uint64 `json:"fencing"`
+	// Held says that this host holds the lease.
+	Held bool `json:"held"`
+	// Loaded says that the state of the stored object is known.
+	Loaded bool `json:"loaded"`
+	// Unwritten says that offline transitions are not written yet.
+	Unwritten bool `json:"unwritten"`
+	Down      bool `json:"platformDown"`
+	// Superseded says that another host holds the lease.
+	Superseded bool `json:"superseded"`
+}
+
+// Status returns a snapshot that shares no memory with the job.
 func (j *Job) Status() Status {
 	status := Status{
 		Job:          j.name,
 		ModelVersion: j.record.ModelVersion,
 		Samples:      map[string]int{},
 		Discarded:    j.discarded,
-		Waiting:      len(j.asks),
-		Fencing:      j.fence(),
-		Held:         j.held,
-		Loaded:       j.loaded,
+		Waiting:      len(j.requests),
+		Fencing:      j.fencingNumber(),
+		Held:         j.leaseHeld,
+		Loaded:       j.confirmed,
 		Unwritten:    j.unwritten,
-		Down:         j.down,
+		Down:         j.platformDown,
 		Superseded:   j.superseded,
 	}
 	var counts [StateDelivered + 1]int
--- a/internal/core/delivery/record.go
+++ b/internal/core/delivery/record.go
@@ -7,9 +7,9 @@
 	"github.com/pkg/errors"
 )
 
-// pastSteps is how many finished steps the job object remembers, so that a repeated post of one
-// is answered as before. A trainer repeats at most the step before the one it works on; eight
-// leave room and keep the object small.
+// pastSteps is the number of finished steps kept in the job object, so that a repeated request to post one of
+// them gets the same answer as before. A trainer repeats at most the step before its current one; eight leave
+// a margin and keep the object small.
 const pastSteps = 8
 
 // ObjectName returns the name of the job object.
@@ -17,8 +17,8 @@
 	return "trainerJob/" + job
 }
 
-// Record is the value of the job object. One object holds both the model version and the newest
-// manifest, so that a conditional update lets a new version and a delivery never pass each other.
+// Record is the value of the job object. One object holds both the model version and the newest manifest, so
+// that conditional updates order every version change and every batch relative to each other.
 type Record struct {
 	Job          string `json:"job"`
 	ModelVersion int    `json:"modelVersion"`
@@ -29,24 +29,24 @@
 	Past    []PastStep  `json:"past,omitempty"`
 }
 
-// StepRecord is the current step.
+// StepRecord is the stored state of the current step.
 type StepRecord struct {
 	Step   int    `json:"step"`
 	Digest string `json:"digest"`
-	// Chunks is the number of objects that hold the step's body; 0 while it is stored nowhere.
+	// Chunks is the number of objects that hold the step's body; 0 if the body is not stored.
 	Chunks int `json:"chunks"`
-	// Sizes is the number of samples of each group.
+	// Sizes is the number of samples in each group.
 	Sizes     []int `json:"sizes"`
 	BatchSize int   `json:"batchSize"`
-	// Batch is the newest batch; 0 before the first.
+	// Batch is the number of the newest batch; 0 before the first.
 	Batch int `json:"batch"`
-	// Delivered holds the samples of the batches up to Batch.
+	// Delivered is the set of samples in the batches up to and including Batch.
 	Delivered Bitmap `json:"delivered"`
-	// Manifest is that of Batch; nil when the batch is known only from the trainer's cursor.
+	// Manifest is the manifest of Batch; nil if the batch is known only from the trainer's cursor.
 	Manifest *Manifest `json:"manifest,omitempty"`
 }
 
-// PastStep is a step whose last batch was acknowledged.
+// PastStep summarizes a step whose last batch was acknowledged.
 type PastStep struct {
 	Step    int    `json:"step"`
 	Digest  string `json:"digest"`
@@ -54,25 +54,25 @@
 	Batches int    `json:"batches"`
 }
 
-// Manifest fixes the content of a batch.
+// Manifest lists the samples of a batch and thereby fixes the batch's content.
 type Manifest struct {
 	Batch int `json:"batch"`
-	// ModelVersion is the current version at the write of the manifest.
+	// ModelVersion is the model version in force when the manifest was created.
 	ModelVersion int  `json:"modelVersion"`
 	Last         bool `json:"last"`
-	// Holder is the peer address of the coordinator that made the batch.
+	// Holder is the peer address of the coordinator that created the batch.
 	Holder netip.AddrPort `json:"holder"`
-	Refs   []Ref          `json:"samples"`
+	Refs   []SampleRef    `json:"samples"`
 }
 
-// Ref names the content of a sample in a manifest.
-type Ref struct {
+// SampleRef is a manifest's reference to the content of one sample.
+type SampleRef struct {
 	Group  int     `json:"group"`
 	Index  int     `json:"index"`
 	Digest string  `json:"digest"`
 	Score  float64 `json:"score"`
-	// Oldest is the oldest weight version among the sample's spans.
-	Oldest int `json:"oldest"`
+	// OldestVersion is the oldest weight version among the sample's spans.
+	OldestVersion int `json:"oldest"`
 	// Copy is the second host that holds the content.
 	Copy netip.AddrPort `json:"copy"`
 }
@@ -81,12 +81,12 @@
 func ParseRecord(raw []byte) (Record, error) {
 	var record Record
 	if err := json.Unmarshal(raw, &record); err != nil {
-		return Record{}, errors.Wrap(err, "trainer job object")
+		return Record{}, errors.Wrap(err, "decode trainer job object")
 	}
 	return record, nil
 }
 
-// Samples returns the number of samples of the step.
+// Samples returns the number of samples in the step.
 func (s *StepRecord) Samples() int {
 	total := 0
 	for _, size := range s.Sizes {
@@ -95,17 +95,17 @@
 	return total
 }
 
-// Batches returns the number of batches of the step.
+// Batches returns the number of batches in the step.
 func (s *StepRecord) Batches() int {
 	return (s.Samples() + s.BatchSize - 1) / s.BatchSize
 }
 
-// Complete says whether the newest batch is the last one.
+// Complete reports whether the newest batch is the last one of the step.
 func (s *StepRecord) Complete() bool {
 	return s.Batch == s.Batches()
 }
 
-// Position returns the place of a sample in the step.
+// Position returns the position of a sample in the step: its index across all groups.
 func (s *StepRecord) Position(group, index int) int {
 	for _, size := range s.Sizes[:group] {
 		index += size
@@ -124,8 +124,8 @@
 	return len(s.Sizes), position
 }
 
-// deliveredBefore returns the delivered set without the newest batch; ok is false if the newest
-// batch's manifest is unknown.
+// deliveredBefore returns the set of samples delivered before the newest batch; ok is false if the manifest of
+// the newest batch is unknown.
 func (s *StepRecord) deliveredBefore() (set Bitmap, ok bool) {
 	if s.Batch == 0 {
 		return s.Delivered, true
@@ -149,7 +149,7 @@
 	return &copied
 }
 
-// withPast returns the past steps with the current one added.
+// withPast returns the past steps followed by the current one, limited to the newest pastSteps.
 func (r Record) withPast() []PastStep {
 	if r.Step == nil {
 		return r.Past
--- a/internal/core/delivery/step.go
+++ b/internal/core/delivery/step.go
@@ -2,65 +2,66 @@
 
 import "github.com/oleandershelf/oleandershelf/internal/core/verdict"
 
-// tryStep accepts a step: the same body again is the same step, another body is refused, and a
-// new step acknowledges the last batch of the one before.
-func (j *Job) tryStep(e StepAsked) outcome {
-	if refusal, ok := j.merge(e.Cursor); !ok {
+// evaluateStep decides on a posted step. The same body again is the same step, another body is refused, and a
+// new step acknowledges the last batch of the step before.
+func (j *Job) evaluateStep(e StepAsked) outcome {
+	if refusal, ok := j.mergeCursor(e.Cursor); !ok {
 		return refusal
 	}
 	step := j.record.Step
 	if step != nil && e.Step < step.Step {
-		return j.tryPastStep(e)
+		return j.evaluatePastStep(e)
 	}
 	if step != nil && e.Step == step.Step {
 		if e.Digest != step.Digest {
-			return refused(verdict.ReasonConflict, 0, "step %d was posted with another body", e.Step)
+			return refuse(verdict.ReasonConflict, 0, "step %d was posted with another body", e.Step)
 		}
-		return outcome{result: StepAccepted{Samples: step.Samples(), Batches: step.Batches(), Cursor: j.cursorFor(e.Cursor)}}
+		return outcome{result: StepAccepted{Samples: step.Samples(), Batches: step.Batches(), Cursor: j.cursorForAnswer(e.Cursor)}}
 	}
-	learnt := e.Cursor != nil && e.Cursor.Step == e.Step
-	if open := j.openBefore(e); open != nil && !learnt {
-		return *open
+	resumed := e.Cursor != nil && e.Cursor.Step == e.Step
+	if refusal := j.checkPredecessor(e); refusal != nil && !resumed {
+		return *refusal
 	}
-	return j.openStep(e, learnt)
+	return j.openStep(e, resumed)
 }
 
-// openBefore returns the refusal of a step whose predecessor isn't wholly delivered, or nil.
+// checkPredecessor returns the refusal of a step whose predecessor isn't fully delivered, or nil.
 //
-// Failure: in an outage a coordinator delivers the rest of a step and the next ones without the
-// platform; its successor knows of the first one's beginning only and would refuse every later step
-// for good, so that the trainer stands idle. The trainer's cursor names the step that it has reached,
-// and whether that is complete.
-func (j *Job) openBefore(e StepAsked) *outcome {
+// It guards against this failure: in an outage a coordinator delivers the rest of a step and the steps after
+// it without the platform. Its successor knows only the beginning of the first of these steps and would refuse
+// every later one permanently, which stalls the trainer. The trainer's cursor tells which step it has reached,
+// and whether that step is complete.
+func (j *Job) checkPredecessor(e StepAsked) *outcome {
 	step, cursor := j.record.Step, e.Cursor
 	if cursor != nil && (step == nil || cursor.Step > step.Step) {
 		if cursor.Complete || cursor.Step >= e.Step {
 			return nil
 		}
-		open := refused(verdict.ReasonInProgress, 0,
+		refusal := refuse(verdict.ReasonInProgress, 0,
 			"batch %d is not the last one of step %d", cursor.Batch, cursor.Step)
-		return &open
+		return &refusal
 	}
 	if step == nil || step.Complete() {
 		return nil
 	}
-	open := refused(verdict.ReasonInProgress, 0,
+	refusal := refuse(verdict.ReasonInProgress, 0,
 		"step %d has %d batches and the newest is %d", step.Step, step.Batches(), step.Batch)
-	return &open
+	return &refusal
 }
 
-func (j *Job) tryPastStep(e StepAsked) outcome {
+// evaluatePastStep repeats the answer to a finished step, or refuses the step if it isn't known any more.
+func (j *Job) evaluatePastStep(e StepAsked) outcome {
 	for _, past := range j.record.Past {
 		if past.Step == e.Step && past.Digest == e.Digest {
-			return outcome{result: StepAccepted{Samples: past.Samples, Batches: past.Batches, Cursor: j.cursorFor(e.Cursor)}}
+			return outcome{result: StepAccepted{Samples: past.Samples, Batches: past.Batches, Cursor: j.cursorForAnswer(e.Cursor)}}
 		}
 	}
-	return refused(verdict.ReasonConflict, 0, "step %d is past", e.Step)
+	return refuse(verdict.ReasonConflict, 0, "step %d is past", e.Step)
 }
 
-// openStep returns the move to a new step. A step that the trainer's cursor names was accepted
-// unwritten by an earlier coordinator: it is taken up where the cursor says.
-func (j *Job) openStep(e StepAsked, learnt bool) outcome {
+// openStep returns the transition to a new step. If the trainer's cursor is of this step, an earlier
+// coordinator accepted the step without writing it, and the step resumes where the cursor says.
+func (j *Job) openStep(e StepAsked, resumed bool) outcome {
 	opened := &StepRecord{
 		Step:      e.Step,
 		Digest:    e.Digest,
@@ -69,12 +70,12 @@
 		BatchSize: e.BatchSize,
 	}
 	opened.Delivered = NewBitmap(opened.Samples())
-	if learnt {
+	if resumed {
 		if e.Cursor.Digest != e.Digest {
-			return refused(verdict.ReasonConflict, 0, "step %d was posted with another body", e.Step)
+			return refuse(verdict.ReasonConflict, 0, "step %d was posted with another body", e.Step)
 		}
 		if !opened.fits(e.Cursor) {
-			return cursorMisfit(e.Cursor)
+			return refuseMismatch(e.Cursor)
 		}
 		opened.Batch = e.Cursor.Batch
 		opened.Delivered = e.Cursor.Delivered.Clone()
@@ -85,39 +86,41 @@
 	return outcome{next: &next}
 }
 
-// fits says whether the cursor's set is possible after its batch.
+// fits reports whether the cursor's batch and delivered set are possible in this step.
 func (s *StepRecord) fits(cursor *Cursor) bool {
-	want := min(cursor.Batch*s.BatchSize, s.Samples())
+	expected := min(cursor.Batch*s.BatchSize, s.Samples())
 	return len(cursor.Delivered) == len(s.Delivered) && cursor.Batch >= 0 &&
-		cursor.Batch <= s.Batches() && cursor.Delivered.Count() == want
+		cursor.Batch <= s.Batches() && cursor.Delivered.Count() == expected
 }
 
-func cursorMisfit(cursor *Cursor) outcome {
-	return refused(verdict.ReasonConflict, 0,
+func refuseMismatch(cursor *Cursor) outcome {
+	return refuse(verdict.ReasonConflict, 0,
 		"the cursor of step %d, batch %d does not fit the step", cursor.Step, cursor.Batch)
 }
 
-// merge takes over what the cursor says the trainer has.
+// mergeCursor takes over what the cursor shows that the trainer has received; ok is false if the cursor
+// contradicts the step, and the outcome is then a refusal.
 //
-// Failure: a coordinator hands out batch n without the platform and dies; its successor knows
-// only batches below n and would deliver the samples of n again. The cursor names them, and the
-// trainer sends it, so the successor counts them as delivered before it moves.
-func (j *Job) merge(cursor *Cursor) (outcome, bool) {
+// It guards against this failure: a coordinator hands out batch n without the platform and dies. Its successor
+// knows only the batches below n and would deliver the samples of n again. The trainer's cursor names these
+// samples, so the successor counts them as delivered before its next transition.
+func (j *Job) mergeCursor(cursor *Cursor) (outcome, bool) {
 	step := j.record.Step
 	if cursor == nil || step == nil || cursor.Step != step.Step {
 		return outcome{}, true
 	}
 	if cursor.Digest != step.Digest || !step.fits(cursor) {
-		return cursorMisfit(cursor), false
+		return refuseMismatch(cursor), false
 	}
-	if j.differs(cursor) {
-		j.rebase(cursor)
+	if j.cursorDiffers(cursor) {
+		j.resetToCursor(cursor)
 	}
 	return outcome{}, true
 }
 
-// differs says whether the trainer has other samples of the current step than this job knows of.
-func (j *Job) differs(cursor *Cursor) bool {
+// cursorDiffers reports whether the cursor contradicts the record on the current step: it is of a later batch
+// than the newest, or it is of the newest batch or the one before and has another delivered set.
+func (j *Job) cursorDiffers(cursor *Cursor) bool {
 	step := j.record.Step
 	if step == nil || cursor.Step != step.Step {
 		return false
@@ -132,33 +135,34 @@
 	return cursor.Batch > step.Batch
 }
 
-// rebase sets the delivery to what the trainer has, and drops batches that went another way.
-func (j *Job) rebase(cursor *Cursor) {
+// resetToCursor sets the delivery to what the trainer has received, and drops batches that diverge from it.
+func (j *Job) resetToCursor(cursor *Cursor) {
 	step := j.record.Step.clone()
 	step.Batch = cursor.Batch
 	step.Delivered = cursor.Delivered.Clone()
 	step.Manifest = nil
 	j.record.Step = step
-	j.sync()
+	j.syncSamples()
 	j.discardStale()
 }
 
-func (j *Job) tryBatch(e BatchAsked) outcome {
-	if refusal, ok := j.merge(e.Cursor); !ok {
+// evaluateBatch decides on a requested batch: it repeats the newest one or returns the transition to the next.
+func (j *Job) evaluateBatch(e BatchAsked) outcome {
+	if refusal, ok := j.mergeCursor(e.Cursor); !ok {
 		return refusal
 	}
 	step := j.record.Step
 	switch {
 	case step == nil || e.Step > step.Step:
-		return refused(verdict.ReasonNotFound, retrySoon, "step %d is unknown: post it first", e.Step)
+		return refuse(verdict.ReasonNotFound, retryDelay, "step %d is unknown: post it first", e.Step)
 	case e.Step < step.Step || e.Batch < step.Batch:
-		return refused(verdict.ReasonConflict, 0, "batch %d of step %d was acknowledged", e.Batch, e.Step)
+		return refuse(verdict.ReasonConflict, 0, "batch %d of step %d was acknowledged", e.Batch, e.Step)
 	case e.Batch < 1 || e.Batch > step.Batches():
-		return refused(verdict.ReasonNotFound, 0, "step %d has %d batches", e.Step, step.Batches())
+		return refuse(verdict.ReasonNotFound, 0, "step %d has %d batches", e.Step, step.Batches())
 	case e.Batch == step.Batch:
 		return j.repeatBatch(e)
 	case e.Batch > step.Batch+1:
-		return refused(verdict.ReasonInProgress, 0, "batch %d comes next, not %d", step.Batch+1, e.Batch)
+		return refuse(verdict.ReasonInProgress, 0, "batch %d comes next, not %d", step.Batch+1, e.Batch)
 	}
 	manifest := j.nextManifest()
 	if manifest == nil {
@@ -174,25 +178,26 @@
 	return outcome{next: &next}
 }
 
-// repeatBatch answers with the newest batch again. The record's manifest was either written or
-// handed out already, so the answer is the same each time.
+// repeatBatch answers with the newest batch again. The record's manifest was either written or handed out
+// already, so the answer is the same each time.
 func (j *Job) repeatBatch(e BatchAsked) outcome {
 	step := j.record.Step
 	if step.Manifest == nil {
-		return j.repeatKept(e)
+		return j.repeatUnwrittenBatch(e)
 	}
 	return outcome{result: BatchReady{Step: step.Step, Manifest: *step.Manifest, Cursor: j.cursor(), Unwritten: j.unwritten}}
 }
 
-// repeatKept repeats a batch that an earlier coordinator handed out without writing it. The manifest does not
-// become part of the record: a version may have been accepted since that makes its samples too old to be written.
-func (j *Job) repeatKept(e BatchAsked) outcome {
+// repeatUnwrittenBatch repeats a batch that an earlier coordinator handed out without writing it. The manifest
+// does not become part of the record: a model version may have been accepted since that makes its samples too
+// old to be written.
+func (j *Job) repeatUnwrittenBatch(e BatchAsked) outcome {
 	if e.Cursor == nil || e.Cursor.Kept == nil {
-		return refused(verdict.ReasonConflict, 0,
+		return refuse(verdict.ReasonConflict, 0,
 			"batch %d of step %d was acknowledged by a cursor", e.Batch, e.Step)
 	}
 	if e.Manifest == nil {
 		return outcome{result: BatchKept{Step: e.Step, Kept: *e.Cursor.Kept}}
 	}
-	return outcome{result: BatchReady{Step: e.Step, Manifest: *e.Manifest, Cursor: j.cursorFor(e.Cursor)}}
+	return outcome{result: BatchReady{Step: e.Step, Manifest: *e.Manifest, Cursor: j.cursorForAnswer(e.Cursor)}}
 }
--- a/internal/core/delivery/value_test.go
+++ b/internal/core/delivery/value_test.go
@@ -32,7 +32,7 @@
 			plan, err := ParsePlan([]byte(c.body))
 			if c.err != "" {
 				if err == nil || !strings.Contains(err.Error(), c.err) {
-					t.Errorf("error %v", err)
+					t.Errorf("got error %v", err)
 				}
 				return
 			}
@@ -46,13 +46,13 @@
 	}
 }
 
-func TestPlanDigestIgnoresForm(t *testing.T) {
+func TestPlanDigestIgnoresFormatting(t *testing.T) {
 	first, err1 := ParsePlan([]byte(`{"groups":[{"prompt":"a","samples":1}]}`))
 	second, err2 := ParsePlan([]byte("{ \"groups\": [ {\"samples\":1, \"prompts\":[\"a\"]} ] }\n"))
 	_, digest1, err3 := first.Encode()
 	_, digest2, err4 := second.Encode()
 	if err1 != nil || err2 != nil || err3 != nil || err4 != nil || digest1 != digest2 {
-		t.Errorf("%s %s %v %v %v %v", digest1, digest2, err1, err2, err3, err4)
+		t.Errorf("got digests %s and %s, errors %v, %v, %v, %v", digest1, digest2, err1, err2, err3, err4)
 	}
 }
 
@@ -65,11 +65,11 @@
 	}
 	got, err := ParseCursor(secret, text)
 	if diff := cmp.Diff(cursor, got); err != nil || diff != "" {
-		t.Errorf("%v (-want +got):\n%s", err, diff)
+		t.Errorf("error %v (-want +got):\n%s", err, diff)
 	}
-	const headerRoom = 3 << 10
-	if len(text) > headerRoom {
-		t.Errorf("%d bytes don't fit into a header", len(text))
+	const maxHeaderBytes = 3 << 10
+	if len(text) > maxHeaderBytes {
+		t.Errorf("cursor takes %d bytes, too long for a header", len(text))
 	}
 	body, signature, _ := strings.Cut(text, ".")
 	forged := []struct {
@@ -84,35 +84,35 @@
 	for _, f := range forged {
 		t.Run(f.name, func(t *testing.T) {
 			if _, err := ParseCursor(secret, f.text); err == nil {
-				t.Error("accepted")
+				t.Error("forged cursor accepted")
 			}
 		})
 	}
 	if _, err := ParseCursor([]byte("other"), text); err == nil {
-		t.Error("accepted with another secret")
+		t.Error("cursor accepted with another secret")
 	}
 }
 
-// Each token's version can be read back from the spans, and neighbours differ.
-func TestSpansNameEachToken(t *testing.T) {
+// Checks that each token's version can be restored from the spans, and that adjacent spans differ in version.
+func TestSpansCoverEachToken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := rapid.SliceOf(rapid.IntRange(1, 3)).Draw(t, "versions")
 		tokens := make([]Token, len(versions))
 		for i, version := range versions {
 			tokens[i].Version = version
 		}
-		var back []int
+		var restored []int
 		spans := Spans(tokens)
 		for i, span := range spans {
-			if span.From != len(back) || (i > 0 && spans[i-1].Version == span.Version) {
-				t.Fatalf("%+v", spans)
+			if span.From != len(restored) || (i > 0 && spans[i-1].Version == span.Version) {
+				t.Fatalf("got spans %+v", spans)
 			}
 			for range span.To - span.From {
-				back = append(back, span.Version)
+				restored = append(restored, span.Version)
 			}
 		}
-		if len(back) != len(versions) || (len(back) > 0 && !cmp.Equal(back, versions)) {
-			t.Fatalf("%v became %v", versions, back)
+		if len(restored) != len(versions) || (len(restored) > 0 && !cmp.Equal(restored, versions)) {
+			t.Fatalf("versions %v were restored as %v", versions, restored)
 		}
 	})
 }
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -11,403 +11,413 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// fate is what becomes of a write.
-type fate int
+// writeFault is the fault that a write meets.
+type writeFault int
 
 const (
-	fateDone fate = iota
-	fateLostApplied
-	fateLostDropped
-	fateLostLate
-	// fateUnsent: the write's time was over before it was sent.
-	fateUnsent
+	// faultNone: the write is carried out, or refused while the platform is out of reach.
+	faultNone writeFault = iota
+	// faultAnswerLost: the write takes effect but its answer is lost.
+	faultAnswerLost
+	// faultRequestLost: the write never takes effect and its outcome is unknown.
+	faultRequestLost
+	// faultDelayed: the outcome is unknown and the write takes effect later.
+	faultDelayed
+	// faultUnsent: the write's deadline passed before it was sent.
+	faultUnsent
 )
 
-// lateWrite is a write whose answer was lost and which takes effect later.
-type lateWrite struct {
+// delayedWrite is a write whose answer was lost and that takes effect later.
+type delayedWrite struct {
 	from      *coordinator
 	record    Record
 	ifVersion uint64
 }
 
-// coordinator is one process: a Job and its operations under way.
+// coordinator is one process: a Job and its operations in flight.
 type coordinator struct {
-	// id is never used again, unlike the place in the world.
+	// id identifies the process and is never reused, unlike the index in simulation.coordinators.
 	id    int
 	job   *Job
 	reads int
 	write *Write
-	// landed is the newest model version that a write of this process put into the object.
-	landed int
-	// cut says that the process can't reach the platform; unread, that its last read failed.
-	cut    bool
-	unread bool
-	// given are the manifests handed out.
-	given map[string]bool
+	// writtenVersion is the newest model version that a write of this process stored in the object.
+	writtenVersion int
+	// disconnected says that the process can't reach the platform; readFailed, that its last read failed.
+	disconnected bool
+	readFailed   bool
+	// answered is the set of manifests that the process handed out.
+	answered map[string]bool
 }
 
-// reply is an answer on its way to the trainer.
+// reply is an answer on its way to the trainer; digest identifies the manifest of a batch.
 type reply struct {
 	result Result
 	digest string
 }
 
-// world is a platform, coordinators that may all believe in their lease, and one trainer.
-type world struct {
-	t         *rapid.T
-	bound     int
-	useCursor bool
-	up        bool
-	outages   int
-	record    Record
-	version   uint64
-	late      []lateWrite
-	fence     uint64
-	coords    []*coordinator
-	asked     AskID
-	replies   []reply
-	step      int
-	batch     int
-	posted    bool
-	cursor    *Cursor
-	accepted  map[string]bool
-	manifests map[string]string
-	processes int
-	// issuers are the processes that held the lease, by fencing number.
-	issuers map[uint64]int
-	// cursors are those of the requests.
-	cursors map[AskID]*Cursor
-	// stored are the manifests that were in the object at some time.
-	stored map[string]bool
-	// alone counts the batches handed out without being written.
-	alone int
-	// kept are the manifests that hosts hold for the cursors that name them.
-	kept map[string]Manifest
-	// taken are the manifests that the trainer accepted, by step and batch.
-	taken map[string]string
+// simulation models the platform, coordinators that may each believe that they hold the lease, and one
+// trainer.
+type simulation struct {
+	t              *rapid.T
+	stalenessBound int
+	useCursor      bool
+	platformUp     bool
+	outages        int
+	record         Record
+	version        uint64
+	delayedWrites  []delayedWrite
+	fencingNumber  uint64
+	coordinators   []*coordinator
+	lastRequest    AskID
+	replies        []reply
+	step           int
+	batch          int
+	posted         bool
+	cursor         *Cursor
+	received       map[string]bool
+	manifests      map[string]string
+	lastProcess    int
+	// leaseHolders maps fencing numbers to the processes that held the lease under them.
+	leaseHolders map[uint64]int
+	// requestCursors holds the cursor that was sent with each request.
+	requestCursors map[AskID]*Cursor
+	// storedManifests is the set of manifests that were in the job object at some time.
+	storedManifests map[string]bool
+	// offlineBatches counts the batches handed out without being written.
+	offlineBatches int
+	// keptManifests holds the manifests that hosts store for the cursors that locate them, by digest.
+	keptManifests map[string]Manifest
+	// acceptedBatches holds the manifests that the trainer accepted, by step and batch.
+	acceptedBatches map[string]string
 }
 
 const (
-	worldSteps   = 3
-	worldSamples = 6
-	worldBatch   = 2
+	simulatedSteps     = 3
+	simulatedSamples   = 6
+	simulatedBatchSize = 2
 )
 
-var worldSizes = []int{4, 2}
+var simulatedGroupSizes = []int{4, 2}
 
-func newWorld(t *rapid.T, useCursor bool) *world {
-	w := &world{
-		t: t, bound: rapid.IntRange(0, 1).Draw(t, "bound"), useCursor: useCursor, up: true, step: 1,
-		accepted: map[string]bool{}, manifests: map[string]string{}, record: Record{Job: "fees"},
-		issuers: map[uint64]int{}, cursors: map[AskID]*Cursor{}, stored: map[string]bool{},
-		kept: map[string]Manifest{}, taken: map[string]string{},
+func newSimulation(t *rapid.T, useCursor bool) *simulation {
+	s := &simulation{
+		t: t, stalenessBound: rapid.IntRange(0, 1).Draw(t, "bound"), useCursor: useCursor, platformUp: true, step: 1,
+		received: map[string]bool{}, manifests: map[string]string{}, record: Record{Job: "fees"},
+		leaseHolders: map[uint64]int{}, requestCursors: map[AskID]*Cursor{}, storedManifests: map[string]bool{},
+		keptManifests: map[string]Manifest{}, acceptedBatches: map[string]string{},
 	}
 	for range 2 {
-		w.coords = append(w.coords, w.newCoordinator())
+		s.coordinators = append(s.coordinators, s.newCoordinator())
 	}
-	w.take(0)
-	return w
+	s.acquireLease(0)
+	return s
 }
 
-func (w *world) newCoordinator() *coordinator {
+func (s *simulation) newCoordinator() *coordinator {
 	self := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 9000)
-	w.processes++
-	return &coordinator{id: w.processes, job: NewJob("fees", self, w.bound), given: map[string]bool{}}
+	s.lastProcess++
+	return &coordinator{id: s.lastProcess, job: NewJob("fees", self, s.stalenessBound), answered: map[string]bool{}}
 }
 
-// take gives the lease to a coordinator. What was known of an outage is over by then: a taker waits longer.
-func (w *world) take(at int) {
-	w.learn()
-	w.lease(at)
+// acquireLease gives the lease to a coordinator. It first updates what the coordinators know of an outage,
+// since a contender waits longer than that knowledge lasts.
+func (s *simulation) acquireLease(index int) {
+	s.announceOutage()
+	s.grantLease(index)
 }
 
-// learn tells all coordinators of an outage.
-func (w *world) learn() {
-	for at, c := range w.coords {
-		w.feed(at, OutageChanged{Established: !w.up && c.job.fence() == w.fence})
+// announceOutage tells every coordinator whether there is an outage in which no other host has taken the
+// lease.
+func (s *simulation) announceOutage() {
+	for index, c := range s.coordinators {
+		s.handle(index, OutageChanged{Established: !s.platformUp && c.job.fencingNumber() == s.fencingNumber})
 	}
 }
 
-func (w *world) lease(at int) {
-	w.fence++
-	w.issuers[w.fence] = w.coords[at].id
-	w.feed(at, FenceChanged{Number: w.fence, Held: true})
+func (s *simulation) grantLease(index int) {
+	s.fencingNumber++
+	s.leaseHolders[s.fencingNumber] = s.coordinators[index].id
+	s.handle(index, FenceChanged{Number: s.fencingNumber, Held: true})
 }
 
-// renew gives the newest holder a higher number without a gap.
-func (w *world) renew(at int) {
-	if w.coords[at].job.fence() != w.fence || w.fence == 0 {
+// renewLease gives the current holder a higher fencing number without a gap.
+func (s *simulation) renewLease(index int) {
+	if s.coordinators[index].job.fencingNumber() != s.fencingNumber || s.fencingNumber == 0 {
 		return
 	}
-	w.fence++
-	w.issuers[w.fence] = w.coords[at].id
-	w.feed(at, FenceChanged{Number: w.fence, Held: true, Renewed: true})
+	s.fencingNumber++
+	s.leaseHolders[s.fencingNumber] = s.coordinators[index].id
+	s.handle(index, FenceChanged{Number: s.fencingNumber, Held: true, Renewed: true})
 }
 
-// feed hands an event to a coordinator and keeps its effects.
-func (w *world) feed(at int, event Event) {
-	c := w.coords[at]
+// handle passes an event to a coordinator and records its effects.
+func (s *simulation) handle(index int, event Event) {
+	c := s.coordinators[index]
 	for _, effect := range c.job.Handle(event) {
 		switch e := effect.(type) {
 		case Read:
 			c.reads++
 		case Write:
 			if c.write != nil {
-				w.t.Fatalf("two writes under way")
+				s.t.Fatalf("two writes in flight")
 			}
 			c.write = &e
 		case Answer:
 			if kept, ok := e.Result.(BatchKept); ok {
-				w.askKept(at, e.ID, kept)
+				s.supplyManifest(index, e.ID, kept)
 				continue
 			}
-			w.note(c, e)
+			s.checkAnswer(c, e)
 		}
 	}
 }
 
-// askKept finds the manifest that a cursor names, and asks again with it under the same number.
-func (w *world) askKept(at int, id AskID, named BatchKept) {
-	manifest, ok := w.kept[named.Kept.Digest]
+// supplyManifest looks up the manifest that a cursor locates, and repeats the request with it under the same
+// ID.
+func (s *simulation) supplyManifest(index int, id AskID, needed BatchKept) {
+	manifest, ok := s.keptManifests[needed.Kept.Digest]
 	if !ok {
-		w.t.Fatalf("a cursor names the manifest %s, which nobody kept", named.Kept.Digest)
+		s.t.Fatalf("a cursor locates the manifest %s, which no host stores", needed.Kept.Digest)
 	}
-	w.feed(at, BatchAsked{ID: id, Step: named.Step, Batch: manifest.Batch, Cursor: w.cursors[id], Manifest: &manifest})
+	s.handle(index, BatchAsked{ID: id, Step: needed.Step, Batch: manifest.Batch, Cursor: s.requestCursors[id], Manifest: &manifest})
 }
 
-// note checks an answer when it leaves the coordinator.
-func (w *world) note(c *coordinator, answer Answer) {
+// checkAnswer checks an answer when it leaves the coordinator, and puts it on its way to the trainer.
+func (s *simulation) checkAnswer(c *coordinator, answer Answer) {
 	r := reply{result: answer.Result}
 	if ready, ok := answer.Result.(BatchReady); ok {
-		w.checkBound(ready.Manifest)
+		s.checkStaleness(ready.Manifest)
 		r.digest = fmt.Sprint(ready.Manifest)
 		if ready.Unwritten {
-			w.kept[r.digest] = ready.Manifest
+			s.keptManifests[r.digest] = ready.Manifest
 			ready.Cursor.Kept = &Kept{Digest: r.digest}
 			r.result = ready
 		}
-		w.checkRepeated(ready, r.digest, w.cursors[answer.ID])
-		if cursor := w.cursors[answer.ID]; !w.stored[r.digest] && !names(cursor, r.digest) {
-			w.checkAlone(c, ready, cursor)
+		s.checkBatchUnchanged(ready, r.digest, s.requestCursors[answer.ID])
+		if cursor := s.requestCursors[answer.ID]; !s.storedManifests[r.digest] && !namesManifest(cursor, r.digest) {
+			s.checkOfflineBatch(c, ready, cursor)
 		}
-		c.given[r.digest] = true
+		c.answered[r.digest] = true
 		key := batchKey(ready)
-		known, seen := w.manifests[key]
-		if seen && known != r.digest && (!w.useCursor || w.outages == 0) {
-			w.t.Fatalf("batch %s changed between two answers:\n%s\n%s", key, known, r.digest)
+		known, seen := s.manifests[key]
+		if seen && known != r.digest && (!s.useCursor || s.outages == 0) {
+			s.t.Fatalf("batch %s changed between two answers:\n%s\n%s", key, known, r.digest)
 		}
-		w.manifests[key] = r.digest
+		s.manifests[key] = r.digest
 	}
-	if no, ok := answer.Result.(Refused); ok && strings.Contains(no.Refusal.Detail, "by a cursor") {
-		w.checkRefused(no, w.cursors[answer.ID])
+	if refused, ok := answer.Result.(Refused); ok && strings.Contains(refused.Refusal.Detail, "by a cursor") {
+		s.checkFinalRefusal(refused, s.requestCursors[answer.ID])
 	}
 	if accepted, ok := answer.Result.(VersionAccepted); ok && accepted.Cursor != nil {
-		w.checkForward(w.cursors[answer.ID], *accepted.Cursor)
+		s.checkCursorNotBehind(s.requestCursors[answer.ID], *accepted.Cursor)
 	}
-	w.replies = append(w.replies, r)
+	s.replies = append(s.replies, r)
 }
 
-// put applies a conditional write to the job object.
-func (w *world) put(from *coordinator, record Record, ifVersion uint64) bool {
-	if w.version != ifVersion {
+// applyWrite applies a conditional write to the job object; it returns false on a conflict.
+func (s *simulation) applyWrite(from *coordinator, record Record, ifVersion uint64) bool {
+	if s.version != ifVersion {
 		return false
 	}
-	from.landed = max(from.landed, record.ModelVersion)
-	old := w.record
-	w.record = record
-	w.version++
+	from.writtenVersion = max(from.writtenVersion, record.ModelVersion)
+	old := s.record
+	s.record = record
+	s.version++
 	if record.ModelVersion < old.ModelVersion {
-		w.t.Fatalf("the model version went back from %d to %d", old.ModelVersion, record.ModelVersion)
+		s.t.Fatalf("the model version decreased from %d to %d", old.ModelVersion, record.ModelVersion)
 	}
 	step := record.Step
 	if step != nil && step.Manifest != nil {
-		w.stored[fmt.Sprint(*step.Manifest)] = true
+		s.storedManifests[fmt.Sprint(*step.Manifest)] = true
 	}
 	if step == nil || step.Manifest == nil || (old.Step != nil && fmt.Sprint(old.Step.Manifest) == fmt.Sprint(step.Manifest)) {
 		return true
 	}
 	for _, ref := range step.Manifest.Refs {
-		if ref.Oldest < record.ModelVersion-w.bound {
-			w.t.Fatalf("manifest written with a sample of version %d at %d, bound %d", ref.Oldest, record.ModelVersion, w.bound)
+		if ref.OldestVersion < record.ModelVersion-s.stalenessBound {
+			s.t.Fatalf("manifest written with a sample of version %d at model version %d, staleness bound %d",
+				ref.OldestVersion, record.ModelVersion, s.stalenessBound)
 		}
 	}
 	return true
 }
 
-// runRead ends a coordinator's read.
-func (w *world) runRead(at int) {
-	c := w.coords[at]
+// completeRead completes a coordinator's read.
+func (s *simulation) completeRead(index int) {
+	c := s.coordinators[index]
 	if c.reads == 0 {
 		return
 	}
 	c.reads--
-	c.unread = !w.up || c.cut
-	if c.unread {
-		w.feed(at, ReadFailed{})
+	c.readFailed = !s.platformUp || c.disconnected
+	if c.readFailed {
+		s.handle(index, ReadFailed{})
 		return
 	}
-	w.feed(at, Loaded{Record: w.record, Version: w.version})
+	s.handle(index, Loaded{Record: s.record, Version: s.version})
 }
 
-// runWrite ends a coordinator's write in the given way.
-func (w *world) runWrite(at int, how fate) {
-	c := w.coords[at]
+// completeWrite completes a coordinator's write with the given fault.
+func (s *simulation) completeWrite(index int, fault writeFault) {
+	c := s.coordinators[index]
 	if c.write == nil {
 		return
 	}
 	write := *c.write
 	c.write = nil
 	switch {
-	case (!w.up || c.cut) && how == fateDone, how == fateUnsent:
-		w.feed(at, WriteUnavailable{})
-	case !w.up || c.cut || how == fateLostDropped:
-		w.feed(at, WriteUnsettled{})
-	case how == fateLostApplied:
-		w.put(c, write.Record, write.IfVersion)
-		w.feed(at, WriteUnsettled{})
-	case how == fateLostLate:
-		w.late = append(w.late, lateWrite{c, write.Record, write.IfVersion})
-		w.feed(at, WriteUnsettled{})
-	case w.put(c, write.Record, write.IfVersion):
-		w.feed(at, Written{Version: w.version})
+	case (!s.platformUp || c.disconnected) && fault == faultNone, fault == faultUnsent:
+		s.handle(index, WriteUnavailable{})
+	case !s.platformUp || c.disconnected || fault == faultRequestLost:
+		s.handle(index, WriteUnsettled{})
+	case fault == faultAnswerLost:
+		s.applyWrite(c, write.Record, write.IfVersion)
+		s.handle(index, WriteUnsettled{})
+	case fault == faultDelayed:
+		s.delayedWrites = append(s.delayedWrites, delayedWrite{c, write.Record, write.IfVersion})
+		s.handle(index, WriteUnsettled{})
+	case s.applyWrite(c, write.Record, write.IfVersion):
+		s.handle(index, Written{Version: s.version})
 	default:
-		w.feed(at, WriteConflicted{})
+		s.handle(index, WriteConflicted{})
 	}
 }
 
-func (w *world) runLate() {
-	if len(w.late) == 0 || !w.up {
+func (s *simulation) applyDelayedWrite() {
+	if len(s.delayedWrites) == 0 || !s.platformUp {
 		return
 	}
-	w.put(w.late[0].from, w.late[0].record, w.late[0].ifVersion)
-	w.late = w.late[1:]
+	s.applyWrite(s.delayedWrites[0].from, s.delayedWrites[0].record, s.delayedWrites[0].ifVersion)
+	s.delayedWrites = s.delayedWrites[1:]
 }
 
-// ask sends the trainer's next request.
-func (w *world) ask(at int) {
+// sendRequest sends the trainer's next request to a coordinator.
+func (s *simulation) sendRequest(index int) {
 	var cursor *Cursor
-	if w.useCursor {
-		cursor = w.cursor
-	}
-	w.asked++
-	w.cursors[w.asked] = cursor
-	if !w.posted {
-		w.feed(at, StepAsked{
-			ID: w.asked, Step: w.step, Digest: fmt.Sprint("body", w.step), Sizes: worldSizes,
-			BatchSize: worldBatch, Chunks: 1, Cursor: cursor,
+	if s.useCursor {
+		cursor = s.cursor
+	}
+	s.lastRequest++
+	s.requestCursors[s.lastRequest] = cursor
+	if !s.posted {
+		s.handle(index, StepAsked{
+			ID: s.lastRequest, Step: s.step, Digest: fmt.Sprint("body", s.step), Sizes: simulatedGroupSizes,
+			BatchSize: simulatedBatchSize, Chunks: 1, Cursor: cursor,
 		})
 		return
 	}
-	w.feed(at, BatchAsked{ID: w.asked, Step: w.step, Batch: w.batch + 1, Cursor: cursor})
+	s.handle(index, BatchAsked{ID: s.lastRequest, Step: s.step, Batch: s.batch + 1, Cursor: cursor})
 }
 
-// askAgain sends the trainer's last request for a batch again, with the cursor that came with it.
-func (w *world) askAgain(at int) {
-	if !w.posted || w.batch == 0 || !w.useCursor {
+// repeatBatchRequest repeats the request for the batch that the trainer received last, with the cursor that
+// came with it.
+func (s *simulation) repeatBatchRequest(index int) {
+	if !s.posted || s.batch == 0 || !s.useCursor {
 		return
 	}
-	w.asked++
-	w.cursors[w.asked] = w.cursor
-	w.feed(at, BatchAsked{ID: w.asked, Step: w.step, Batch: w.batch, Cursor: w.cursor})
+	s.lastRequest++
+	s.requestCursors[s.lastRequest] = s.cursor
+	s.handle(index, BatchAsked{ID: s.lastRequest, Step: s.step, Batch: s.batch, Cursor: s.cursor})
 }
 
-// postVersion sends the model version that the trainer made last, or the next one.
-func (w *world) postVersion(at int, version int) {
+// postVersion publishes a model version.
+func (s *simulation) postVersion(index int, version int) {
 	var cursor *Cursor
-	if w.useCursor {
-		cursor = w.cursor
+	if s.useCursor {
+		cursor = s.cursor
 	}
-	w.asked++
-	w.cursors[w.asked] = cursor
-	w.feed(at, VersionAsked{ID: w.asked, Version: version, Weights: fmt.Sprint("weights", version), Cursor: cursor})
+	s.lastRequest++
+	s.requestCursors[s.lastRequest] = cursor
+	s.handle(index, VersionAsked{ID: s.lastRequest, Version: version, Weights: fmt.Sprint("weights", version), Cursor: cursor})
 }
 
-// receive hands the trainer one answer; answers that it no longer waits for are ignored.
-func (w *world) receive(at int) {
-	r := w.replies[at]
-	w.replies = slices.Delete(w.replies, at, at+1)
+// receive delivers one answer to the trainer, which ignores answers that it no longer waits for.
+func (s *simulation) receive(index int) {
+	r := s.replies[index]
+	s.replies = slices.Delete(s.replies, index, index+1)
 	switch e := r.result.(type) {
 	case StepAccepted:
-		if !w.posted && e.Cursor.Step == w.step {
-			w.posted = true
-			w.batch = 0
-			w.cursor = &e.Cursor
+		if !s.posted && e.Cursor.Step == s.step {
+			s.posted = true
+			s.batch = 0
+			s.cursor = &e.Cursor
 		}
 	case BatchReady:
-		w.accept(e)
+		s.acceptBatch(e)
 	case Refused:
-		// The trainer posts a step again that a successor does not know.
-		if e.Refusal.Reason == verdict.ReasonNotFound && w.posted {
-			w.repost()
+		// The trainer posts a step again if a successor doesn't know it.
+		if e.Refusal.Reason == verdict.ReasonNotFound && s.posted {
+			s.repostStep()
 		}
 	case VersionAccepted:
-		if e.Cursor != nil && w.cursor != nil && e.Cursor.Step == w.cursor.Step && e.Cursor.Batch == w.cursor.Batch {
-			w.cursor = e.Cursor
+		if e.Cursor != nil && s.cursor != nil && e.Cursor.Step == s.cursor.Step && e.Cursor.Batch == s.cursor.Batch {
+			s.cursor = e.Cursor
 		}
 	}
 }
 
-func (w *world) repost() {
-	for at := range w.coords {
-		w.asked++
-		w.feed(at, StepAsked{
-			ID: w.asked, Step: w.step, Digest: fmt.Sprint("body", w.step), Sizes: worldSizes,
-			BatchSize: worldBatch, Chunks: 1, Cursor: w.cursor,
+func (s *simulation) repostStep() {
+	for index := range s.coordinators {
+		s.lastRequest++
+		s.handle(index, StepAsked{
+			ID: s.lastRequest, Step: s.step, Digest: fmt.Sprint("body", s.step), Sizes: simulatedGroupSizes,
+			BatchSize: simulatedBatchSize, Chunks: 1, Cursor: s.cursor,
 		})
 	}
 }
 
-func (w *world) accept(e BatchReady) {
-	if !w.posted || e.Step != w.step || e.Manifest.Batch != w.batch+1 {
+func (s *simulation) acceptBatch(e BatchReady) {
+	if !s.posted || e.Step != s.step || e.Manifest.Batch != s.batch+1 {
 		return
 	}
-	w.batch++
-	w.cursor = &e.Cursor
-	w.taken[batchKey(e)] = fmt.Sprint(e.Manifest)
+	s.batch++
+	s.cursor = &e.Cursor
+	s.acceptedBatches[batchKey(e)] = fmt.Sprint(e.Manifest)
 	for _, ref := range e.Manifest.Refs {
 		key := fmt.Sprintf("%d/%d/%d", e.Step, ref.Group, ref.Index)
-		if w.accepted[key] {
-			w.t.Fatalf("sample %s delivered twice", key)
+		if s.received[key] {
+			s.t.Fatalf("sample %s delivered twice", key)
 		}
-		w.accepted[key] = true
+		s.received[key] = true
 	}
-	if e.Manifest.Last != (w.batch == worldSamples/worldBatch) {
-		w.t.Fatalf("batch %d of step %d: last is %v", w.batch, e.Step, e.Manifest.Last)
+	if e.Manifest.Last != (s.batch == simulatedSamples/simulatedBatchSize) {
+		s.t.Fatalf("batch %d of step %d: last is %v", s.batch, e.Step, e.Manifest.Last)
 	}
-	if e.Manifest.Last && w.step < worldSteps {
-		w.step++
-		w.posted = false
+	if e.Manifest.Last && s.step < simulatedSteps {
+		s.step++
+		s.posted = false
 	}
 }
 
-// round is one request of the trainer that is served without a fault of its own.
-func (w *world) round(at int) {
-	w.feed(at, Ticked{})
-	w.runRead(at)
-	w.ask(at)
+// serveRequest sends one request of the trainer and lets the coordinator serve it without additional faults.
+func (s *simulation) serveRequest(index int) {
+	s.handle(index, Ticked{})
+	s.completeRead(index)
+	s.sendRequest(index)
 	for range 3 {
-		w.runWrite(at, fateDone)
-		w.runRead(at)
+		s.completeWrite(index, faultNone)
+		s.completeRead(index)
 	}
-	if len(w.replies) > 0 {
-		w.receive(len(w.replies) - 1)
+	if len(s.replies) > 0 {
+		s.receive(len(s.replies) - 1)
 	}
 }
 
-// workAll makes the samples of a coordinator ready.
-func (w *world) workAll(at, version int) {
-	for range 4 * worldSamples {
-		w.progress(at, 1, version)
+// advanceAllSamples makes a coordinator's samples ready for a batch.
+func (s *simulation) advanceAllSamples(index, version int) {
+	for range 4 * simulatedSamples {
+		s.advanceSample(index, 1, version)
 	}
 }
 
-func (w *world) finished() bool {
-	return w.step == worldSteps && w.posted && w.batch == worldSamples/worldBatch
+func (s *simulation) finished() bool {
+	return s.step == simulatedSteps && s.posted && s.batch == simulatedSamples/simulatedBatchSize
 }
 
-// progress moves one sample of a coordinator a stage on, made by weights of the given version.
-func (w *world) progress(at, pick, version int) {
-	job := w.coords[at].job
+// advanceSample moves one sample of a coordinator to the next stage, using weights of the given version.
+func (s *simulation) advanceSample(index, pick, version int) {
+	job := s.coordinators[index].job
 	var open []int
 	for _, state := range []SampleState{StatePending, StateGenerating, StateGenerated, StateCopied} {
 		open = append(open, job.Positions(state)...)
@@ -419,44 +429,45 @@
 	sample, work := job.Sample(position)
 	switch sample.State {
 	case StatePending:
-		w.feed(at, SampleStarted{Work: work})
+		s.handle(index, SampleStarted{Work: work})
 	case StateGenerating:
 		tokens := append(slices.Clone(sample.Prefix), Token{Text: "x", Version: version})
 		if pick%5 == 0 {
-			w.feed(at, SampleFailed{Work: work, Tokens: tokens})
+			s.handle(index, SampleFailed{Work: work, Tokens: tokens})
 			return
 		}
-		digest := fmt.Sprintf("%d-%d-%d-%d", at, w.fence, position, work.Attempt)
-		w.feed(at, SampleGenerated{Work: work, Tokens: tokens, Digest: digest})
+		digest := fmt.Sprintf("%d-%d-%d-%d", index, s.fencingNumber, position, work.Attempt)
+		s.handle(index, SampleGenerated{Work: work, Tokens: tokens, Digest: digest})
 	case StateGenerated:
-		w.feed(at, SampleCopied{Work: work})
+		s.handle(index, SampleCopied{Work: work})
 	default:
-		w.feed(at, SampleScored{Work: work, Score: 1})
+		s.handle(index, SampleScored{Work: work, Score: 1})
 	}
 }
 
-// heal ends all faults and lets one coordinator finish the job.
-func (w *world) heal() {
-	w.up = true
-	for len(w.late) > 0 {
-		w.runLate()
+// recoverAndFinish ends all faults and lets one new coordinator finish the job.
+func (s *simulation) recoverAndFinish() {
+	s.platformUp = true
+	for len(s.delayedWrites) > 0 {
+		s.applyDelayedWrite()
 	}
-	w.coords = []*coordinator{w.newCoordinator()}
-	w.take(0)
-	for round := 0; !w.finished(); round++ {
+	s.coordinators = []*coordinator{s.newCoordinator()}
+	s.acquireLease(0)
+	for round := 0; !s.finished(); round++ {
 		if round > 500 {
-			w.t.Fatalf("no end after all faults: step %d batch %d posted %v, %+v", w.step, w.batch, w.posted, w.coords[0].job.Status())
+			s.t.Fatalf("job did not finish after all faults ended: step %d batch %d posted %v, %+v",
+				s.step, s.batch, s.posted, s.coordinators[0].job.Status())
 		}
-		w.feed(0, Ticked{})
-		w.runRead(0)
-		w.runWrite(0, fateDone)
-		w.progress(0, 1, w.record.ModelVersion)
-		w.ask(0)
-		for len(w.replies) > 0 {
-			w.receive(0)
+		s.handle(0, Ticked{})
+		s.completeRead(0)
+		s.completeWrite(0, faultNone)
+		s.advanceSample(0, 1, s.record.ModelVersion)
+		s.sendRequest(0)
+		for len(s.replies) > 0 {
+			s.receive(0)
 		}
 	}
-	if len(w.accepted) != worldSteps*worldSamples {
-		w.t.Fatalf("%d samples delivered, not %d", len(w.accepted), worldSteps*worldSamples)
+	if len(s.received) != simulatedSteps*simulatedSamples {
+		s.t.Fatalf("%d samples delivered, want %d", len(s.received), simulatedSteps*simulatedSamples)
 	}
 }
--- a/internal/core/delivery/worldcheck_test.go
+++ b/internal/core/delivery/worldcheck_test.go
@@ -4,70 +4,76 @@
 	"fmt"
 )
 
-// checkRepeated fails if a trainer whose cursor came with a batch is given the batch with other samples.
-func (w *world) checkRepeated(ready BatchReady, digest string, cursor *Cursor) {
+// checkBatchUnchanged fails if a trainer whose cursor came with a batch is given that batch with other
+// samples.
+func (s *simulation) checkBatchUnchanged(ready BatchReady, digest string, cursor *Cursor) {
 	if cursor == nil || cursor.Step != ready.Step || cursor.Batch != ready.Manifest.Batch {
 		return
 	}
-	if taken := w.taken[batchKey(ready)]; taken != digest {
-		w.t.Fatalf("the trainer has batch %s as\n%s\nand is given\n%s", batchKey(ready), taken, digest)
+	if accepted := s.acceptedBatches[batchKey(ready)]; accepted != digest {
+		s.t.Fatalf("the trainer received batch %s as\n%s\nand is now given\n%s", batchKey(ready), accepted, digest)
 	}
 }
 
 func batchKey(ready BatchReady) string { return fmt.Sprintf("%d/%d", ready.Step, ready.Manifest.Batch) }
 
-// names says whether a cursor came with the batch of a kept manifest, which any coordinator may repeat to its trainer.
-func names(cursor *Cursor, digest string) bool {
+// namesManifest reports whether the cursor locates the manifest, so that any coordinator may repeat the batch
+// to the trainer.
+func namesManifest(cursor *Cursor, digest string) bool {
 	return cursor != nil && cursor.Kept != nil && cursor.Kept.Digest == digest
 }
 
-// checkRefused fails if a batch was refused for good without an outage, or to a trainer whose cursor came with it. What is left
-// are requests that the trainer gave up for a later answer to an earlier one.
-func (w *world) checkRefused(no Refused, cursor *Cursor) {
-	if w.outages == 0 || cursor != nil && cursor.Kept != nil {
-		w.t.Fatalf("refused for good, cursor %+v: %s", cursor, no.Refusal.Detail)
+// checkFinalRefusal fails if a batch was refused permanently without any outage, or to a trainer whose cursor
+// locates its manifest. Other such refusals are of requests that the trainer had abandoned for a later answer
+// to an earlier request.
+func (s *simulation) checkFinalRefusal(refused Refused, cursor *Cursor) {
+	if s.outages == 0 || cursor != nil && cursor.Kept != nil {
+		s.t.Fatalf("refused permanently, cursor %+v: %s", cursor, refused.Refusal.Detail)
 	}
 }
 
-// checkForward fails if the trainer would be given a cursor behind the one that it sent.
-func (w *world) checkForward(sent *Cursor, given Cursor) {
-	if sent != nil && (given.Step < sent.Step || given.Step == sent.Step && given.Batch < sent.Batch) {
-		w.t.Fatalf("a version was answered with the cursor of step %d, batch %d after step %d, batch %d",
-			given.Step, given.Batch, sent.Step, sent.Batch)
+// checkCursorNotBehind fails if the trainer would get a cursor that is behind the one that it sent.
+func (s *simulation) checkCursorNotBehind(sent *Cursor, returned Cursor) {
+	if sent != nil && (returned.Step < sent.Step || returned.Step == sent.Step && returned.Batch < sent.Batch) {
+		s.t.Fatalf("a version was answered with the cursor of step %d, batch %d after step %d, batch %d",
+			returned.Step, returned.Batch, sent.Step, sent.Batch)
 	}
 }
 
-// checkAlone checks a batch that was handed out without being written.
-func (w *world) checkAlone(c *coordinator, ready BatchReady, cursor *Cursor) {
-	w.alone++
-	if cursor == nil || w.issuers[cursor.Fencing] != c.id {
-		w.t.Fatalf("process %d moved alone past a cursor that is not its own: %+v", c.id, cursor)
+// checkOfflineBatch checks a batch that was handed out without being written.
+func (s *simulation) checkOfflineBatch(c *coordinator, ready BatchReady, cursor *Cursor) {
+	s.offlineBatches++
+	if cursor == nil || s.leaseHolders[cursor.Fencing] != c.id {
+		s.t.Fatalf("process %d proceeded offline from a cursor that it did not issue: %+v", c.id, cursor)
 	}
-	// A batch that was handed out alone is repeated also when the platform is back.
-	if repeated := c.given[fmt.Sprint(ready.Manifest)]; !repeated {
-		w.checkMove(c)
+	// A batch that was handed out offline may be repeated after the platform is back.
+	if repeated := c.answered[fmt.Sprint(ready.Manifest)]; !repeated {
+		s.checkOfflineAllowed(c)
 	}
 	for _, ref := range ready.Manifest.Refs {
-		if ref.Oldest < c.landed-w.bound {
-			w.t.Fatalf("moved alone with a sample of version %d, though it wrote version %d, bound %d", ref.Oldest, c.landed, w.bound)
+		if ref.OldestVersion < c.writtenVersion-s.stalenessBound {
+			s.t.Fatalf("proceeded offline with a sample of version %d after writing model version %d, staleness bound %d",
+				ref.OldestVersion, c.writtenVersion, s.stalenessBound)
 		}
 	}
 }
 
-// checkMove checks the ground for a move that was not written.
-func (w *world) checkMove(c *coordinator) {
-	if !c.unread {
-		w.t.Fatalf("process %d moved alone though its last read succeeded", c.id)
+// checkOfflineAllowed checks that the process was allowed to make a transition without writing it.
+func (s *simulation) checkOfflineAllowed(c *coordinator) {
+	if !c.readFailed {
+		s.t.Fatalf("process %d proceeded offline though its last read succeeded", c.id)
 	}
-	if c.job.fence() != w.fence {
-		w.t.Fatalf("process %d moved alone under lease %d though another holds lease %d", c.id, c.job.fence(), w.fence)
+	if c.job.fencingNumber() != s.fencingNumber {
+		s.t.Fatalf("process %d proceeded offline under fencing number %d though the newest is %d",
+			c.id, c.job.fencingNumber(), s.fencingNumber)
 	}
 }
 
-func (w *world) checkBound(manifest Manifest) {
+func (s *simulation) checkStaleness(manifest Manifest) {
 	for _, ref := range manifest.Refs {
-		if ref.Oldest < manifest.ModelVersion-w.bound {
-			w.t.Fatalf("stale sample: version %d at current %d, bound %d", ref.Oldest, manifest.ModelVersion, w.bound)
+		if ref.OldestVersion < manifest.ModelVersion-s.stalenessBound {
+			s.t.Fatalf("stale sample: version %d at model version %d, staleness bound %d",
+				ref.OldestVersion, manifest.ModelVersion, s.stalenessBound)
 		}
 	}
 }
