--- a/internal/core/delivery/ask.go
+++ b/internal/core/delivery/ask.go
@@ -12,7 +12,7 @@
 
 // pendingRequest is a request of the trainer that has not been answered yet.
 type pendingRequest struct {
-	id     AskID
+	id     TrainerRequestID
 	event  Event
 	cursor *Cursor
 	// writeSent says that a write for the request was sent and may have taken effect.
--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -7,8 +7,8 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// AskID identifies a pending request of the trainer.
-type AskID uint64
+// TrainerRequestID identifies a pending request of the trainer.
+type TrainerRequestID uint64
 
 // Event is an input of the job's state machine; see Job.Handle.
 type Event interface{ event() }
@@ -17,7 +17,7 @@
 type (
 	// StepAsked posts a step.
 	StepAsked struct {
-		ID        AskID
+		ID        TrainerRequestID
 		Step      int
 		Digest    string
 		Sizes     []int
@@ -28,7 +28,7 @@
 	}
 	// BatchAsked requests a batch and acknowledges the one before.
 	BatchAsked struct {
-		ID     AskID
+		ID     TrainerRequestID
 		Step   int
 		Batch  int
 		Cursor *Cursor
@@ -37,14 +37,14 @@
 	}
 	// VersionAsked publishes a model version.
 	VersionAsked struct {
-		ID      AskID
+		ID      TrainerRequestID
 		Version int
 		Weights string
 		Cursor  *Cursor
 	}
 	// AskExpired refuses a request that is still pending.
 	AskExpired struct {
-		ID         AskID
+		ID         TrainerRequestID
 		RetryAfter time.Duration
 	}
 )
@@ -169,7 +169,7 @@
 	}
 	// Answer completes a request of the trainer.
 	Answer struct {
-		ID     AskID
+		ID     TrainerRequestID
 		Result Result
 	}
 )
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -69,7 +69,7 @@
 	delayedWrites  []delayedWrite
 	fencingNumber  uint64
 	coordinators   []*coordinator
-	lastRequest    AskID
+	lastRequest    TrainerRequestID
 	replies        []reply
 	step           int
 	batch          int
@@ -81,7 +81,7 @@
 	// leaseHolders maps fencing numbers to the processes that held the lease under them.
 	leaseHolders map[uint64]int
 	// requestCursors holds the cursor that was sent with each request.
-	requestCursors map[AskID]*Cursor
+	requestCursors map[TrainerRequestID]*Cursor
 	// storedManifests is the set of manifests that were in the job object at some time.
 	storedManifests map[string]bool
 	// offlineBatches counts the batches handed out without being written.
@@ -104,7 +104,7 @@
 	s := &simulation{
 		t: t, stalenessBound: rapid.IntRange(0, 1).Draw(t, "bound"), useCursor: useCursor, platformUp: true, step: 1,
 		received: map[string]bool{}, manifests: map[string]string{}, record: Record{Job: "fees"},
-		leaseHolders: map[uint64]int{}, requestCursors: map[AskID]*Cursor{}, storedManifests: map[string]bool{},
+		leaseHolders: map[uint64]int{}, requestCursors: map[TrainerRequestID]*Cursor{}, storedManifests: map[string]bool{},
 		keptManifests: map[string]Manifest{}, acceptedBatches: map[string]string{},
 	}
 	for range 2 {
@@ -175,7 +175,7 @@
 
 // supplyManifest looks up the manifest that a cursor locates, and repeats the request with it under the same
 // ID.
-func (s *simulation) supplyManifest(index int, id AskID, needed BatchKept) {
+func (s *simulation) supplyManifest(index int, id TrainerRequestID, needed BatchKept) {
 	manifest, ok := s.keptManifests[needed.Kept.Digest]
 	if !ok {
 		s.t.Fatalf("a cursor locates the manifest %s, which no host stores", needed.Kept.Digest)
--- a/internal/edge/trainer/answer.go
+++ b/internal/edge/trainer/answer.go
@@ -42,7 +42,7 @@
 // ask turns a request into an event of the job.
 func (c *Coordinator) ask(request Forwarded) (askMessage, error) {
 	message := askMessage{
-		id:      delivery.AskID(c.asked.Add(1)),
+		id:      delivery.TrainerRequestID(c.asked.Add(1)),
 		answers: make(chan delivery.Result, 1),
 	}
 	cursor, err := c.cursor(request.Cursor)
--- a/internal/edge/trainer/message.go
+++ b/internal/edge/trainer/message.go
@@ -43,7 +43,7 @@
 
 // askMessage brings a trainer's request; its result goes to answers, which has room for it.
 type askMessage struct {
-	id      delivery.AskID
+	id      delivery.TrainerRequestID
 	event   delivery.Event
 	answers chan delivery.Result
 	// digest and body are those of a posted step.
@@ -65,7 +65,7 @@
 }
 
 // expireMessage ends a request whose time is over.
-type expireMessage struct{ id delivery.AskID }
+type expireMessage struct{ id delivery.TrainerRequestID }
 
 func (m expireMessage) apply(r *runner) {
 	r.handle(delivery.AskExpired{ID: m.id, RetryAfter: retryInterval})
--- a/internal/edge/trainer/runner.go
+++ b/internal/edge/trainer/runner.go
@@ -44,7 +44,7 @@
 	done    chan struct{}
 
 	machine    *delivery.Job
-	answers    map[delivery.AskID]chan delivery.Result
+	answers    map[delivery.TrainerRequestID]chan delivery.Result
 	activation int
 	active     bool
 	held       bool
@@ -54,7 +54,7 @@
 	probed time.Time
 	// bodies are those of posted steps by digest; posted names them by request.
 	bodies     map[string][]byte
-	posted     map[delivery.AskID]string
+	posted     map[delivery.TrainerRequestID]string
 	plan       *delivery.Plan
 	planStep   int
 	planDigest string
@@ -90,7 +90,7 @@
 		storage: make(chan storeOperation, storageQueue),
 		tasks:   make(chan task, c.options.concurrency),
 		done:    make(chan struct{}),
-		answers: map[delivery.AskID]chan delivery.Result{},
+		answers: map[delivery.TrainerRequestID]chan delivery.Result{},
 		parent:  ctx,
 	}
 	r.taskCtx, r.stopTasks = context.WithCancel(ctx)
@@ -120,7 +120,7 @@
 	r.fence = Fence{}
 	r.machine = delivery.NewJob(r.job, r.deps.Self, r.bound())
 	r.bodies = map[string][]byte{}
-	r.posted = map[delivery.AskID]string{}
+	r.posted = map[delivery.TrainerRequestID]string{}
 	r.plan = nil
 	r.planDigest = ""
 	r.loading = false
@@ -276,7 +276,7 @@
 
 // forgetBody drops the body of a post that did not become the current step, so that refused posts
 // take no memory.
-func (r *runner) forgetBody(id delivery.AskID) {
+func (r *runner) forgetBody(id delivery.TrainerRequestID) {
 	digest, posted := r.posted[id]
 	if !posted {
 		return
