--- a/internal/core/delivery/ask.go
+++ b/internal/core/delivery/ask.go
@@ -23,7 +23,7 @@
 
 func newPendingRequest(event Event) *pendingRequest {
 	switch e := event.(type) {
-	case StepAsked:
+	case StepRequested:
 		return &pendingRequest{id: e.ID, event: e, cursor: e.Cursor}
 	case BatchAsked:
 		return &pendingRequest{id: e.ID, event: e, cursor: e.Cursor}
@@ -110,7 +110,7 @@
 		return waiting()
 	}
 	switch e := request.event.(type) {
-	case StepAsked:
+	case StepRequested:
 		return j.evaluateStep(e)
 	case BatchAsked:
 		return j.evaluateBatch(e)
--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -15,8 +15,8 @@
 
 // Requests of the trainer. Each gets exactly one Answer, immediately or later.
 type (
-	// StepAsked posts a step.
-	StepAsked struct {
+	// StepRequested posts a step.
+	StepRequested struct {
 		ID        TrainerRequestID
 		Step      int
 		Digest    string
@@ -130,7 +130,7 @@
 	}
 )
 
-func (StepAsked) event()        {}
+func (StepRequested) event()        {}
 func (BatchAsked) event()       {}
 func (VersionAsked) event()     {}
 func (AskExpired) event()       {}
--- a/internal/core/delivery/step.go
+++ b/internal/core/delivery/step.go
@@ -4,7 +4,7 @@
 
 // evaluateStep decides on a posted step. The same body again is the same step, another body is refused, and a
 // new step acknowledges the last batch of the step before.
-func (j *Job) evaluateStep(e StepAsked) outcome {
+func (j *Job) evaluateStep(e StepRequested) outcome {
 	if refusal, ok := j.mergeCursor(e.Cursor); !ok {
 		return refusal
 	}
@@ -31,7 +31,7 @@
 // it without the platform. Its successor knows only the beginning of the first of these steps and would refuse
 // every later one permanently, which stalls the trainer. The trainer's cursor tells which step it has reached,
 // and whether that step is complete.
-func (j *Job) checkPredecessor(e StepAsked) *outcome {
+func (j *Job) checkPredecessor(e StepRequested) *outcome {
 	step, cursor := j.record.Step, e.Cursor
 	if cursor != nil && (step == nil || cursor.Step > step.Step) {
 		if cursor.Complete || cursor.Step >= e.Step {
@@ -50,7 +50,7 @@
 }
 
 // evaluatePastStep repeats the answer to a finished step, or refuses the step if it isn't known any more.
-func (j *Job) evaluatePastStep(e StepAsked) outcome {
+func (j *Job) evaluatePastStep(e StepRequested) outcome {
 	for _, past := range j.record.Past {
 		if past.Step == e.Step && past.Digest == e.Digest {
 			return outcome{result: StepAccepted{Samples: past.Samples, Batches: past.Batches, Cursor: j.cursorForAnswer(e.Cursor)}}
@@ -61,7 +61,7 @@
 
 // openStep returns the transition to a new step. If the trainer's cursor is of this step, an earlier
 // coordinator accepted the step without writing it, and the step resumes where the cursor says.
-func (j *Job) openStep(e StepAsked, resumed bool) outcome {
+func (j *Job) openStep(e StepRequested, resumed bool) outcome {
 	opened := &StepRecord{
 		Step:      e.Step,
 		Digest:    e.Digest,
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -301,7 +301,7 @@
 	s.lastRequest++
 	s.requestCursors[s.lastRequest] = cursor
 	if !s.posted {
-		s.handle(index, StepAsked{
+		s.handle(index, StepRequested{
 			ID: s.lastRequest, Step: s.step, Digest: fmt.Sprint("body", s.step), Sizes: simulatedGroupSizes,
 			BatchSize: simulatedBatchSize, Chunks: 1, Cursor: cursor,
 		})
@@ -360,7 +360,7 @@
 func (s *simulation) repostStep() {
 	for index := range s.coordinators {
 		s.lastRequest++
-		s.handle(index, StepAsked{
+		s.handle(index, StepRequested{
 			ID: s.lastRequest, Step: s.step, Digest: fmt.Sprint("body", s.step), Sizes: simulatedGroupSizes,
 			BatchSize: simulatedBatchSize, Chunks: 1, Cursor: s.cursor,
 		})
--- a/internal/edge/trainer/answer.go
+++ b/internal/edge/trainer/answer.go
@@ -84,7 +84,7 @@
 	job, _ := c.deps.View().TrainerJob(request.Job)
 	message.body = body
 	message.digest = digest
-	message.event = delivery.StepAsked{
+	message.event = delivery.StepRequested{
 		ID:        message.id,
 		Step:      request.Step,
 		Digest:    digest,
