--- a/internal/core/delivery/ask.go
+++ b/internal/core/delivery/ask.go
@@ -25,7 +25,7 @@
 	switch e := event.(type) {
 	case StepRequested:
 		return &pendingRequest{id: e.ID, event: e, cursor: e.Cursor}
-	case BatchAsked:
+	case BatchRequested:
 		return &pendingRequest{id: e.ID, event: e, cursor: e.Cursor}
 	case VersionAsked:
 		return &pendingRequest{id: e.ID, event: e, cursor: e.Cursor}
@@ -112,7 +112,7 @@
 	switch e := request.event.(type) {
 	case StepRequested:
 		return j.evaluateStep(e)
-	case BatchAsked:
+	case BatchRequested:
 		return j.evaluateBatch(e)
 	case VersionAsked:
 		return j.evaluateVersion(e)
--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -26,8 +26,8 @@
 		Chunks int
 		Cursor *Cursor
 	}
-	// BatchAsked requests a batch and acknowledges the one before.
-	BatchAsked struct {
+	// BatchRequested requests a batch and acknowledges the one before.
+	BatchRequested struct {
 		ID     TrainerRequestID
 		Step   int
 		Batch  int
@@ -131,7 +131,7 @@
 )
 
 func (StepRequested) event()        {}
-func (BatchAsked) event()       {}
+func (BatchRequested) event()       {}
 func (VersionAsked) event()     {}
 func (AskExpired) event()       {}
 func (Loaded) event()           {}
--- a/internal/core/delivery/job.go
+++ b/internal/core/delivery/job.go
@@ -121,7 +121,7 @@
 func (j *Job) Handle(event Event) []Effect {
 	j.effects = nil
 	switch e := event.(type) {
-	case StepRequested, BatchAsked, VersionAsked:
+	case StepRequested, BatchRequested, VersionAsked:
 		j.requests = append(j.requests, newPendingRequest(event))
 	case AskExpired:
 		j.expire(e)
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -125,7 +125,7 @@
 	onlyEffect[Write](h, h.job.Handle(VersionAsked{ID: 3, Version: 2}))
 	onlyEffect[Read](h, h.job.Handle(WriteUnsettled{}))
 	h.job.Handle(ReadFailed{})
-	h.expectNoEffects(BatchAsked{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
+	h.expectNoEffects(BatchRequested{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
 }
 
 // Like TestUncertainVersionBlocksOfflineBatch, but the write may still take effect after a read did not find
@@ -141,7 +141,7 @@
 	onlyEffect[Read](h, h.job.Handle(WriteUnsettled{}))
 	h.job.Handle(Loaded{Record: before, Version: h.version})
 	h.loseLeaseAndPlatform()
-	h.expectNoEffects(BatchAsked{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
+	h.expectNoEffects(BatchRequested{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
 }
 
 // Guards against two versions of batch 1. The outcome of the write of its manifest is unknown, the platform
@@ -151,7 +151,7 @@
 	h.commit(VersionAsked{ID: 2, Version: 2})
 	cursor := h.postStep()
 	h.prepareSamples(2, 4, 5)
-	write := onlyEffect[Write](h, h.job.Handle(BatchAsked{ID: 3, Step: 1, Batch: 1, Cursor: &cursor}))
+	write := onlyEffect[Write](h, h.job.Handle(BatchRequested{ID: 3, Step: 1, Batch: 1, Cursor: &cursor}))
 	onlyEffect[Read](h, h.job.Handle(WriteUnsettled{}))
 	h.prepareSamples(1, 0, 1)
 	answer := onlyEffect[Answer](h, h.job.Handle(ReadFailed{}))
@@ -169,7 +169,7 @@
 		h := newHarness(t, 0)
 		cursor := h.postStep()
 		h.prepareSamples(0, 0, 1)
-		onlyEffect[Write](h, h.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
+		onlyEffect[Write](h, h.job.Handle(BatchRequested{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
 		h.job.Handle(FenceChanged{})
 		onlyEffect[Read](h, h.job.Handle(WriteUnavailable{}))
 		if down {
@@ -194,10 +194,10 @@
 	h.prepareSamples(0, 0, 1, 2, 3)
 	h.job.Handle(OutageChanged{})
 	h.loseLeaseAndPlatform()
-	h.expectNoEffects(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor})
+	h.expectNoEffects(BatchRequested{ID: 2, Step: 1, Batch: 1, Cursor: &cursor})
 	ready := onlyEffect[Answer](h, h.job.Handle(OutageChanged{Established: true})).Result.(BatchReady)
 	h.job.Handle(OutageChanged{})
-	h.expectNoEffects(BatchAsked{ID: 3, Step: 1, Batch: 2, Cursor: &ready.Cursor})
+	h.expectNoEffects(BatchRequested{ID: 3, Step: 1, Batch: 2, Cursor: &ready.Cursor})
 }
 
 // Guards against a loop of reads and writes without a pause when the platform refuses writes above its rate
@@ -207,7 +207,7 @@
 	h.postStep()
 	h.prepareSamples(0, 0, 1)
 	before := h.job.record
-	onlyEffect[Write](h, h.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1}))
+	onlyEffect[Write](h, h.job.Handle(BatchRequested{ID: 2, Step: 1, Batch: 1}))
 	onlyEffect[Read](h, h.job.Handle(WriteUnavailable{}))
 	h.expectNoEffects(Loaded{Record: before, Version: h.version})
 	onlyEffect[Write](h, h.job.Handle(Ticked{}))
@@ -219,7 +219,7 @@
 	h := newHarness(t, 0)
 	cursor := h.postStep()
 	cursor.Fencing = 11
-	got := h.refusal(h.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
+	got := h.refusal(h.job.Handle(BatchRequested{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
 	if got.Reason != verdict.ReasonNotLeader || got.Verdict != verdict.NotRun {
 		t.Errorf("got refusal %+v", got)
 	}
@@ -230,7 +230,7 @@
 func TestRecordOfLaterCoordinatorEndsService(t *testing.T) {
 	h := newHarness(t, 0)
 	h.postStep()
-	h.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1})
+	h.job.Handle(BatchRequested{ID: 2, Step: 1, Batch: 1})
 	h.job.Handle(FenceChanged{})
 	onlyEffect[Read](h, h.job.Handle(Ticked{}))
 	got := h.refusal(h.job.Handle(Loaded{Record: Record{Job: "fees", Fencing: 20}, Version: 9}))
@@ -252,7 +252,7 @@
 	h.job.Handle(FenceChanged{Number: 30, Held: true})
 	onlyEffect[Read](h, h.job.Handle(Loaded{Record: old, Version: h.version}))
 	h.job.Handle(ReadFailed{})
-	h.expectNoEffects(BatchAsked{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
+	h.expectNoEffects(BatchRequested{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
 }
 
 // Guards against delivering the samples of batch 1 again. A step was begun and its batch 1 delivered in an
@@ -260,7 +260,7 @@
 func TestStepRestoredFromCursor(t *testing.T) {
 	h := newHarness(t, 0)
 	cursor := Cursor{Job: "fees", Step: 5, Digest: "body", Batch: 1, Delivered: Bitmap{0b101}, Fencing: 9}
-	got := h.refusal(h.job.Handle(BatchAsked{ID: 1, Step: 5, Batch: 2, Cursor: &cursor}))
+	got := h.refusal(h.job.Handle(BatchRequested{ID: 1, Step: 5, Batch: 2, Cursor: &cursor}))
 	if got.Reason != verdict.ReasonNotFound {
 		t.Errorf("got refusal %+v", got)
 	}
@@ -315,7 +315,7 @@
 			record.Step.Manifest = &Manifest{Batch: 1, Refs: []SampleRef{{}, {Index: 1}}}
 			h.version++
 		}
-		onlyEffect[Read](h, h.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
+		onlyEffect[Read](h, h.job.Handle(BatchRequested{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
 		answer := onlyEffect[Answer](h, h.job.Handle(Loaded{Record: record, Version: h.version}))
 		if _, ready := answer.Result.(BatchReady); ready != tookEffect {
 			t.Errorf("write took effect %v: got %+v", tookEffect, answer.Result)
@@ -329,11 +329,11 @@
 	h := newHarness(t, 0)
 	cursor := h.postStep()
 	h.prepareSamples(0, 0, 1, 2, 3, 4, 5)
-	h.commit(BatchAsked{ID: 2, Step: 1, Batch: 1})
+	h.commit(BatchRequested{ID: 2, Step: 1, Batch: 1})
 	cursor.Batch = 1
 	cursor.Delivered = Bitmap{0b110000}
 	cursor.Fencing = 5
-	write := onlyEffect[Write](h, h.handleWithReread(BatchAsked{ID: 3, Step: 1, Batch: 2, Cursor: &cursor}))
+	write := onlyEffect[Write](h, h.handleWithReread(BatchRequested{ID: 3, Step: 1, Batch: 2, Cursor: &cursor}))
 	if got := write.Record.Step.Delivered; !got.Equal(Bitmap{0b110011}) {
 		t.Errorf("got delivered %b", got)
 	}
@@ -348,7 +348,7 @@
 	h.prepareSamples(0, 0, 1)
 	other := h.job.record
 	h.loseLeaseAndPlatform()
-	onlyEffect[Answer](h, h.job.Handle(BatchAsked{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
+	onlyEffect[Answer](h, h.job.Handle(BatchRequested{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
 	other.ModelVersion = 1
 	other.Fencing = 20
 	h.job.Handle(FenceChanged{Number: 30, Held: true})
--- a/internal/core/delivery/step.go
+++ b/internal/core/delivery/step.go
@@ -147,7 +147,7 @@
 }
 
 // evaluateBatch decides on a requested batch: it repeats the newest one or returns the transition to the next.
-func (j *Job) evaluateBatch(e BatchAsked) outcome {
+func (j *Job) evaluateBatch(e BatchRequested) outcome {
 	if refusal, ok := j.mergeCursor(e.Cursor); !ok {
 		return refusal
 	}
@@ -180,7 +180,7 @@
 
 // repeatBatch answers with the newest batch again. The record's manifest was either written or handed out
 // already, so the answer is the same each time.
-func (j *Job) repeatBatch(e BatchAsked) outcome {
+func (j *Job) repeatBatch(e BatchRequested) outcome {
 	step := j.record.Step
 	if step.Manifest == nil {
 		return j.repeatUnwrittenBatch(e)
@@ -191,7 +191,7 @@
 // repeatUnwrittenBatch repeats a batch that an earlier coordinator handed out without writing it. The manifest
 // does not become part of the record: a model version may have been accepted since that makes its samples too
 // old to be written.
-func (j *Job) repeatUnwrittenBatch(e BatchAsked) outcome {
+func (j *Job) repeatUnwrittenBatch(e BatchRequested) outcome {
 	if e.Cursor == nil || e.Cursor.Kept == nil {
 		return refuse(verdict.ReasonConflict, 0,
 			"batch %d of step %d was acknowledged by a cursor", e.Batch, e.Step)
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -180,7 +180,7 @@
 	if !ok {
 		s.t.Fatalf("a cursor locates the manifest %s, which no host stores", needed.Kept.Digest)
 	}
-	s.handle(index, BatchAsked{ID: id, Step: needed.Step, Batch: manifest.Batch, Cursor: s.requestCursors[id], Manifest: &manifest})
+	s.handle(index, BatchRequested{ID: id, Step: needed.Step, Batch: manifest.Batch, Cursor: s.requestCursors[id], Manifest: &manifest})
 }
 
 // checkAnswer checks an answer when it leaves the coordinator, and puts it on its way to the trainer.
@@ -307,7 +307,7 @@
 		})
 		return
 	}
-	s.handle(index, BatchAsked{ID: s.lastRequest, Step: s.step, Batch: s.batch + 1, Cursor: cursor})
+	s.handle(index, BatchRequested{ID: s.lastRequest, Step: s.step, Batch: s.batch + 1, Cursor: cursor})
 }
 
 // repeatBatchRequest repeats the request for the batch that the trainer received last, with the cursor that
@@ -318,7 +318,7 @@
 	}
 	s.lastRequest++
 	s.requestCursors[s.lastRequest] = s.cursor
-	s.handle(index, BatchAsked{ID: s.lastRequest, Step: s.step, Batch: s.batch, Cursor: s.cursor})
+	s.handle(index, BatchRequested{ID: s.lastRequest, Step: s.step, Batch: s.batch, Cursor: s.cursor})
 }
 
 // postVersion publishes a model version.
--- a/internal/edge/trainer/answer.go
+++ b/internal/edge/trainer/answer.go
@@ -53,7 +53,7 @@
 	case ActionStep:
 		return c.askStep(message, request, cursor)
 	case ActionBatch:
-		message.event = delivery.BatchAsked{ID: message.id, Step: request.Step, Batch: request.Batch, Cursor: cursor}
+		message.event = delivery.BatchRequested{ID: message.id, Step: request.Step, Batch: request.Batch, Cursor: cursor}
 		return message, nil
 	case ActionModelVersion:
 		return askVersion(message, request, cursor)
--- a/internal/edge/trainer/manifest.go
+++ b/internal/edge/trainer/manifest.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return delivery.Refused{Refusal: verdict.From(err)}
 	}
-	event, ok := ask.event.(delivery.BatchAsked)
+	event, ok := ask.event.(delivery.BatchRequested)
 	if !ok {
 		return nil
 	}
