--- a/internal/core/delivery/ask.go
+++ b/internal/core/delivery/ask.go
@@ -27,7 +27,7 @@
 		return &pendingRequest{id: e.ID, event: e, cursor: e.Cursor}
 	case BatchRequested:
 		return &pendingRequest{id: e.ID, event: e, cursor: e.Cursor}
-	case VersionAsked:
+	case VersionRequested:
 		return &pendingRequest{id: e.ID, event: e, cursor: e.Cursor}
 	}
 	return &pendingRequest{event: event}
@@ -72,7 +72,7 @@
 		j.startWrite(next)
 		return false
 	}
-	if _, version := request.event.(VersionAsked); version || !j.mayProceedOffline(request.cursor) {
+	if _, version := request.event.(VersionRequested); version || !j.mayProceedOffline(request.cursor) {
 		return false
 	}
 	if j.uncertainWrite != nil && sameTransition(*j.uncertainWrite, next) {
@@ -114,7 +114,7 @@
 		return j.evaluateStep(e)
 	case BatchRequested:
 		return j.evaluateBatch(e)
-	case VersionAsked:
+	case VersionRequested:
 		return j.evaluateVersion(e)
 	}
 	return waiting()
@@ -156,7 +156,7 @@
 
 // evaluateVersion decides on a published model version. Versions only increase; the same version again is
 // accepted if its weights are the same.
-func (j *Job) evaluateVersion(e VersionAsked) outcome {
+func (j *Job) evaluateVersion(e VersionRequested) outcome {
 	// Offline transitions are written before a new version is accepted. Written together with it, their
 	// manifests, which were within the staleness bound when they were handed out, would exceed it in the
 	// object.
--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -35,8 +35,8 @@
 		// Manifest is the manifest that the cursor refers to, once the caller has fetched it; see BatchKept.
 		Manifest *Manifest
 	}
-	// VersionAsked publishes a model version.
-	VersionAsked struct {
+	// VersionRequested publishes a model version.
+	VersionRequested struct {
 		ID      TrainerRequestID
 		Version int
 		Weights string
@@ -132,7 +132,7 @@
 
 func (StepRequested) event()        {}
 func (BatchRequested) event()       {}
-func (VersionAsked) event()     {}
+func (VersionRequested) event()     {}
 func (AskExpired) event()       {}
 func (Loaded) event()           {}
 func (ReadFailed) event()       {}
--- a/internal/core/delivery/job.go
+++ b/internal/core/delivery/job.go
@@ -121,7 +121,7 @@
 func (j *Job) Handle(event Event) []Effect {
 	j.effects = nil
 	switch e := event.(type) {
-	case StepRequested, BatchRequested, VersionAsked:
+	case StepRequested, BatchRequested, VersionRequested:
 		j.requests = append(j.requests, newPendingRequest(event))
 	case AskExpired:
 		j.expire(e)
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -108,7 +108,7 @@
 	h := newHarness(t, 0)
 	h.postStep()
 	h.prepareSamples(1, 0, 1, 2)
-	h.commit(VersionAsked{ID: 2, Version: 2})
+	h.commit(VersionRequested{ID: 2, Version: 2})
 	sample, _ := h.job.Sample(0)
 	if status := h.job.Status(); status.Discarded != 3 || status.Samples["pending"] != 6 || sample.Attempt != 1 {
 		t.Errorf("got status %+v, sample %+v", status, sample)
@@ -119,10 +119,10 @@
 // is lost, the platform goes down, and the trainer requests a batch with its cursor.
 func TestUncertainVersionBlocksOfflineBatch(t *testing.T) {
 	h := newHarness(t, 0)
-	h.commit(VersionAsked{ID: 2, Version: 1})
+	h.commit(VersionRequested{ID: 2, Version: 1})
 	cursor := h.postStep()
 	h.prepareSamples(1, 0, 1, 2)
-	onlyEffect[Write](h, h.job.Handle(VersionAsked{ID: 3, Version: 2}))
+	onlyEffect[Write](h, h.job.Handle(VersionRequested{ID: 3, Version: 2}))
 	onlyEffect[Read](h, h.job.Handle(WriteUnsettled{}))
 	h.job.Handle(ReadFailed{})
 	h.expectNoEffects(BatchRequested{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
@@ -132,11 +132,11 @@
 // it.
 func TestDelayedVersionBlocksOfflineBatch(t *testing.T) {
 	h := newHarness(t, 0)
-	h.commit(VersionAsked{ID: 2, Version: 1})
+	h.commit(VersionRequested{ID: 2, Version: 1})
 	cursor := h.postStep()
 	h.prepareSamples(1, 0, 1, 2)
 	before := h.job.record
-	onlyEffect[Write](h, h.job.Handle(VersionAsked{ID: 3, Version: 2}))
+	onlyEffect[Write](h, h.job.Handle(VersionRequested{ID: 3, Version: 2}))
 	h.job.Handle(AskExpired{ID: 3})
 	onlyEffect[Read](h, h.job.Handle(WriteUnsettled{}))
 	h.job.Handle(Loaded{Record: before, Version: h.version})
@@ -148,7 +148,7 @@
 // goes down, and by then other samples are ready that would go first.
 func TestUncertainBatchIsServedUnchanged(t *testing.T) {
 	h := newHarness(t, 1)
-	h.commit(VersionAsked{ID: 2, Version: 2})
+	h.commit(VersionRequested{ID: 2, Version: 2})
 	cursor := h.postStep()
 	h.prepareSamples(2, 4, 5)
 	write := onlyEffect[Write](h, h.job.Handle(BatchRequested{ID: 3, Step: 1, Batch: 1, Cursor: &cursor}))
@@ -276,7 +276,7 @@
 // was lost, and the trainer's request expires.
 func TestExpiryAfterUncertainWriteMayHaveRun(t *testing.T) {
 	h := newHarness(t, 0)
-	onlyEffect[Write](h, h.job.Handle(VersionAsked{ID: 1, Version: 1}))
+	onlyEffect[Write](h, h.job.Handle(VersionRequested{ID: 1, Version: 1}))
 	h.job.Handle(WriteUnsettled{})
 	if got := h.refusal(h.job.Handle(AskExpired{ID: 1})); got.Verdict != verdict.MayHaveRun {
 		t.Errorf("got refusal %+v", got)
@@ -291,7 +291,7 @@
 	_, work := h.job.Sample(0)
 	h.job.Handle(SampleStarted{Work: work})
 	h.job.Handle(SampleFailed{Work: work, Tokens: []Token{{Text: "x", Version: 1}}})
-	h.commit(VersionAsked{ID: 2, Version: 2})
+	h.commit(VersionRequested{ID: 2, Version: 2})
 	if sample, _ := h.job.Sample(0); len(sample.Prefix) != 0 || sample.Attempt != 1 {
 		t.Errorf("got sample %+v", sample)
 	}
--- a/internal/core/delivery/outage_test.go
+++ b/internal/core/delivery/outage_test.go
@@ -57,7 +57,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, 0)
 			h.postStep()
-			event := VersionAsked{ID: 9, Version: 4, Weights: "w4", Cursor: &c.sent}
+			event := VersionRequested{ID: 9, Version: 4, Weights: "w4", Cursor: &c.sent}
 			if c.sent.Step == 1 {
 				onlyEffect[Write](h, h.handleWithReread(event))
 			} else {
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -329,7 +329,7 @@
 	}
 	s.lastRequest++
 	s.requestCursors[s.lastRequest] = cursor
-	s.handle(index, VersionAsked{ID: s.lastRequest, Version: version, Weights: fmt.Sprint("weights", version), Cursor: cursor})
+	s.handle(index, VersionRequested{ID: s.lastRequest, Version: version, Weights: fmt.Sprint("weights", version), Cursor: cursor})
 }
 
 // receive delivers one answer to the trainer, which ignores answers that it no longer waits for.
--- a/internal/edge/trainer/answer.go
+++ b/internal/edge/trainer/answer.go
@@ -104,7 +104,7 @@
 	if body.Version < 1 {
 		return askMessage{}, refusalBadRequest("model version: version %d is not above 0", body.Version)
 	}
-	message.event = delivery.VersionAsked{
+	message.event = delivery.VersionRequested{
 		ID: message.id, Version: body.Version, Weights: body.Weights, Cursor: cursor,
 	}
 	return message, nil
