--- a/internal/core/delivery/ask.go
+++ b/internal/core/delivery/ask.go
@@ -220,7 +220,7 @@
 	}
 }
 
-func (j *Job) expire(e AskExpired) {
+func (j *Job) expire(e RequestExpired) {
 	for i, request := range j.requests {
 		if request.id != e.ID {
 			continue
--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -42,8 +42,8 @@
 		Weights string
 		Cursor  *Cursor
 	}
-	// AskExpired refuses a request that is still pending.
-	AskExpired struct {
+	// RequestExpired refuses a request that is still pending.
+	RequestExpired struct {
 		ID         TrainerRequestID
 		RetryAfter time.Duration
 	}
@@ -133,7 +133,7 @@
 func (StepRequested) event()        {}
 func (BatchRequested) event()       {}
 func (VersionRequested) event()     {}
-func (AskExpired) event()       {}
+func (RequestExpired) event()       {}
 func (Loaded) event()           {}
 func (ReadFailed) event()       {}
 func (Written) event()          {}
--- a/internal/core/delivery/job.go
+++ b/internal/core/delivery/job.go
@@ -123,7 +123,7 @@
 	switch e := event.(type) {
 	case StepRequested, BatchRequested, VersionRequested:
 		j.requests = append(j.requests, newPendingRequest(event))
-	case AskExpired:
+	case RequestExpired:
 		j.expire(e)
 	case Loaded:
 		j.handleLoaded(e)
--- a/internal/core/delivery/job_rapid_test.go
+++ b/internal/core/delivery/job_rapid_test.go
@@ -81,7 +81,7 @@
 			}
 			s.coordinators[index] = s.newCoordinator()
 		},
-		"expire": func(t *rapid.T) { s.handle(pickCoordinator(t), AskExpired{ID: s.lastRequest}) },
+		"expire": func(t *rapid.T) { s.handle(pickCoordinator(t), RequestExpired{ID: s.lastRequest}) },
 		"receive": func(t *rapid.T) {
 			if len(s.replies) > 0 {
 				s.receive(rapid.IntRange(0, len(s.replies)-1).Draw(t, "reply"))
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -137,7 +137,7 @@
 	h.prepareSamples(1, 0, 1, 2)
 	before := h.job.record
 	onlyEffect[Write](h, h.job.Handle(VersionRequested{ID: 3, Version: 2}))
-	h.job.Handle(AskExpired{ID: 3})
+	h.job.Handle(RequestExpired{ID: 3})
 	onlyEffect[Read](h, h.job.Handle(WriteUnsettled{}))
 	h.job.Handle(Loaded{Record: before, Version: h.version})
 	h.loseLeaseAndPlatform()
@@ -278,7 +278,7 @@
 	h := newHarness(t, 0)
 	onlyEffect[Write](h, h.job.Handle(VersionRequested{ID: 1, Version: 1}))
 	h.job.Handle(WriteUnsettled{})
-	if got := h.refusal(h.job.Handle(AskExpired{ID: 1})); got.Verdict != verdict.MayHaveRun {
+	if got := h.refusal(h.job.Handle(RequestExpired{ID: 1})); got.Verdict != verdict.MayHaveRun {
 		t.Errorf("got refusal %+v", got)
 	}
 }
--- a/internal/edge/trainer/message.go
+++ b/internal/edge/trainer/message.go
@@ -68,7 +68,7 @@
 type expireMessage struct{ id delivery.TrainerRequestID }
 
 func (m expireMessage) apply(r *runner) {
-	r.handle(delivery.AskExpired{ID: m.id, RetryAfter: retryInterval})
+	r.handle(delivery.RequestExpired{ID: m.id, RetryAfter: retryInterval})
 }
 
 // eventMessage brings an event of the storage goroutine or of a worker.
