--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -65,9 +65,9 @@
 	// WriteUnavailable reports that nothing was written: the platform is down or refused the write, or the
 	// write was not sent in time.
 	WriteUnavailable struct{}
-	// WriteUnsettled reports that the answer was lost: the write may have taken effect, or may still do so
+	// WriteUncertain reports that the answer was lost: the write may have taken effect, or may still do so
 	// later.
-	WriteUnsettled struct{}
+	WriteUncertain struct{}
 	// WriteFenced reports that the lease ended just before the write; nothing was sent.
 	WriteFenced struct{}
 )
@@ -139,7 +139,7 @@
 func (Written) event()          {}
 func (WriteConflicted) event()  {}
 func (WriteUnavailable) event() {}
-func (WriteUnsettled) event()   {}
+func (WriteUncertain) event()   {}
 func (WriteFenced) event()      {}
 func (FenceChanged) event()     {}
 func (Superseded) event()       {}
--- a/internal/core/delivery/job.go
+++ b/internal/core/delivery/job.go
@@ -132,7 +132,7 @@
 		j.platformDown = true
 		// An uncertain write may have taken effect since the last read.
 		j.confirmed = false
-	case Written, WriteConflicted, WriteUnavailable, WriteUnsettled, WriteFenced:
+	case Written, WriteConflicted, WriteUnavailable, WriteUncertain, WriteFenced:
 		j.finishWrite(event)
 	case FenceChanged:
 		j.changeLease(e)
@@ -242,7 +242,7 @@
 		j.clearWriteSent()
 		j.writePaused = true
 		j.startRead()
-	case WriteUnsettled:
+	case WriteUncertain:
 		j.uncertainWrite = next
 		j.extendsUncertain = false
 		j.uncertainVersion = max(j.uncertainVersion, next.ModelVersion)
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -123,7 +123,7 @@
 	cursor := h.postStep()
 	h.prepareSamples(1, 0, 1, 2)
 	onlyEffect[Write](h, h.job.Handle(VersionRequested{ID: 3, Version: 2}))
-	onlyEffect[Read](h, h.job.Handle(WriteUnsettled{}))
+	onlyEffect[Read](h, h.job.Handle(WriteUncertain{}))
 	h.job.Handle(ReadFailed{})
 	h.expectNoEffects(BatchRequested{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
 }
@@ -138,7 +138,7 @@
 	before := h.job.record
 	onlyEffect[Write](h, h.job.Handle(VersionRequested{ID: 3, Version: 2}))
 	h.job.Handle(RequestExpired{ID: 3})
-	onlyEffect[Read](h, h.job.Handle(WriteUnsettled{}))
+	onlyEffect[Read](h, h.job.Handle(WriteUncertain{}))
 	h.job.Handle(Loaded{Record: before, Version: h.version})
 	h.loseLeaseAndPlatform()
 	h.expectNoEffects(BatchRequested{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
@@ -152,7 +152,7 @@
 	cursor := h.postStep()
 	h.prepareSamples(2, 4, 5)
 	write := onlyEffect[Write](h, h.job.Handle(BatchRequested{ID: 3, Step: 1, Batch: 1, Cursor: &cursor}))
-	onlyEffect[Read](h, h.job.Handle(WriteUnsettled{}))
+	onlyEffect[Read](h, h.job.Handle(WriteUncertain{}))
 	h.prepareSamples(1, 0, 1)
 	answer := onlyEffect[Answer](h, h.job.Handle(ReadFailed{}))
 	got := answer.Result.(BatchReady).Manifest
@@ -277,7 +277,7 @@
 func TestExpiryAfterUncertainWriteMayHaveRun(t *testing.T) {
 	h := newHarness(t, 0)
 	onlyEffect[Write](h, h.job.Handle(VersionRequested{ID: 1, Version: 1}))
-	h.job.Handle(WriteUnsettled{})
+	h.job.Handle(WriteUncertain{})
 	if got := h.refusal(h.job.Handle(RequestExpired{ID: 1})); got.Verdict != verdict.MayHaveRun {
 		t.Errorf("got refusal %+v", got)
 	}
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -270,13 +270,13 @@
 	case (!s.platformUp || c.disconnected) && fault == faultNone, fault == faultUnsent:
 		s.handle(index, WriteUnavailable{})
 	case !s.platformUp || c.disconnected || fault == faultRequestLost:
-		s.handle(index, WriteUnsettled{})
+		s.handle(index, WriteUncertain{})
 	case fault == faultAnswerLost:
 		s.applyWrite(c, write.Record, write.IfVersion)
-		s.handle(index, WriteUnsettled{})
+		s.handle(index, WriteUncertain{})
 	case fault == faultDelayed:
 		s.delayedWrites = append(s.delayedWrites, delayedWrite{c, write.Record, write.IfVersion})
-		s.handle(index, WriteUnsettled{})
+		s.handle(index, WriteUncertain{})
 	case s.applyWrite(c, write.Record, write.IfVersion):
 		s.handle(index, Written{Version: s.version})
 	default:
--- a/internal/edge/trainer/storage.go
+++ b/internal/edge/trainer/storage.go
@@ -107,7 +107,7 @@
 	case errors.Is(err, platform.ErrUnavailable):
 		return delivery.WriteUnavailable{}
 	}
-	return delivery.WriteUnsettled{}
+	return delivery.WriteUncertain{}
 }
 
 func earlier(a, b time.Time) time.Time {
