--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -74,9 +74,9 @@
 
 // Changes of the lease, the platform, the configuration and the stored contents, and the clock tick.
 type (
-	// FenceChanged reports whether the lease is held, and its fencing number. Renewed means that the lease has
+	// LeaseChanged reports whether the lease is held, and its fencing number. Renewed means that the lease has
 	// been held without a gap since the previous number, so no other host held it in between.
-	FenceChanged struct {
+	LeaseChanged struct {
 		Number  uint64
 		Held    bool
 		Renewed bool
@@ -141,7 +141,7 @@
 func (WriteUnavailable) event() {}
 func (WriteUncertain) event()   {}
 func (WriteFenced) event()      {}
-func (FenceChanged) event()     {}
+func (LeaseChanged) event()     {}
 func (Superseded) event()       {}
 func (OutageChanged) event()    {}
 func (BoundChanged) event()     {}
--- a/internal/core/delivery/job.go
+++ b/internal/core/delivery/job.go
@@ -134,7 +134,7 @@
 		j.confirmed = false
 	case Written, WriteConflicted, WriteUnavailable, WriteUncertain, WriteFenced:
 		j.finishWrite(event)
-	case FenceChanged:
+	case LeaseChanged:
 		j.changeLease(e)
 	case Superseded:
 		j.supersede()
@@ -292,7 +292,7 @@
 	j.adopt(e.Record, e.Version)
 }
 
-func (j *Job) changeLease(e FenceChanged) {
+func (j *Job) changeLease(e LeaseChanged) {
 	j.leaseHeld = e.Held
 	if !e.Held || e.Number == j.fencingNumber() {
 		return
--- a/internal/core/delivery/job_rapid_test.go
+++ b/internal/core/delivery/job_rapid_test.go
@@ -73,7 +73,7 @@
 			c := s.coordinators[pickCoordinator(t)]
 			c.disconnected = !c.disconnected
 		},
-		"lapse": func(t *rapid.T) { s.handle(pickCoordinator(t), FenceChanged{}) },
+		"lapse": func(t *rapid.T) { s.handle(pickCoordinator(t), LeaseChanged{}) },
 		"kill": func(t *rapid.T) {
 			index := pickCoordinator(t)
 			if write := s.coordinators[index].write; write != nil && rapid.Bool().Draw(t, "sent") {
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -23,7 +23,7 @@
 func newHarness(t *testing.T, bound int) *harness {
 	h := &harness{t: t, job: NewJob("fees", netip.MustParseAddrPort("127.0.0.1:7001"), bound)}
 	h.job.Handle(OutageChanged{Established: true})
-	h.job.Handle(FenceChanged{Number: 10, Held: true})
+	h.job.Handle(LeaseChanged{Number: 10, Held: true})
 	h.job.Handle(Loaded{Record: Record{Job: "fees"}})
 	return h
 }
@@ -62,7 +62,7 @@
 // loseLeaseAndPlatform ends the lease and lets the next read fail.
 func (h *harness) loseLeaseAndPlatform() {
 	h.t.Helper()
-	h.job.Handle(FenceChanged{})
+	h.job.Handle(LeaseChanged{})
 	onlyEffect[Read](h, h.job.Handle(Ticked{}))
 	h.job.Handle(ReadFailed{})
 }
@@ -170,7 +170,7 @@
 		cursor := h.postStep()
 		h.prepareSamples(0, 0, 1)
 		onlyEffect[Write](h, h.job.Handle(BatchRequested{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
-		h.job.Handle(FenceChanged{})
+		h.job.Handle(LeaseChanged{})
 		onlyEffect[Read](h, h.job.Handle(WriteUnavailable{}))
 		if down {
 			answer := onlyEffect[Answer](h, h.job.Handle(ReadFailed{}))
@@ -231,7 +231,7 @@
 	h := newHarness(t, 0)
 	h.postStep()
 	h.job.Handle(BatchRequested{ID: 2, Step: 1, Batch: 1})
-	h.job.Handle(FenceChanged{})
+	h.job.Handle(LeaseChanged{})
 	onlyEffect[Read](h, h.job.Handle(Ticked{}))
 	got := h.refusal(h.job.Handle(Loaded{Record: Record{Job: "fees", Fencing: 20}, Version: 9}))
 	if got.Reason != verdict.ReasonNotLeader {
@@ -246,10 +246,10 @@
 	h := newHarness(t, 0)
 	cursor := h.postStep()
 	h.prepareSamples(0, 0, 1)
-	h.job.Handle(FenceChanged{})
+	h.job.Handle(LeaseChanged{})
 	old := h.job.record
 	onlyEffect[Read](h, h.job.Handle(Ticked{}))
-	h.job.Handle(FenceChanged{Number: 30, Held: true})
+	h.job.Handle(LeaseChanged{Number: 30, Held: true})
 	onlyEffect[Read](h, h.job.Handle(Loaded{Record: old, Version: h.version}))
 	h.job.Handle(ReadFailed{})
 	h.expectNoEffects(BatchRequested{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
@@ -351,7 +351,7 @@
 	onlyEffect[Answer](h, h.job.Handle(BatchRequested{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
 	other.ModelVersion = 1
 	other.Fencing = 20
-	h.job.Handle(FenceChanged{Number: 30, Held: true})
+	h.job.Handle(LeaseChanged{Number: 30, Held: true})
 	h.expectNoEffects(Loaded{Record: other, Version: 9})
 	if status := h.job.Status(); status.Unwritten || status.ModelVersion != 1 || status.Batch != 0 {
 		t.Errorf("got status %+v", status)
--- a/internal/edge/trainer/runner.go
+++ b/internal/edge/trainer/runner.go
@@ -224,7 +224,7 @@
 	if !r.held || fence.Number != r.fence.Number {
 		renewed := r.fence.Number != 0 && now.Before(r.fence.Deadline)
 		r.active = true
-		r.handle(delivery.FenceChanged{Number: uint64(fence.Number), Held: true, Renewed: renewed})
+		r.handle(delivery.LeaseChanged{Number: uint64(fence.Number), Held: true, Renewed: renewed})
 	}
 	r.held = true
 	r.fence = fence
@@ -233,7 +233,7 @@
 func (r *runner) checkLoss() {
 	if r.held {
 		r.held = false
-		r.handle(delivery.FenceChanged{})
+		r.handle(delivery.LeaseChanged{})
 	}
 	holder, known := r.lease.Holder()
 	if r.active && known && holder != r.deps.Self {
