--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -87,8 +87,8 @@
 	// hosts, and no host is known to have reached it since this host's last lease term ended. No other host
 	// can have taken the lease then.
 	OutageChanged struct{ Established bool }
-	// BoundChanged sets the staleness bound, in model versions.
-	BoundChanged struct{ Bound int }
+	// StalenessBoundChanged sets the staleness bound, in model versions.
+	StalenessBoundChanged struct{ Bound int }
 	// Ticked arrives about once a second and retries an unreachable platform.
 	Ticked struct{}
 	// ContentLost reports that no host holds the content of a batch any more.
@@ -144,7 +144,7 @@
 func (LeaseChanged) event()     {}
 func (Superseded) event()       {}
 func (OutageChanged) event()    {}
-func (BoundChanged) event()     {}
+func (StalenessBoundChanged) event()     {}
 func (Ticked) event()           {}
 func (ContentLost) event()      {}
 func (SampleStarted) event()    {}
--- a/internal/core/delivery/job.go
+++ b/internal/core/delivery/job.go
@@ -140,7 +140,7 @@
 		j.supersede()
 	case OutageChanged:
 		j.outage = e.Established
-	case BoundChanged:
+	case StalenessBoundChanged:
 		j.stalenessBound = e.Bound
 	case Ticked:
 		j.tick()
--- a/internal/edge/trainer/runner.go
+++ b/internal/edge/trainer/runner.go
@@ -182,7 +182,7 @@
 }
 
 func (r *runner) tick(now time.Time) {
-	r.handle(delivery.BoundChanged{Bound: r.bound()})
+	r.handle(delivery.StalenessBoundChanged{Bound: r.bound()})
 	if r.active && now.Sub(r.probed) >= probeInterval {
 		r.probed = now
 		r.handle(delivery.Ticked{})
