--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -95,8 +95,8 @@
 	ContentLost struct{ Step, Batch int }
 )
 
-// Work identifies one attempt at a sample. Results of abandoned attempts are ignored.
-type Work struct {
+// SampleAttempt identifies one attempt at a sample. Results of abandoned attempts are ignored.
+type SampleAttempt struct {
 	Step     int
 	Position int
 	Attempt  int
@@ -105,27 +105,27 @@
 // Progress of samples.
 type (
 	// SampleStarted reports that an engine is generating the sample.
-	SampleStarted struct{ Work Work }
+	SampleStarted struct{ Work SampleAttempt }
 	// SampleFailed reports a failed generation and carries the tokens so far, from which the next call
 	// resumes.
 	SampleFailed struct {
-		Work   Work
+		Work   SampleAttempt
 		Tokens []Token
 	}
 	// SampleGenerated carries all tokens and the digest of the encoded content.
 	SampleGenerated struct {
-		Work   Work
+		Work   SampleAttempt
 		Tokens []Token
 		Digest string
 	}
 	// SampleCopied reports the second host that holds the content.
 	SampleCopied struct {
-		Work Work
+		Work SampleAttempt
 		Host netip.AddrPort
 	}
 	// SampleScored carries the score.
 	SampleScored struct {
-		Work  Work
+		Work  SampleAttempt
 		Score float64
 	}
 )
--- a/internal/core/delivery/progress.go
+++ b/internal/core/delivery/progress.go
@@ -78,7 +78,7 @@
 
 // findSample returns the sample of an attempt; ok is false if the attempt was abandoned or the sample is not
 // in the expected state.
-func (j *Job) findSample(work Work, from SampleState) (*Sample, bool) {
+func (j *Job) findSample(work SampleAttempt, from SampleState) (*Sample, bool) {
 	if work.Step != j.samplesKey.step || work.Position < 0 || work.Position >= len(j.samples) {
 		return nil, false
 	}
@@ -196,9 +196,9 @@
 }
 
 // Sample returns a sample of the current step and identifies its current attempt.
-func (j *Job) Sample(position int) (Sample, Work) {
+func (j *Job) Sample(position int) (Sample, SampleAttempt) {
 	sample := j.samples[position]
-	return sample, Work{Step: j.samplesKey.step, Position: position, Attempt: sample.Attempt}
+	return sample, SampleAttempt{Step: j.samplesKey.step, Position: position, Attempt: sample.Attempt}
 }
 
 // Step returns the current step, or nil before the first. The caller must not modify it.
--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -25,7 +25,7 @@
 type task struct {
 	schedule   *schedule
 	activation int
-	work       delivery.Work
+	work       delivery.SampleAttempt
 	// name is the sample's name with its attempt.
 	name string
 	// stage is the state from which the sample goes on.
@@ -180,7 +180,7 @@
 	s.start(r, t)
 }
 
-func (s *schedule) newTask(r *runner, work delivery.Work) task {
+func (s *schedule) newTask(r *runner, work delivery.SampleAttempt) task {
 	job, _ := r.deps.View().TrainerJob(r.job)
 	group, index := r.machine.Step().Locate(work.Position)
 	t := task{
