--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -105,7 +105,7 @@
 // Progress of samples.
 type (
 	// SampleStarted reports that an engine is generating the sample.
-	SampleStarted struct{ Work SampleAttempt }
+	SampleStarted struct{ Attempt SampleAttempt }
 	// SampleFailed reports a failed generation and carries the tokens so far, from which the next call
 	// resumes.
 	SampleFailed struct {
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -86,7 +86,7 @@
 func (h *harness) prepareSamples(version int, positions ...int) {
 	for _, position := range positions {
 		_, work := h.job.Sample(position)
-		h.job.Handle(SampleStarted{Work: work})
+		h.job.Handle(SampleStarted{Attempt: work})
 		h.job.Handle(SampleGenerated{Work: work, Tokens: []Token{{Text: "x", Version: version}}, Digest: "d"})
 		h.job.Handle(SampleCopied{Work: work})
 		h.job.Handle(SampleScored{Work: work, Score: 1})
@@ -289,7 +289,7 @@
 	h := newHarness(t, 0)
 	h.postStep()
 	_, work := h.job.Sample(0)
-	h.job.Handle(SampleStarted{Work: work})
+	h.job.Handle(SampleStarted{Attempt: work})
 	h.job.Handle(SampleFailed{Work: work, Tokens: []Token{{Text: "x", Version: 1}}})
 	h.commit(VersionRequested{ID: 2, Version: 2})
 	if sample, _ := h.job.Sample(0); len(sample.Prefix) != 0 || sample.Attempt != 1 {
--- a/internal/core/delivery/progress.go
+++ b/internal/core/delivery/progress.go
@@ -89,7 +89,7 @@
 func (j *Job) handleSample(event Event) {
 	switch e := event.(type) {
 	case SampleStarted:
-		if sample, ok := j.findSample(e.Work, StatePending); ok {
+		if sample, ok := j.findSample(e.Attempt, StatePending); ok {
 			sample.State = StateGenerating
 		}
 	case SampleFailed:
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -429,7 +429,7 @@
 	sample, work := job.Sample(position)
 	switch sample.State {
 	case StatePending:
-		s.handle(index, SampleStarted{Work: work})
+		s.handle(index, SampleStarted{Attempt: work})
 	case StateGenerating:
 		tokens := append(slices.Clone(sample.Prefix), Token{Text: "x", Version: version})
 		if pick%5 == 0 {
--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -176,7 +176,7 @@
 		Progress:     func(tokens int) { t.tokens.Store(int64(tokens)) },
 		Began:        func(version int) { t.began.Store(int64(version)) },
 	}
-	r.handle(delivery.SampleStarted{Work: work})
+	r.handle(delivery.SampleStarted{Attempt: work})
 	s.start(r, t)
 }
 
