--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -109,7 +109,7 @@
 	// SampleFailed reports a failed generation and carries the tokens so far, from which the next call
 	// resumes.
 	SampleFailed struct {
-		Work   SampleAttempt
+		Attempt   SampleAttempt
 		Tokens []Token
 	}
 	// SampleGenerated carries all tokens and the digest of the encoded content.
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -290,7 +290,7 @@
 	h.postStep()
 	_, work := h.job.Sample(0)
 	h.job.Handle(SampleStarted{Attempt: work})
-	h.job.Handle(SampleFailed{Work: work, Tokens: []Token{{Text: "x", Version: 1}}})
+	h.job.Handle(SampleFailed{Attempt: work, Tokens: []Token{{Text: "x", Version: 1}}})
 	h.commit(VersionRequested{ID: 2, Version: 2})
 	if sample, _ := h.job.Sample(0); len(sample.Prefix) != 0 || sample.Attempt != 1 {
 		t.Errorf("got sample %+v", sample)
--- a/internal/core/delivery/progress.go
+++ b/internal/core/delivery/progress.go
@@ -111,7 +111,7 @@
 }
 
 func (j *Job) failSample(e SampleFailed) {
-	sample, ok := j.findSample(e.Work, StateGenerating)
+	sample, ok := j.findSample(e.Attempt, StateGenerating)
 	if !ok {
 		return
 	}
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -433,7 +433,7 @@
 	case StateGenerating:
 		tokens := append(slices.Clone(sample.Prefix), Token{Text: "x", Version: version})
 		if pick%5 == 0 {
-			s.handle(index, SampleFailed{Work: work, Tokens: tokens})
+			s.handle(index, SampleFailed{Attempt: work, Tokens: tokens})
 			return
 		}
 		digest := fmt.Sprintf("%d-%d-%d-%d", index, s.fencingNumber, position, work.Attempt)
--- a/internal/edge/trainer/message.go
+++ b/internal/edge/trainer/message.go
@@ -116,7 +116,7 @@
 	}
 	if m.err != nil {
 		r.metrics.generationFailed(r.job)
-		r.handle(delivery.SampleFailed{Work: m.task.work, Tokens: m.tokens})
+		r.handle(delivery.SampleFailed{Attempt: m.task.work, Tokens: m.tokens})
 		return
 	}
 	r.handle(delivery.SampleGenerated{Work: m.task.work, Tokens: m.tokens, Digest: m.digest})
