--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -114,7 +114,7 @@
 	}
 	// SampleGenerated carries all tokens and the digest of the encoded content.
 	SampleGenerated struct {
-		Work   SampleAttempt
+		Attempt   SampleAttempt
 		Tokens []Token
 		Digest string
 	}
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -87,7 +87,7 @@
 	for _, position := range positions {
 		_, work := h.job.Sample(position)
 		h.job.Handle(SampleStarted{Attempt: work})
-		h.job.Handle(SampleGenerated{Work: work, Tokens: []Token{{Text: "x", Version: version}}, Digest: "d"})
+		h.job.Handle(SampleGenerated{Attempt: work, Tokens: []Token{{Text: "x", Version: version}}, Digest: "d"})
 		h.job.Handle(SampleCopied{Work: work})
 		h.job.Handle(SampleScored{Work: work, Score: 1})
 	}
--- a/internal/core/delivery/progress.go
+++ b/internal/core/delivery/progress.go
@@ -124,10 +124,10 @@
 }
 
 func (j *Job) finishSample(e SampleGenerated) {
-	sample, ok := j.findSample(e.Work, StateGenerating)
+	sample, ok := j.findSample(e.Attempt, StateGenerating)
 	if !ok {
 		// The other call for the sample failed, and this one, a hedge, continued.
-		sample, ok = j.findSample(e.Work, StatePending)
+		sample, ok = j.findSample(e.Attempt, StatePending)
 	}
 	if !ok {
 		return
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -437,7 +437,7 @@
 			return
 		}
 		digest := fmt.Sprintf("%d-%d-%d-%d", index, s.fencingNumber, position, work.Attempt)
-		s.handle(index, SampleGenerated{Work: work, Tokens: tokens, Digest: digest})
+		s.handle(index, SampleGenerated{Attempt: work, Tokens: tokens, Digest: digest})
 	case StateGenerated:
 		s.handle(index, SampleCopied{Work: work})
 	default:
--- a/internal/edge/trainer/message.go
+++ b/internal/edge/trainer/message.go
@@ -119,7 +119,7 @@
 		r.handle(delivery.SampleFailed{Attempt: m.task.work, Tokens: m.tokens})
 		return
 	}
-	r.handle(delivery.SampleGenerated{Work: m.task.work, Tokens: m.tokens, Digest: m.digest})
+	r.handle(delivery.SampleGenerated{Attempt: m.task.work, Tokens: m.tokens, Digest: m.digest})
 	r.schedule.finished(time.Now(), m.task, len(m.tokens))
 }
 
