--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -120,7 +120,7 @@
 	}
 	// SampleCopied reports the second host that holds the content.
 	SampleCopied struct {
-		Work SampleAttempt
+		Attempt SampleAttempt
 		Host netip.AddrPort
 	}
 	// SampleScored carries the score.
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -88,7 +88,7 @@
 		_, work := h.job.Sample(position)
 		h.job.Handle(SampleStarted{Attempt: work})
 		h.job.Handle(SampleGenerated{Attempt: work, Tokens: []Token{{Text: "x", Version: version}}, Digest: "d"})
-		h.job.Handle(SampleCopied{Work: work})
+		h.job.Handle(SampleCopied{Attempt: work})
 		h.job.Handle(SampleScored{Work: work, Score: 1})
 	}
 }
--- a/internal/core/delivery/progress.go
+++ b/internal/core/delivery/progress.go
@@ -97,7 +97,7 @@
 	case SampleGenerated:
 		j.finishSample(e)
 	case SampleCopied:
-		if sample, ok := j.findSample(e.Work, StateGenerated); ok {
+		if sample, ok := j.findSample(e.Attempt, StateGenerated); ok {
 			sample.State = StateCopied
 			sample.CopyHost = e.Host
 		}
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -439,7 +439,7 @@
 		digest := fmt.Sprintf("%d-%d-%d-%d", index, s.fencingNumber, position, work.Attempt)
 		s.handle(index, SampleGenerated{Attempt: work, Tokens: tokens, Digest: digest})
 	case StateGenerated:
-		s.handle(index, SampleCopied{Work: work})
+		s.handle(index, SampleCopied{Attempt: work})
 	default:
 		s.handle(index, SampleScored{Work: work, Score: 1})
 	}
--- a/internal/edge/trainer/worker.go
+++ b/internal/edge/trainer/worker.go
@@ -109,7 +109,7 @@
 		}
 		host = confirmed
 	}
-	r.post(ctx, eventMessage{t.activation, delivery.SampleCopied{Work: t.work, Host: host}})
+	r.post(ctx, eventMessage{t.activation, delivery.SampleCopied{Attempt: t.work, Host: host}})
 	return nil
 }
 
