--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -125,7 +125,7 @@
 	}
 	// SampleScored carries the score.
 	SampleScored struct {
-		Work  SampleAttempt
+		Attempt  SampleAttempt
 		Score float64
 	}
 )
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -89,7 +89,7 @@
 		h.job.Handle(SampleStarted{Attempt: work})
 		h.job.Handle(SampleGenerated{Attempt: work, Tokens: []Token{{Text: "x", Version: version}}, Digest: "d"})
 		h.job.Handle(SampleCopied{Attempt: work})
-		h.job.Handle(SampleScored{Work: work, Score: 1})
+		h.job.Handle(SampleScored{Attempt: work, Score: 1})
 	}
 }
 
--- a/internal/core/delivery/progress.go
+++ b/internal/core/delivery/progress.go
@@ -102,7 +102,7 @@
 			sample.CopyHost = e.Host
 		}
 	case SampleScored:
-		if sample, ok := j.findSample(e.Work, StateCopied); ok {
+		if sample, ok := j.findSample(e.Attempt, StateCopied); ok {
 			sample.State = StateScored
 			sample.Score = e.Score
 			sample.scored = true
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -441,7 +441,7 @@
 	case StateGenerated:
 		s.handle(index, SampleCopied{Attempt: work})
 	default:
-		s.handle(index, SampleScored{Work: work, Score: 1})
+		s.handle(index, SampleScored{Attempt: work, Score: 1})
 	}
 }
 
--- a/internal/edge/trainer/worker.go
+++ b/internal/edge/trainer/worker.go
@@ -123,7 +123,7 @@
 		}
 		value = scored
 	}
-	r.post(ctx, eventMessage{t.activation, delivery.SampleScored{Work: t.work, Score: value}})
+	r.post(ctx, eventMessage{t.activation, delivery.SampleScored{Attempt: t.work, Score: value}})
 	return nil
 }
 
