--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -164,8 +164,8 @@
 	Write struct {
 		Record    Record
 		IfVersion uint64
-		// Body asks to store the body of the record's step before the record.
-		Body bool
+		// StoreBody asks to store the body of the record's step before the record.
+		StoreBody bool
 	}
 	// Answer completes a request of the trainer.
 	Answer struct {
--- a/internal/core/delivery/job.go
+++ b/internal/core/delivery/job.go
@@ -205,7 +205,7 @@
 	next.Fencing = j.fencingNumber()
 	j.pendingWrite = &next
 	body := next.Step != nil && next.Step.key() != j.storedStep
-	j.effects = append(j.effects, Write{Record: next, IfVersion: j.storedVersion, Body: body})
+	j.effects = append(j.effects, Write{Record: next, IfVersion: j.storedVersion, StoreBody: body})
 }
 
 func (j *Job) startRead() {
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -267,7 +267,7 @@
 	write := onlyEffect[Write](h, h.job.Handle(StepRequested{
 		ID: 2, Step: 5, Digest: "body", Sizes: []int{4, 2}, BatchSize: 2, Chunks: 1, Cursor: &cursor,
 	}))
-	if step := write.Record.Step; !write.Body || step.Batch != 1 || !step.Delivered.Equal(cursor.Delivered) {
+	if step := write.Record.Step; !write.StoreBody || step.Batch != 1 || !step.Delivered.Equal(cursor.Delivered) {
 		t.Errorf("got step %+v", step)
 	}
 }
--- a/internal/edge/trainer/runner.go
+++ b/internal/edge/trainer/runner.go
@@ -258,7 +258,7 @@
 
 func (r *runner) writeOperation(write delivery.Write) writeOperation {
 	operation := writeOperation{activation: r.activation, write: write}
-	if write.Body {
+	if write.StoreBody {
 		operation.body = r.bodies[write.Record.Step.Digest]
 	}
 	return operation
--- a/internal/edge/trainer/storage.go
+++ b/internal/edge/trainer/storage.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return delivery.WriteUnavailable{}
 	}
-	if o.write.Body {
+	if o.write.StoreBody {
 		if err := s.putBody(ctx, o.write.Record.Step, o.body); err != nil {
 			return delivery.WriteUnavailable{}
 		}
