--- a/internal/core/delivery/cursor.go
+++ b/internal/core/delivery/cursor.go
@@ -32,16 +32,16 @@
 	// Fencing is the fencing number of the coordinator's lease.
 	Fencing uint64 `json:"fencing"`
 	// Kept locates the manifest of Batch if it was not in the job object when the batch was handed out.
-	Kept *Kept `json:"kept,omitempty"`
+	Kept *ManifestLocation `json:"kept,omitempty"`
 }
 
-// Kept locates a manifest that is stored on hosts, addressed by its digest like the content of a sample.
+// ManifestLocation locates a manifest that is stored on hosts, addressed by its digest like the content of a sample.
 //
 // It guards against this failure: a batch is handed out in an outage, and another coordinator takes over the
 // job before the batch is written. The samples are on two hosts, but only the former coordinator knew which of
 // them the batch contains and with which scores, so the successor would have to refuse a repeated request for
 // the batch permanently. The manifest itself is too long for an HTTP header.
-type Kept struct {
+type ManifestLocation struct {
 	Digest string           `json:"digest"`
 	Hosts  []netip.AddrPort `json:"hosts"`
 }
--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -202,7 +202,7 @@
 	// again with it.
 	BatchKept struct {
 		Step int
-		Kept Kept
+		Kept ManifestLocation
 	}
 	// VersionAccepted answers VersionAsked.
 	VersionAccepted struct {
--- a/internal/edge/trainer/manifest.go
+++ b/internal/edge/trainer/manifest.go
@@ -16,12 +16,12 @@
 
 // keep puts a manifest that could not be written among the contents of this and a second host, and returns what the
 // trainer's cursor says of it; nil if no host has room. See delivery.Kept for the failure that this guards against.
-func (c *Coordinator) keep(ctx context.Context, job string, step int, manifest delivery.Manifest) *delivery.Kept {
+func (c *Coordinator) keep(ctx context.Context, job string, step int, manifest delivery.Manifest) *delivery.ManifestLocation {
 	raw, err := json.Marshal(manifest)
 	if err != nil {
 		return nil
 	}
-	kept := &delivery.Kept{Digest: delivery.Digest(raw)}
+	kept := &delivery.ManifestLocation{Digest: delivery.Digest(raw)}
 	content := CopiedSample{Step: step, Digest: kept.Digest, Raw: raw}
 	if err := c.shelf.put(job, content); err == nil {
 		kept.Hosts = append(kept.Hosts, c.deps.Self)
