--- a/internal/core/delivery/ask.go
+++ b/internal/core/delivery/ask.go
@@ -200,7 +200,7 @@
 func (j *Job) cursorForAnswer(sent *Cursor) Cursor {
 	cursor := j.cursor()
 	if sent != nil && sent.Step == cursor.Step && sent.Batch == cursor.Batch && sent.Delivered.Equal(cursor.Delivered) {
-		cursor.Kept = sent.Kept
+		cursor.ManifestLocation = sent.ManifestLocation
 	}
 	return cursor
 }
--- a/internal/core/delivery/cursor.go
+++ b/internal/core/delivery/cursor.go
@@ -31,8 +31,8 @@
 	ModelVersion int `json:"modelVersion"`
 	// Fencing is the fencing number of the coordinator's lease.
 	Fencing uint64 `json:"fencing"`
-	// Kept locates the manifest of Batch if it was not in the job object when the batch was handed out.
-	Kept *ManifestLocation `json:"kept,omitempty"`
+	// ManifestLocation locates the manifest of Batch if it was not in the job object when the batch was handed out.
+	ManifestLocation *ManifestLocation `json:"kept,omitempty"`
 }
 
 // ManifestLocation locates a manifest that is stored on hosts, addressed by its digest like the content of a sample.
--- a/internal/core/delivery/step.go
+++ b/internal/core/delivery/step.go
@@ -192,12 +192,12 @@
 // does not become part of the record: a model version may have been accepted since that makes its samples too
 // old to be written.
 func (j *Job) repeatUnwrittenBatch(e BatchRequested) outcome {
-	if e.Cursor == nil || e.Cursor.Kept == nil {
+	if e.Cursor == nil || e.Cursor.ManifestLocation == nil {
 		return refuse(verdict.ReasonConflict, 0,
 			"batch %d of step %d was acknowledged by a cursor", e.Batch, e.Step)
 	}
 	if e.Manifest == nil {
-		return outcome{result: BatchKept{Step: e.Step, Kept: *e.Cursor.Kept}}
+		return outcome{result: BatchKept{Step: e.Step, Kept: *e.Cursor.ManifestLocation}}
 	}
 	return outcome{result: BatchReady{Step: e.Step, Manifest: *e.Manifest, Cursor: j.cursorForAnswer(e.Cursor)}}
 }
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -191,7 +191,7 @@
 		r.digest = fmt.Sprint(ready.Manifest)
 		if ready.Unwritten {
 			s.keptManifests[r.digest] = ready.Manifest
-			ready.Cursor.Kept = &ManifestLocation{Digest: r.digest}
+			ready.Cursor.ManifestLocation = &ManifestLocation{Digest: r.digest}
 			r.result = ready
 		}
 		s.checkBatchUnchanged(ready, r.digest, s.requestCursors[answer.ID])
--- a/internal/core/delivery/worldcheck_test.go
+++ b/internal/core/delivery/worldcheck_test.go
@@ -20,14 +20,14 @@
 // namesManifest reports whether the cursor locates the manifest, so that any coordinator may repeat the batch
 // to the trainer.
 func namesManifest(cursor *Cursor, digest string) bool {
-	return cursor != nil && cursor.Kept != nil && cursor.Kept.Digest == digest
+	return cursor != nil && cursor.ManifestLocation != nil && cursor.ManifestLocation.Digest == digest
 }
 
 // checkFinalRefusal fails if a batch was refused permanently without any outage, or to a trainer whose cursor
 // locates its manifest. Other such refusals are of requests that the trainer had abandoned for a later answer
 // to an earlier request.
 func (s *simulation) checkFinalRefusal(refused Refused, cursor *Cursor) {
-	if s.outages == 0 || cursor != nil && cursor.Kept != nil {
+	if s.outages == 0 || cursor != nil && cursor.ManifestLocation != nil {
 		s.t.Fatalf("refused permanently, cursor %+v: %s", cursor, refused.Refusal.Detail)
 	}
 }
--- a/internal/edge/trainer/answer.go
+++ b/internal/edge/trainer/answer.go
@@ -146,7 +146,7 @@
 			retryInterval, "batch %d: %v", e.Manifest.Batch, err)
 	}
 	if e.Unwritten {
-		e.Cursor.Kept = c.keep(ctx, r.job, e.Step, e.Manifest)
+		e.Cursor.ManifestLocation = c.keep(ctx, r.job, e.Step, e.Manifest)
 	}
 	body := batchReply{
 		Job:          r.job,
