--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -198,9 +198,9 @@
 		// before it hands out the batch.
 		Unwritten bool
 	}
-	// BatchKept answers BatchAsked: the caller fetches the manifest from the given hosts and sends BatchAsked
+	// ManifestNeeded answers BatchAsked: the caller fetches the manifest from the given hosts and sends BatchAsked
 	// again with it.
-	BatchKept struct {
+	ManifestNeeded struct {
 		Step int
 		Kept ManifestLocation
 	}
@@ -217,6 +217,6 @@
 
 func (StepAccepted) result()    {}
 func (BatchReady) result()      {}
-func (BatchKept) result()       {}
+func (ManifestNeeded) result()       {}
 func (VersionAccepted) result() {}
 func (Refused) result()         {}
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -164,7 +164,7 @@
 			}
 			c.write = &e
 		case Answer:
-			if kept, ok := e.Result.(BatchKept); ok {
+			if kept, ok := e.Result.(ManifestNeeded); ok {
 				s.supplyManifest(index, e.ID, kept)
 				continue
 			}
@@ -175,7 +175,7 @@
 
 // supplyManifest looks up the manifest that a cursor locates, and repeats the request with it under the same
 // ID.
-func (s *simulation) supplyManifest(index int, id TrainerRequestID, needed BatchKept) {
+func (s *simulation) supplyManifest(index int, id TrainerRequestID, needed ManifestNeeded) {
 	manifest, ok := s.keptManifests[needed.Kept.Digest]
 	if !ok {
 		s.t.Fatalf("a cursor locates the manifest %s, which no host stores", needed.Kept.Digest)
--- a/internal/edge/trainer/manifest.go
+++ b/internal/edge/trainer/manifest.go
@@ -46,7 +46,7 @@
 }
 
 // askWithManifest finds the manifest of a batch that an earlier coordinator handed out, and asks the job again with it.
-func (c *Coordinator) askWithManifest(ctx context.Context, r *runner, request Forwarded, kept delivery.BatchKept) delivery.Result {
+func (c *Coordinator) askWithManifest(ctx context.Context, r *runner, request Forwarded, kept delivery.ManifestNeeded) delivery.Result {
 	manifest, ok := c.recall(ctx, r.job, kept)
 	if !ok {
 		// The host may be out of reach for a moment only; a refusal for good would end the job.
@@ -67,7 +67,7 @@
 }
 
 // recall returns the manifest that a signed cursor names, from this host or one of its holders.
-func (c *Coordinator) recall(ctx context.Context, job string, named delivery.BatchKept) (delivery.Manifest, bool) {
+func (c *Coordinator) recall(ctx context.Context, job string, named delivery.ManifestNeeded) (delivery.Manifest, bool) {
 	found := map[string]CopiedSample{}
 	digests := []string{named.Kept.Digest}
 	if content, ok := c.shelf.get(job, named.Kept.Digest); ok {
--- a/internal/edge/trainer/route.go
+++ b/internal/edge/trainer/route.go
@@ -87,7 +87,7 @@
 		return Reply{}, err
 	}
 	result := r.ask(ctx, ask)
-	if kept, ok := result.(delivery.BatchKept); ok {
+	if kept, ok := result.(delivery.ManifestNeeded); ok {
 		result = c.askWithManifest(ctx, r, request, kept)
 	}
 	switch e := result.(type) {
