--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -202,7 +202,7 @@
 	// again with it.
 	ManifestNeeded struct {
 		Step int
-		Kept ManifestLocation
+		ManifestLocation ManifestLocation
 	}
 	// VersionAccepted answers VersionAsked.
 	VersionAccepted struct {
--- a/internal/core/delivery/step.go
+++ b/internal/core/delivery/step.go
@@ -197,7 +197,7 @@
 			"batch %d of step %d was acknowledged by a cursor", e.Batch, e.Step)
 	}
 	if e.Manifest == nil {
-		return outcome{result: ManifestNeeded{Step: e.Step, Kept: *e.Cursor.ManifestLocation}}
+		return outcome{result: ManifestNeeded{Step: e.Step, ManifestLocation: *e.Cursor.ManifestLocation}}
 	}
 	return outcome{result: BatchReady{Step: e.Step, Manifest: *e.Manifest, Cursor: j.cursorForAnswer(e.Cursor)}}
 }
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -176,9 +176,9 @@
 // supplyManifest looks up the manifest that a cursor locates, and repeats the request with it under the same
 // ID.
 func (s *simulation) supplyManifest(index int, id TrainerRequestID, needed ManifestNeeded) {
-	manifest, ok := s.keptManifests[needed.Kept.Digest]
+	manifest, ok := s.keptManifests[needed.ManifestLocation.Digest]
 	if !ok {
-		s.t.Fatalf("a cursor locates the manifest %s, which no host stores", needed.Kept.Digest)
+		s.t.Fatalf("a cursor locates the manifest %s, which no host stores", needed.ManifestLocation.Digest)
 	}
 	s.handle(index, BatchRequested{ID: id, Step: needed.Step, Batch: manifest.Batch, Cursor: s.requestCursors[id], Manifest: &manifest})
 }
--- a/internal/edge/trainer/manifest.go
+++ b/internal/edge/trainer/manifest.go
@@ -69,16 +69,16 @@
 // recall returns the manifest that a signed cursor names, from this host or one of its holders.
 func (c *Coordinator) recall(ctx context.Context, job string, named delivery.ManifestNeeded) (delivery.Manifest, bool) {
 	found := map[string]CopiedSample{}
-	digests := []string{named.Kept.Digest}
-	if content, ok := c.shelf.get(job, named.Kept.Digest); ok {
-		found[named.Kept.Digest] = content
+	digests := []string{named.ManifestLocation.Digest}
+	if content, ok := c.shelf.get(job, named.ManifestLocation.Digest); ok {
+		found[named.ManifestLocation.Digest] = content
 	}
-	for _, host := range named.Kept.Hosts {
+	for _, host := range named.ManifestLocation.Hosts {
 		if len(found) == 0 {
 			c.fetch(ctx, job, named.Step, host, digests, found)
 		}
 	}
 	var manifest delivery.Manifest
-	err := json.Unmarshal(found[named.Kept.Digest].Raw, &manifest)
+	err := json.Unmarshal(found[named.ManifestLocation.Digest].Raw, &manifest)
 	return manifest, err == nil
 }
