--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -194,9 +194,9 @@
 		Step     int
 		Manifest Manifest
 		Cursor   Cursor
-		// Unwritten means that the manifest is not in the job object: the caller stores the manifest on hosts
+		// ManifestUnwritten means that the manifest is not in the job object: the caller stores the manifest on hosts
 		// before it hands out the batch.
-		Unwritten bool
+		ManifestUnwritten bool
 	}
 	// ManifestNeeded answers BatchAsked: the caller fetches the manifest from the given hosts and sends BatchAsked
 	// again with it.
--- a/internal/core/delivery/step.go
+++ b/internal/core/delivery/step.go
@@ -185,7 +185,7 @@
 	if step.Manifest == nil {
 		return j.repeatUnwrittenBatch(e)
 	}
-	return outcome{result: BatchReady{Step: step.Step, Manifest: *step.Manifest, Cursor: j.cursor(), Unwritten: j.unwritten}}
+	return outcome{result: BatchReady{Step: step.Step, Manifest: *step.Manifest, Cursor: j.cursor(), ManifestUnwritten: j.unwritten}}
 }
 
 // repeatUnwrittenBatch repeats a batch that an earlier coordinator handed out without writing it. The manifest
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -189,7 +189,7 @@
 	if ready, ok := answer.Result.(BatchReady); ok {
 		s.checkStaleness(ready.Manifest)
 		r.digest = fmt.Sprint(ready.Manifest)
-		if ready.Unwritten {
+		if ready.ManifestUnwritten {
 			s.keptManifests[r.digest] = ready.Manifest
 			ready.Cursor.ManifestLocation = &ManifestLocation{Digest: r.digest}
 			r.result = ready
--- a/internal/edge/trainer/answer.go
+++ b/internal/edge/trainer/answer.go
@@ -145,7 +145,7 @@
 		return Reply{}, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonSamplesLost,
 			retryInterval, "batch %d: %v", e.Manifest.Batch, err)
 	}
-	if e.Unwritten {
+	if e.ManifestUnwritten {
 		e.Cursor.ManifestLocation = c.keep(ctx, r.job, e.Step, e.Manifest)
 	}
 	body := batchReply{
