--- a/internal/core/delivery/sample.go
+++ b/internal/core/delivery/sample.go
@@ -31,10 +31,10 @@
 	return fmt.Sprintf("%s/%d/%d/%d", i.Job, i.Step, i.Group, i.Index)
 }
 
-// Attempt returns the name under which an engine generates the given attempt at the sample. Generation is
+// AttemptName returns the name under which an engine generates the given attempt at the sample. Generation is
 // idempotent by name, so a sample that is generated again because the first was discarded as stale needs a new
 // name.
-func (i SampleID) Attempt(attempt int) string {
+func (i SampleID) AttemptName(attempt int) string {
 	if attempt == 0 {
 		return i.String()
 	}
--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -133,7 +133,7 @@
 		}
 		s.attempts[position] = sample.Attempt + 1
 		group, index := step.Locate(position)
-		name := delivery.SampleID{Job: r.job, Step: step.Step, Group: group, Index: index}.Attempt(sample.Attempt)
+		name := delivery.SampleID{Job: r.job, Step: step.Step, Group: group, Index: index}.AttemptName(sample.Attempt)
 		s.positions[name] = position
 		groups[group] = append(groups[group], rollout.Sample{
 			ID: name, Cost: float64(r.maxTokens()), Tokens: len(sample.Prefix),
@@ -194,7 +194,7 @@
 	}
 	t.request.Organisation = job.Organisation
 	t.began = &atomic.Int64{}
-	t.name = delivery.SampleID{Job: r.job, Step: work.Step, Group: group, Index: index}.Attempt(work.Attempt)
+	t.name = delivery.SampleID{Job: r.job, Step: work.Step, Group: group, Index: index}.AttemptName(work.Attempt)
 	t.ctx, t.cancel = context.WithCancel(r.taskCtx)
 	return t
 }
