--- a/internal/core/delivery/record.go
+++ b/internal/core/delivery/record.go
@@ -73,8 +73,8 @@
 	Score  float64 `json:"score"`
 	// OldestVersion is the oldest weight version among the sample's spans.
 	OldestVersion int `json:"oldest"`
-	// Copy is the second host that holds the content.
-	Copy netip.AddrPort `json:"copy"`
+	// CopyHost is the second host that holds the content.
+	CopyHost netip.AddrPort `json:"copy"`
 }
 
 // ParseRecord decodes the value of the job object.
--- a/internal/edge/trainer/content.go
+++ b/internal/edge/trainer/content.go
@@ -34,7 +34,7 @@
 func missing(manifest delivery.Manifest, found map[string]CopiedSample, host *netip.AddrPort) []string {
 	var digests []string
 	for _, ref := range manifest.Refs {
-		if _, ok := found[ref.Digest]; !ok && (host == nil || ref.Copy == *host) {
+		if _, ok := found[ref.Digest]; !ok && (host == nil || ref.CopyHost == *host) {
 			digests = append(digests, ref.Digest)
 		}
 	}
@@ -45,9 +45,9 @@
 	var hosts []netip.AddrPort
 	known := map[netip.AddrPort]bool{}
 	for _, ref := range manifest.Refs {
-		if !known[ref.Copy] {
-			known[ref.Copy] = true
-			hosts = append(hosts, ref.Copy)
+		if !known[ref.CopyHost] {
+			known[ref.CopyHost] = true
+			hosts = append(hosts, ref.CopyHost)
 		}
 	}
 	return hosts
