--- a/internal/core/delivery/record.go
+++ b/internal/core/delivery/record.go
@@ -35,8 +35,8 @@
 	Digest string `json:"digest"`
 	// Chunks is the number of objects that hold the step's body; 0 if the body is not stored.
 	Chunks int `json:"chunks"`
-	// Sizes is the number of samples in each group.
-	Sizes     []int `json:"sizes"`
+	// GroupSizes is the number of samples in each group.
+	GroupSizes     []int `json:"sizes"`
 	BatchSize int   `json:"batchSize"`
 	// Batch is the number of the newest batch; 0 before the first.
 	Batch int `json:"batch"`
@@ -89,7 +89,7 @@
 // Samples returns the number of samples in the step.
 func (s *StepRecord) Samples() int {
 	total := 0
-	for _, size := range s.Sizes {
+	for _, size := range s.GroupSizes {
 		total += size
 	}
 	return total
@@ -107,7 +107,7 @@
 
 // Position returns the position of a sample in the step: its index across all groups.
 func (s *StepRecord) Position(group, index int) int {
-	for _, size := range s.Sizes[:group] {
+	for _, size := range s.GroupSizes[:group] {
 		index += size
 	}
 	return index
@@ -115,13 +115,13 @@
 
 // Locate is the inverse of Position.
 func (s *StepRecord) Locate(position int) (group, index int) {
-	for group, size := range s.Sizes {
+	for group, size := range s.GroupSizes {
 		if position < size {
 			return group, position
 		}
 		position -= size
 	}
-	return len(s.Sizes), position
+	return len(s.GroupSizes), position
 }
 
 // deliveredBefore returns the set of samples delivered before the newest batch; ok is false if the manifest of
--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -143,7 +143,7 @@
 		return
 	}
 	added := rollout.Step{Job: r.job, Number: step.Step}
-	for group := range step.Sizes {
+	for group := range step.GroupSizes {
 		if samples, ok := groups[group]; ok {
 			added.Groups = append(added.Groups, rollout.Group{Samples: samples})
 		}
