--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -20,7 +20,7 @@
 		ID        TrainerRequestID
 		Step      int
 		Digest    string
-		Sizes     []int
+		GroupSizes     []int
 		BatchSize int
 		// Chunks is the number of objects that hold the step's body once it is stored.
 		Chunks int
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -78,7 +78,7 @@
 
 func (h *harness) postStep() Cursor {
 	h.t.Helper()
-	answer := h.commit(StepRequested{ID: 1, Step: 1, Digest: "body", Sizes: []int{4, 2}, BatchSize: 2, Chunks: 1})
+	answer := h.commit(StepRequested{ID: 1, Step: 1, Digest: "body", GroupSizes: []int{4, 2}, BatchSize: 2, Chunks: 1})
 	return answer.Result.(StepAccepted).Cursor
 }
 
@@ -265,7 +265,7 @@
 		t.Errorf("got refusal %+v", got)
 	}
 	write := onlyEffect[Write](h, h.job.Handle(StepRequested{
-		ID: 2, Step: 5, Digest: "body", Sizes: []int{4, 2}, BatchSize: 2, Chunks: 1, Cursor: &cursor,
+		ID: 2, Step: 5, Digest: "body", GroupSizes: []int{4, 2}, BatchSize: 2, Chunks: 1, Cursor: &cursor,
 	}))
 	if step := write.Record.Step; !write.StoreBody || step.Batch != 1 || !step.Delivered.Equal(cursor.Delivered) {
 		t.Errorf("got step %+v", step)
--- a/internal/core/delivery/outage_test.go
+++ b/internal/core/delivery/outage_test.go
@@ -24,7 +24,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, 0)
 			h.postStep()
-			effects := h.job.Handle(StepRequested{ID: 9, Step: 3, Digest: "third", Sizes: []int{2}, BatchSize: 2, Chunks: 1, Cursor: c.cursor})
+			effects := h.job.Handle(StepRequested{ID: 9, Step: 3, Digest: "third", GroupSizes: []int{2}, BatchSize: 2, Chunks: 1, Cursor: c.cursor})
 			if c.refuse {
 				if got := h.refusal(effects); got.Reason != verdict.ReasonInProgress {
 					t.Errorf("refused with %+v", got)
--- a/internal/core/delivery/step.go
+++ b/internal/core/delivery/step.go
@@ -66,7 +66,7 @@
 		Step:      e.Step,
 		Digest:    e.Digest,
 		Chunks:    e.Chunks,
-		GroupSizes:     e.Sizes,
+		GroupSizes:     e.GroupSizes,
 		BatchSize: e.BatchSize,
 	}
 	opened.Delivered = NewBitmap(opened.Samples())
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -302,7 +302,7 @@
 	s.requestCursors[s.lastRequest] = cursor
 	if !s.posted {
 		s.handle(index, StepRequested{
-			ID: s.lastRequest, Step: s.step, Digest: fmt.Sprint("body", s.step), Sizes: simulatedGroupSizes,
+			ID: s.lastRequest, Step: s.step, Digest: fmt.Sprint("body", s.step), GroupSizes: simulatedGroupSizes,
 			BatchSize: simulatedBatchSize, Chunks: 1, Cursor: cursor,
 		})
 		return
@@ -361,7 +361,7 @@
 	for index := range s.coordinators {
 		s.lastRequest++
 		s.handle(index, StepRequested{
-			ID: s.lastRequest, Step: s.step, Digest: fmt.Sprint("body", s.step), Sizes: simulatedGroupSizes,
+			ID: s.lastRequest, Step: s.step, Digest: fmt.Sprint("body", s.step), GroupSizes: simulatedGroupSizes,
 			BatchSize: simulatedBatchSize, Chunks: 1, Cursor: s.cursor,
 		})
 	}
