--- a/internal/core/delivery/plan.go
+++ b/internal/core/delivery/plan.go
@@ -84,7 +84,7 @@
 
 func (p Plan) validateSize() error {
 	total := 0
-	for _, size := range p.Sizes() {
+	for _, size := range p.GroupSizes() {
 		total += size
 	}
 	if total == 0 {
@@ -106,8 +106,8 @@
 	return raw, Digest(raw), nil
 }
 
-// Sizes returns the number of samples in each group.
-func (p Plan) Sizes() []int {
+// GroupSizes returns the number of samples in each group.
+func (p Plan) GroupSizes() []int {
 	sizes := make([]int, 0, len(p.Groups))
 	for _, group := range p.Groups {
 		sizes = append(sizes, len(group.Prompts)*group.Samples)
--- a/internal/core/delivery/value_test.go
+++ b/internal/core/delivery/value_test.go
@@ -39,7 +39,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if diff := cmp.Diff(c.sizes, plan.Sizes()); diff != "" {
+			if diff := cmp.Diff(c.sizes, plan.GroupSizes()); diff != "" {
 				t.Errorf("(-want +got):\n%s", diff)
 			}
 		})
--- a/internal/edge/trainer/answer.go
+++ b/internal/edge/trainer/answer.go
@@ -88,7 +88,7 @@
 		ID:        message.id,
 		Step:      request.Step,
 		Digest:    digest,
-		GroupSizes:     plan.Sizes(),
+		GroupSizes:     plan.GroupSizes(),
 		BatchSize: max(1, job.BatchSize),
 		Chunks:    chunkCount(body),
 		Cursor:    cursor,
