--- a/internal/core/delivery/job.go
+++ b/internal/core/delivery/job.go
@@ -334,7 +334,7 @@
 		j.lostBatch = ContentLost{}
 		return
 	}
-	for _, ref := range step.Manifest.Refs {
+	for _, ref := range step.Manifest.SampleRefs {
 		j.samples[step.Position(ref.Group, ref.Index)].scored = false
 	}
 	next := j.record
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -312,7 +312,7 @@
 		if tookEffect {
 			record.Step.Batch = 1
 			record.Step.Delivered = cursor.Delivered
-			record.Step.Manifest = &Manifest{Batch: 1, Refs: []SampleRef{{}, {Index: 1}}}
+			record.Step.Manifest = &Manifest{Batch: 1, SampleRefs: []SampleRef{{}, {Index: 1}}}
 			h.version++
 		}
 		onlyEffect[Read](h, h.job.Handle(BatchRequested{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
--- a/internal/core/delivery/progress.go
+++ b/internal/core/delivery/progress.go
@@ -31,7 +31,7 @@
 	if step.Manifest == nil {
 		return
 	}
-	for _, ref := range step.Manifest.Refs {
+	for _, ref := range step.Manifest.SampleRefs {
 		j.samples[step.Position(ref.Group, ref.Index)].State = StateBatched
 	}
 }
@@ -166,7 +166,7 @@
 		Holder:       j.self,
 	}
 	for _, position := range positions {
-		manifest.Refs = append(manifest.Refs, j.sampleRef(position))
+		manifest.SampleRefs = append(manifest.SampleRefs, j.sampleRef(position))
 	}
 	return manifest
 }
--- a/internal/core/delivery/record.go
+++ b/internal/core/delivery/record.go
@@ -62,7 +62,7 @@
 	Last         bool `json:"last"`
 	// Holder is the peer address of the coordinator that created the batch.
 	Holder netip.AddrPort `json:"holder"`
-	Refs   []SampleRef    `json:"samples"`
+	SampleRefs   []SampleRef    `json:"samples"`
 }
 
 // SampleRef is a manifest's reference to the content of one sample.
@@ -134,7 +134,7 @@
 		return nil, false
 	}
 	set = s.Delivered.Clone()
-	for _, ref := range s.Manifest.Refs {
+	for _, ref := range s.Manifest.SampleRefs {
 		set.Clear(s.Position(ref.Group, ref.Index))
 	}
 	return set, true
--- a/internal/core/delivery/step.go
+++ b/internal/core/delivery/step.go
@@ -172,7 +172,7 @@
 	next.Step = step.clone()
 	next.Step.Batch = manifest.Batch
 	next.Step.Manifest = manifest
-	for _, ref := range manifest.Refs {
+	for _, ref := range manifest.SampleRefs {
 		next.Step.Delivered.Set(step.Position(ref.Group, ref.Index))
 	}
 	return outcome{next: &next}
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -234,7 +234,7 @@
 	if step == nil || step.Manifest == nil || (old.Step != nil && fmt.Sprint(old.Step.Manifest) == fmt.Sprint(step.Manifest)) {
 		return true
 	}
-	for _, ref := range step.Manifest.Refs {
+	for _, ref := range step.Manifest.SampleRefs {
 		if ref.OldestVersion < record.ModelVersion-s.stalenessBound {
 			s.t.Fatalf("manifest written with a sample of version %d at model version %d, staleness bound %d",
 				ref.OldestVersion, record.ModelVersion, s.stalenessBound)
@@ -374,7 +374,7 @@
 	s.batch++
 	s.cursor = &e.Cursor
 	s.acceptedBatches[batchKey(e)] = fmt.Sprint(e.Manifest)
-	for _, ref := range e.Manifest.Refs {
+	for _, ref := range e.Manifest.SampleRefs {
 		key := fmt.Sprintf("%d/%d/%d", e.Step, ref.Group, ref.Index)
 		if s.received[key] {
 			s.t.Fatalf("sample %s delivered twice", key)
--- a/internal/core/delivery/worldcheck_test.go
+++ b/internal/core/delivery/worldcheck_test.go
@@ -50,7 +50,7 @@
 	if repeated := c.answered[fmt.Sprint(ready.Manifest)]; !repeated {
 		s.checkOfflineAllowed(c)
 	}
-	for _, ref := range ready.Manifest.Refs {
+	for _, ref := range ready.Manifest.SampleRefs {
 		if ref.OldestVersion < c.writtenVersion-s.stalenessBound {
 			s.t.Fatalf("proceeded offline with a sample of version %d after writing model version %d, staleness bound %d",
 				ref.OldestVersion, c.writtenVersion, s.stalenessBound)
@@ -70,7 +70,7 @@
 }
 
 func (s *simulation) checkStaleness(manifest Manifest) {
-	for _, ref := range manifest.Refs {
+	for _, ref := range manifest.SampleRefs {
 		if ref.OldestVersion < manifest.ModelVersion-s.stalenessBound {
 			s.t.Fatalf("stale sample: version %d at model version %d, staleness bound %d",
 				ref.OldestVersion, manifest.ModelVersion, s.stalenessBound)
--- a/internal/edge/trainer/answer.go
+++ b/internal/edge/trainer/answer.go
@@ -155,7 +155,7 @@
 		ModelVersion: e.Manifest.ModelVersion,
 		Last:         e.Manifest.Last,
 	}
-	for _, ref := range e.Manifest.Refs {
+	for _, ref := range e.Manifest.SampleRefs {
 		sample := sampleReply{Score: ref.Score}
 		if err := json.Unmarshal(contents[ref.Digest].Raw, &sample.Content); err != nil {
 			return Reply{}, errors.Wrapf(err, "content %s", ref.Digest)
--- a/internal/edge/trainer/content.go
+++ b/internal/edge/trainer/content.go
@@ -15,7 +15,7 @@
 // batch, and from the second hosts.
 func (c *Coordinator) contents(ctx context.Context, job string, step int, manifest delivery.Manifest) (map[string]CopiedSample, error) {
 	found := map[string]CopiedSample{}
-	for _, ref := range manifest.Refs {
+	for _, ref := range manifest.SampleRefs {
 		if sample, ok := c.shelf.get(job, ref.Digest); ok {
 			found[ref.Digest] = sample
 		}
@@ -25,7 +25,7 @@
 		c.fetch(ctx, job, step, host, missing(manifest, found, &host), found)
 	}
 	if left := missing(manifest, found, nil); len(left) > 0 {
-		return nil, errors.Wrapf(errMissing, "%d of %d samples", len(left), len(manifest.Refs))
+		return nil, errors.Wrapf(errMissing, "%d of %d samples", len(left), len(manifest.SampleRefs))
 	}
 	return found, nil
 }
@@ -33,7 +33,7 @@
 // missing returns the digests not found yet, of one second host only if host is given.
 func missing(manifest delivery.Manifest, found map[string]CopiedSample, host *netip.AddrPort) []string {
 	var digests []string
-	for _, ref := range manifest.Refs {
+	for _, ref := range manifest.SampleRefs {
 		if _, ok := found[ref.Digest]; !ok && (host == nil || ref.CopyHost == *host) {
 			digests = append(digests, ref.Digest)
 		}
@@ -44,7 +44,7 @@
 func copyHosts(manifest delivery.Manifest) []netip.AddrPort {
 	var hosts []netip.AddrPort
 	known := map[netip.AddrPort]bool{}
-	for _, ref := range manifest.Refs {
+	for _, ref := range manifest.SampleRefs {
 		if !known[ref.CopyHost] {
 			known[ref.CopyHost] = true
 			hosts = append(hosts, ref.CopyHost)
--- a/internal/edge/trainer/failure_test.go
+++ b/internal/edge/trainer/failure_test.go
@@ -157,7 +157,7 @@
 	w.lease.take(hostB, false)
 	seen := map[string]bool{}
 	first := w.collect(seen, w.getBatch(hostB, 1, 1, nil))
-	for i, ref := range written.Refs {
+	for i, ref := range written.SampleRefs {
 		want := delivery.SampleID{Job: testJob, Step: 1, Group: ref.Group, Index: ref.Index}.String()
 		if first.Samples[i].SampleID != want || first.Samples[i].Spans[0].Version != 1 {
 			t.Errorf("sample %d is %+v, the manifest says %s", i, first.Samples[i], want)
