--- a/internal/core/delivery/progress.go
+++ b/internal/core/delivery/progress.go
@@ -148,7 +148,7 @@
 func (j *Job) nextManifest() *Manifest {
 	step := j.record.Step
 	need := min(step.BatchSize, step.Samples()-step.Delivered.Count())
-	positions := slices.DeleteFunc(j.Positions(StateScored), func(position int) bool {
+	positions := slices.DeleteFunc(j.PositionsInState(StateScored), func(position int) bool {
 		return j.samples[position].stale(j.newestPossibleVersion() - j.stalenessBound)
 	})
 	if need <= 0 || len(positions) < need {
@@ -184,8 +184,8 @@
 	}
 }
 
-// Positions returns the positions of the current step's samples in the given state, in ascending order.
-func (j *Job) Positions(state SampleState) []int {
+// PositionsInState returns the positions of the current step's samples in the given state, in ascending order.
+func (j *Job) PositionsInState(state SampleState) []int {
 	var positions []int
 	for position := range j.samples {
 		if j.samples[position].State == state {
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -420,7 +420,7 @@
 	job := s.coordinators[index].job
 	var open []int
 	for _, state := range []SampleState{StatePending, StateGenerating, StateGenerated, StateCopied} {
-		open = append(open, job.Positions(state)...)
+		open = append(open, job.PositionsInState(state)...)
 	}
 	if len(open) == 0 {
 		return
--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -126,7 +126,7 @@
 	if len(s.attempts) == 0 {
 		s.attempts = make([]int, step.Samples())
 	}
-	for _, position := range r.machine.Positions(delivery.StatePending) {
+	for _, position := range r.machine.PositionsInState(delivery.StatePending) {
 		sample, _ := r.machine.Sample(position)
 		if s.attempts[position] > sample.Attempt {
 			continue
@@ -209,7 +209,7 @@
 // resume takes up samples whose copy or score failed before.
 func (s *schedule) resume(r *runner) {
 	for _, stage := range []delivery.SampleState{delivery.StateCopied, delivery.StateGenerated} {
-		for _, position := range r.machine.Positions(stage) {
+		for _, position := range r.machine.PositionsInState(stage) {
 			if s.running >= s.slots {
 				return
 			}
