--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -17,11 +17,11 @@
 type (
 	// StepRequested posts a step.
 	StepRequested struct {
-		ID        TrainerRequestID
-		Step      int
-		Digest    string
-		GroupSizes     []int
-		BatchSize int
+		ID         TrainerRequestID
+		Step       int
+		Digest     string
+		GroupSizes []int
+		BatchSize  int
 		// Chunks is the number of objects that hold the step's body once it is stored.
 		Chunks int
 		Cursor *Cursor
@@ -32,7 +32,8 @@
 		Step   int
 		Batch  int
 		Cursor *Cursor
-		// Manifest is the manifest that the cursor refers to, once the caller has fetched it; see BatchKept.
+		// Manifest is the manifest that the cursor locates, once the caller has fetched it; see
+		// ManifestNeeded.
 		Manifest *Manifest
 	}
 	// VersionRequested publishes a model version.
@@ -109,49 +110,49 @@
 	// SampleFailed reports a failed generation and carries the tokens so far, from which the next call
 	// resumes.
 	SampleFailed struct {
-		Attempt   SampleAttempt
-		Tokens []Token
+		Attempt SampleAttempt
+		Tokens  []Token
 	}
 	// SampleGenerated carries all tokens and the digest of the encoded content.
 	SampleGenerated struct {
-		Attempt   SampleAttempt
-		Tokens []Token
-		Digest string
+		Attempt SampleAttempt
+		Tokens  []Token
+		Digest  string
 	}
 	// SampleCopied reports the second host that holds the content.
 	SampleCopied struct {
 		Attempt SampleAttempt
-		Host netip.AddrPort
+		Host    netip.AddrPort
 	}
 	// SampleScored carries the score.
 	SampleScored struct {
-		Attempt  SampleAttempt
-		Score float64
+		Attempt SampleAttempt
+		Score   float64
 	}
 )
 
-func (StepRequested) event()        {}
-func (BatchRequested) event()       {}
-func (VersionRequested) event()     {}
-func (RequestExpired) event()       {}
-func (Loaded) event()           {}
-func (ReadFailed) event()       {}
-func (Written) event()          {}
-func (WriteConflicted) event()  {}
-func (WriteUnavailable) event() {}
-func (WriteUncertain) event()   {}
-func (WriteFenced) event()      {}
-func (LeaseChanged) event()     {}
-func (Superseded) event()       {}
-func (OutageChanged) event()    {}
-func (StalenessBoundChanged) event()     {}
-func (Ticked) event()           {}
-func (ContentLost) event()      {}
-func (SampleStarted) event()    {}
-func (SampleFailed) event()     {}
-func (SampleGenerated) event()  {}
-func (SampleCopied) event()     {}
-func (SampleScored) event()     {}
+func (StepRequested) event()         {}
+func (BatchRequested) event()        {}
+func (VersionRequested) event()      {}
+func (RequestExpired) event()        {}
+func (Loaded) event()                {}
+func (ReadFailed) event()            {}
+func (Written) event()               {}
+func (WriteConflicted) event()       {}
+func (WriteUnavailable) event()      {}
+func (WriteUncertain) event()        {}
+func (WriteFenced) event()           {}
+func (LeaseChanged) event()          {}
+func (Superseded) event()            {}
+func (OutageChanged) event()         {}
+func (StalenessBoundChanged) event() {}
+func (Ticked) event()                {}
+func (ContentLost) event()           {}
+func (SampleStarted) event()         {}
+func (SampleFailed) event()          {}
+func (SampleGenerated) event()       {}
+func (SampleCopied) event()          {}
+func (SampleScored) event()          {}
 
 // Effect is an action that the caller of Job.Handle carries out.
 type Effect interface{ effect() }
@@ -183,28 +184,28 @@
 
 // The results.
 type (
-	// StepAccepted answers StepAsked.
+	// StepAccepted answers StepRequested.
 	StepAccepted struct {
 		Samples int
 		Batches int
 		Cursor  Cursor
 	}
-	// BatchReady answers BatchAsked.
+	// BatchReady answers BatchRequested.
 	BatchReady struct {
 		Step     int
 		Manifest Manifest
 		Cursor   Cursor
-		// ManifestUnwritten means that the manifest is not in the job object: the caller stores the manifest on hosts
-		// before it hands out the batch.
+		// ManifestUnwritten means that the manifest is not in the job object: the caller stores the manifest
+		// on hosts before it hands out the batch.
 		ManifestUnwritten bool
 	}
-	// ManifestNeeded answers BatchAsked: the caller fetches the manifest from the given hosts and sends BatchAsked
-	// again with it.
+	// ManifestNeeded answers BatchRequested: the caller fetches the manifest from the given hosts and sends
+	// BatchRequested again with it.
 	ManifestNeeded struct {
-		Step int
+		Step             int
 		ManifestLocation ManifestLocation
 	}
-	// VersionAccepted answers VersionAsked.
+	// VersionAccepted answers VersionRequested.
 	VersionAccepted struct {
 		Version int
 		Weights string
@@ -217,6 +218,6 @@
 
 func (StepAccepted) result()    {}
 func (BatchReady) result()      {}
-func (ManifestNeeded) result()       {}
+func (ManifestNeeded) result()  {}
 func (VersionAccepted) result() {}
 func (Refused) result()         {}
--- a/internal/core/delivery/job.go
+++ b/internal/core/delivery/job.go
@@ -29,7 +29,8 @@
 // an outage may proceed offline with a model version that a successor has just replaced. And a batch that was
 // handed out offline, and not written before another coordinator takes over the job, is created anew under its
 // number for a trainer whose cursor shows that it never received the batch. A trainer whose cursor shows that
-// it did is given the same batch again, as long as a host has the manifest that the cursor locates; see Kept.
+// it did is given the same batch again, as long as a host has the manifest that the cursor locates; see
+// ManifestLocation.
 type Job struct {
 	name           string
 	self           netip.AddrPort
--- a/internal/core/delivery/progress.go
+++ b/internal/core/delivery/progress.go
@@ -180,7 +180,7 @@
 		Digest:        sample.Digest,
 		Score:         sample.Score,
 		OldestVersion: sample.OldestVersion,
-		CopyHost:          sample.CopyHost,
+		CopyHost:      sample.CopyHost,
 	}
 }
 
--- a/internal/core/delivery/record.go
+++ b/internal/core/delivery/record.go
@@ -36,8 +36,8 @@
 	// Chunks is the number of objects that hold the step's body; 0 if the body is not stored.
 	Chunks int `json:"chunks"`
 	// GroupSizes is the number of samples in each group.
-	GroupSizes     []int `json:"sizes"`
-	BatchSize int   `json:"batchSize"`
+	GroupSizes []int `json:"sizes"`
+	BatchSize  int   `json:"batchSize"`
 	// Batch is the number of the newest batch; 0 before the first.
 	Batch int `json:"batch"`
 	// Delivered is the set of samples in the batches up to and including Batch.
@@ -61,8 +61,8 @@
 	ModelVersion int  `json:"modelVersion"`
 	Last         bool `json:"last"`
 	// Holder is the peer address of the coordinator that created the batch.
-	Holder netip.AddrPort `json:"holder"`
-	SampleRefs   []SampleRef    `json:"samples"`
+	Holder     netip.AddrPort `json:"holder"`
+	SampleRefs []SampleRef    `json:"samples"`
 }
 
 // SampleRef is a manifest's reference to the content of one sample.
--- a/internal/core/delivery/step.go
+++ b/internal/core/delivery/step.go
@@ -63,11 +63,11 @@
 // coordinator accepted the step without writing it, and the step resumes where the cursor says.
 func (j *Job) openStep(e StepRequested, resumed bool) outcome {
 	opened := &StepRecord{
-		Step:      e.Step,
-		Digest:    e.Digest,
-		Chunks:    e.Chunks,
-		GroupSizes:     e.GroupSizes,
-		BatchSize: e.BatchSize,
+		Step:       e.Step,
+		Digest:     e.Digest,
+		Chunks:     e.Chunks,
+		GroupSizes: e.GroupSizes,
+		BatchSize:  e.BatchSize,
 	}
 	opened.Delivered = NewBitmap(opened.Samples())
 	if resumed {
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -164,8 +164,8 @@
 			}
 			c.write = &e
 		case Answer:
-			if kept, ok := e.Result.(ManifestNeeded); ok {
-				s.supplyManifest(index, e.ID, kept)
+			if needed, ok := e.Result.(ManifestNeeded); ok {
+				s.supplyManifest(index, e.ID, needed)
 				continue
 			}
 			s.checkAnswer(c, e)
--- a/internal/edge/trainer/answer.go
+++ b/internal/edge/trainer/answer.go
@@ -85,13 +85,13 @@
 	message.body = body
 	message.digest = digest
 	message.event = delivery.StepRequested{
-		ID:        message.id,
-		Step:      request.Step,
-		Digest:    digest,
-		GroupSizes:     plan.GroupSizes(),
-		BatchSize: max(1, job.BatchSize),
-		Chunks:    chunkCount(body),
-		Cursor:    cursor,
+		ID:         message.id,
+		Step:       request.Step,
+		Digest:     digest,
+		GroupSizes: plan.GroupSizes(),
+		BatchSize:  max(1, job.BatchSize),
+		Chunks:     chunkCount(body),
+		Cursor:     cursor,
 	}
 	return message, nil
 }
--- a/internal/edge/trainer/manifest.go
+++ b/internal/edge/trainer/manifest.go
@@ -15,7 +15,7 @@
 const keepTimeout = 500 * time.Millisecond
 
 // keep puts a manifest that could not be written among the contents of this and a second host, and returns what the
-// trainer's cursor says of it; nil if no host has room. See delivery.Kept for the failure that this guards against.
+// trainer's cursor says of it; nil if no host has room. See delivery.ManifestLocation for the failure that this guards against.
 func (c *Coordinator) keep(ctx context.Context, job string, step int, manifest delivery.Manifest) *delivery.ManifestLocation {
 	raw, err := json.Marshal(manifest)
 	if err != nil {
