--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -78,7 +78,7 @@
 	// LeaseChanged reports whether the lease is held, and its fencing number. Renewed means that the lease has
 	// been held without a gap since the previous number, so no other host held it in between.
 	LeaseChanged struct {
-		Number  uint64
+		FencingNumber  uint64
 		Held    bool
 		Renewed bool
 	}
--- a/internal/core/delivery/job.go
+++ b/internal/core/delivery/job.go
@@ -295,14 +295,14 @@
 
 func (j *Job) changeLease(e LeaseChanged) {
 	j.leaseHeld = e.Held
-	if !e.Held || e.Number == j.fencingNumber() {
+	if !e.Held || e.FencingNumber == j.fencingNumber() {
 		return
 	}
 	if e.Renewed && len(j.leaseTerms) > 0 {
-		j.leaseTerms[len(j.leaseTerms)-1].last = e.Number
+		j.leaseTerms[len(j.leaseTerms)-1].last = e.FencingNumber
 		return
 	}
-	j.leaseTerms = append(j.leaseTerms, leaseTerm{first: e.Number, last: e.Number})
+	j.leaseTerms = append(j.leaseTerms, leaseTerm{first: e.FencingNumber, last: e.FencingNumber})
 	j.leaseTerms = j.leaseTerms[max(0, len(j.leaseTerms)-maxTerms):]
 	j.superseded = false
 	j.confirmed = false
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -23,7 +23,7 @@
 func newHarness(t *testing.T, bound int) *harness {
 	h := &harness{t: t, job: NewJob("fees", netip.MustParseAddrPort("127.0.0.1:7001"), bound)}
 	h.job.Handle(OutageChanged{Established: true})
-	h.job.Handle(LeaseChanged{Number: 10, Held: true})
+	h.job.Handle(LeaseChanged{FencingNumber: 10, Held: true})
 	h.job.Handle(Loaded{Record: Record{Job: "fees"}})
 	return h
 }
@@ -249,7 +249,7 @@
 	h.job.Handle(LeaseChanged{})
 	old := h.job.record
 	onlyEffect[Read](h, h.job.Handle(Ticked{}))
-	h.job.Handle(LeaseChanged{Number: 30, Held: true})
+	h.job.Handle(LeaseChanged{FencingNumber: 30, Held: true})
 	onlyEffect[Read](h, h.job.Handle(Loaded{Record: old, Version: h.version}))
 	h.job.Handle(ReadFailed{})
 	h.expectNoEffects(BatchRequested{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
@@ -351,7 +351,7 @@
 	onlyEffect[Answer](h, h.job.Handle(BatchRequested{ID: 2, Step: 1, Batch: 1, Cursor: &cursor}))
 	other.ModelVersion = 1
 	other.Fencing = 20
-	h.job.Handle(LeaseChanged{Number: 30, Held: true})
+	h.job.Handle(LeaseChanged{FencingNumber: 30, Held: true})
 	h.expectNoEffects(Loaded{Record: other, Version: 9})
 	if status := h.job.Status(); status.Unwritten || status.ModelVersion != 1 || status.Batch != 0 {
 		t.Errorf("got status %+v", status)
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -138,7 +138,7 @@
 func (s *simulation) grantLease(index int) {
 	s.fencingNumber++
 	s.leaseHolders[s.fencingNumber] = s.coordinators[index].id
-	s.handle(index, LeaseChanged{Number: s.fencingNumber, Held: true})
+	s.handle(index, LeaseChanged{FencingNumber: s.fencingNumber, Held: true})
 }
 
 // renewLease gives the current holder a higher fencing number without a gap.
@@ -148,7 +148,7 @@
 	}
 	s.fencingNumber++
 	s.leaseHolders[s.fencingNumber] = s.coordinators[index].id
-	s.handle(index, LeaseChanged{Number: s.fencingNumber, Held: true, Renewed: true})
+	s.handle(index, LeaseChanged{FencingNumber: s.fencingNumber, Held: true, Renewed: true})
 }
 
 // handle passes an event to a coordinator and records its effects.
--- a/internal/edge/trainer/runner.go
+++ b/internal/edge/trainer/runner.go
@@ -224,7 +224,7 @@
 	if !r.held || fence.Number != r.fence.Number {
 		renewed := r.fence.Number != 0 && now.Before(r.fence.Deadline)
 		r.active = true
-		r.handle(delivery.LeaseChanged{Number: uint64(fence.Number), Held: true, Renewed: renewed})
+		r.handle(delivery.LeaseChanged{FencingNumber: uint64(fence.Number), Held: true, Renewed: renewed})
 	}
 	r.held = true
 	r.fence = fence
