--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -78,9 +78,9 @@
 	// LeaseChanged reports whether the lease is held, and its fencing number. Renewed means that the lease has
 	// been held without a gap since the previous number, so no other host held it in between.
 	LeaseChanged struct {
-		FencingNumber  uint64
-		Held    bool
-		Renewed bool
+		FencingNumber uint64
+		Held          bool
+		Renewed       bool
 	}
 	// Superseded reports that another host holds the lease.
 	Superseded struct{}
