--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -300,7 +300,7 @@
 // Guards against refusing batch 1 permanently when the trainer repeats its request. A write of the former
 // coordinator takes effect late, after the successor has read the object; the former one finds it there and
 // hands out batch 1. The trainer then asks the successor, whose record is behind the trainer's cursor.
-func TestCursorAheadOfLateWriteIsReadUp(t *testing.T) {
+func TestCursorAheadOfLateWriteCausesReread(t *testing.T) {
 	for _, tookEffect := range []bool{true, false} {
 		h := newHarness(t, 0)
 		cursor := h.postStep()
--- a/internal/program/faults/table_control_test.go
+++ b/internal/program/faults/table_control_test.go
@@ -45,7 +45,7 @@
 	{steps: samples, faults: one(withdrawn), tests: one("edge/trainer.TestKeyWithdrawnWhileWaiting")},
 	{steps: one(sampleBatched, sampleDelivered), faults: one(frozen, wokenInDown), tests: one("core/delivery.TestUnsentWriteIsNoOutage", "edge/trainer.TestOutageCountsOnlySinceTheTerm")},
 	{steps: one(sampleBatched, sampleDelivered), faults: one(cutOneWay, cutBothWays), tests: one("edge/trainer.TestCoordinatorCutFromPlatformDoesNotMoveAlone")},
-	{steps: one(sampleBatched, sampleDelivered), faults: one(answerLate), tests: one("core/delivery.TestCursorAheadOfLateWriteIsReadUp")},
+	{steps: one(sampleBatched, sampleDelivered), faults: one(answerLate), tests: one("core/delivery.TestCursorAheadOfLateWriteCausesReread")},
 	{steps: samples, faults: one(race), because: "a race of operators has one winner before any sample sees it"},
 	{steps: one(sampleCopied, sampleScored, sampleBatched, sampleDelivered), faults: one(swapFails), because: "the tokens are made; spans name the versions that made them"},
 
