--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -100,7 +100,7 @@
 type SampleAttempt struct {
 	Step     int
 	Position int
-	Attempt  int
+	Number  int
 }
 
 // Progress of samples.
--- a/internal/core/delivery/progress.go
+++ b/internal/core/delivery/progress.go
@@ -83,7 +83,7 @@
 		return nil, false
 	}
 	sample := &j.samples[work.Position]
-	return sample, sample.Attempt == work.Attempt && sample.State == from
+	return sample, sample.Attempt == work.Number && sample.State == from
 }
 
 func (j *Job) handleSample(event Event) {
@@ -198,7 +198,7 @@
 // Sample returns a sample of the current step and identifies its current attempt.
 func (j *Job) Sample(position int) (Sample, SampleAttempt) {
 	sample := j.samples[position]
-	return sample, SampleAttempt{Step: j.samplesKey.step, Position: position, Attempt: sample.Attempt}
+	return sample, SampleAttempt{Step: j.samplesKey.step, Position: position, Number: sample.Attempt}
 }
 
 // Step returns the current step, or nil before the first. The caller must not modify it.
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -436,7 +436,7 @@
 			s.handle(index, SampleFailed{Attempt: work, Tokens: tokens})
 			return
 		}
-		digest := fmt.Sprintf("%d-%d-%d-%d", index, s.fencingNumber, position, work.Attempt)
+		digest := fmt.Sprintf("%d-%d-%d-%d", index, s.fencingNumber, position, work.Number)
 		s.handle(index, SampleGenerated{Attempt: work, Tokens: tokens, Digest: digest})
 	case StateGenerated:
 		s.handle(index, SampleCopied{Attempt: work})
--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -194,7 +194,7 @@
 	}
 	t.request.Organisation = job.Organisation
 	t.began = &atomic.Int64{}
-	t.name = delivery.SampleID{Job: r.job, Step: work.Step, Group: group, Index: index}.AttemptName(work.Attempt)
+	t.name = delivery.SampleID{Job: r.job, Step: work.Step, Group: group, Index: index}.AttemptName(work.Number)
 	t.ctx, t.cancel = context.WithCancel(r.taskCtx)
 	return t
 }
