--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -96,11 +96,11 @@
 	ContentLost struct{ Step, Batch int }
 )
 
-// SampleAttempt identifies one attempt at a sample. Results of abandoned attempts are ignored.
+// SampleAttempt identifies one attempt at a sample of a step. Results of abandoned attempts are ignored.
 type SampleAttempt struct {
 	Step     int
 	Position int
-	Number  int
+	Number   int
 }
 
 // Progress of samples.
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -85,11 +85,11 @@
 // prepareSamples makes samples ready for a batch, with tokens of one weight version.
 func (h *harness) prepareSamples(version int, positions ...int) {
 	for _, position := range positions {
-		_, work := h.job.Sample(position)
-		h.job.Handle(SampleStarted{Attempt: work})
-		h.job.Handle(SampleGenerated{Attempt: work, Tokens: []Token{{Text: "x", Version: version}}, Digest: "d"})
-		h.job.Handle(SampleCopied{Attempt: work})
-		h.job.Handle(SampleScored{Attempt: work, Score: 1})
+		_, attempt := h.job.Sample(position)
+		h.job.Handle(SampleStarted{Attempt: attempt})
+		h.job.Handle(SampleGenerated{Attempt: attempt, Tokens: []Token{{Text: "x", Version: version}}, Digest: "d"})
+		h.job.Handle(SampleCopied{Attempt: attempt})
+		h.job.Handle(SampleScored{Attempt: attempt, Score: 1})
 	}
 }
 
@@ -288,9 +288,9 @@
 func TestStalePrefixIsNotResumed(t *testing.T) {
 	h := newHarness(t, 0)
 	h.postStep()
-	_, work := h.job.Sample(0)
-	h.job.Handle(SampleStarted{Attempt: work})
-	h.job.Handle(SampleFailed{Attempt: work, Tokens: []Token{{Text: "x", Version: 1}}})
+	_, attempt := h.job.Sample(0)
+	h.job.Handle(SampleStarted{Attempt: attempt})
+	h.job.Handle(SampleFailed{Attempt: attempt, Tokens: []Token{{Text: "x", Version: 1}}})
 	h.commit(VersionRequested{ID: 2, Version: 2})
 	if sample, _ := h.job.Sample(0); len(sample.Prefix) != 0 || sample.Attempt != 1 {
 		t.Errorf("got sample %+v", sample)
--- a/internal/core/delivery/progress.go
+++ b/internal/core/delivery/progress.go
@@ -78,12 +78,12 @@
 
 // findSample returns the sample of an attempt; ok is false if the attempt was abandoned or the sample is not
 // in the expected state.
-func (j *Job) findSample(work SampleAttempt, from SampleState) (*Sample, bool) {
-	if work.Step != j.samplesKey.step || work.Position < 0 || work.Position >= len(j.samples) {
+func (j *Job) findSample(attempt SampleAttempt, from SampleState) (*Sample, bool) {
+	if attempt.Step != j.samplesKey.step || attempt.Position < 0 || attempt.Position >= len(j.samples) {
 		return nil, false
 	}
-	sample := &j.samples[work.Position]
-	return sample, sample.Attempt == work.Number && sample.State == from
+	sample := &j.samples[attempt.Position]
+	return sample, sample.Attempt == attempt.Number && sample.State == from
 }
 
 func (j *Job) handleSample(event Event) {
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -15,7 +15,7 @@
 type writeFault int
 
 const (
-	// faultNone: the write is carried out, or refused while the platform is out of reach.
+	// faultNone: the write takes effect or conflicts, or it is refused while the platform is out of reach.
 	faultNone writeFault = iota
 	// faultAnswerLost: the write takes effect but its answer is lost.
 	faultAnswerLost
@@ -46,8 +46,8 @@
 	// disconnected says that the process can't reach the platform; readFailed, that its last read failed.
 	disconnected bool
 	readFailed   bool
-	// answered is the set of manifests that the process handed out.
-	answered map[string]bool
+	// handedOut is the set of manifests that the process handed out.
+	handedOut map[string]bool
 }
 
 // reply is an answer on its way to the trainer; digest identifies the manifest of a batch.
@@ -75,9 +75,11 @@
 	batch          int
 	posted         bool
 	cursor         *Cursor
-	received       map[string]bool
-	manifests      map[string]string
-	lastProcess    int
+	// received is the set of samples that the trainer has received.
+	received map[string]bool
+	// manifests holds the manifest handed out last for each batch, by step and batch.
+	manifests   map[string]string
+	lastProcess int
 	// leaseHolders maps fencing numbers to the processes that held the lease under them.
 	leaseHolders map[uint64]int
 	// requestCursors holds the cursor that was sent with each request.
@@ -86,8 +88,8 @@
 	storedManifests map[string]bool
 	// offlineBatches counts the batches handed out without being written.
 	offlineBatches int
-	// keptManifests holds the manifests that hosts store for the cursors that locate them, by digest.
-	keptManifests map[string]Manifest
+	// hostManifests holds the manifests that hosts store for the cursors that locate them, by digest.
+	hostManifests map[string]Manifest
 	// acceptedBatches holds the manifests that the trainer accepted, by step and batch.
 	acceptedBatches map[string]string
 }
@@ -105,7 +107,7 @@
 		t: t, stalenessBound: rapid.IntRange(0, 1).Draw(t, "bound"), useCursor: useCursor, platformUp: true, step: 1,
 		received: map[string]bool{}, manifests: map[string]string{}, record: Record{Job: "fees"},
 		leaseHolders: map[uint64]int{}, requestCursors: map[TrainerRequestID]*Cursor{}, storedManifests: map[string]bool{},
-		keptManifests: map[string]Manifest{}, acceptedBatches: map[string]string{},
+		hostManifests: map[string]Manifest{}, acceptedBatches: map[string]string{},
 	}
 	for range 2 {
 		s.coordinators = append(s.coordinators, s.newCoordinator())
@@ -117,7 +119,7 @@
 func (s *simulation) newCoordinator() *coordinator {
 	self := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 9000)
 	s.lastProcess++
-	return &coordinator{id: s.lastProcess, job: NewJob("fees", self, s.stalenessBound), answered: map[string]bool{}}
+	return &coordinator{id: s.lastProcess, job: NewJob("fees", self, s.stalenessBound), handedOut: map[string]bool{}}
 }
 
 // acquireLease gives the lease to a coordinator. It first updates what the coordinators know of an outage,
@@ -176,7 +178,7 @@
 // supplyManifest looks up the manifest that a cursor locates, and repeats the request with it under the same
 // ID.
 func (s *simulation) supplyManifest(index int, id TrainerRequestID, needed ManifestNeeded) {
-	manifest, ok := s.keptManifests[needed.ManifestLocation.Digest]
+	manifest, ok := s.hostManifests[needed.ManifestLocation.Digest]
 	if !ok {
 		s.t.Fatalf("a cursor locates the manifest %s, which no host stores", needed.ManifestLocation.Digest)
 	}
@@ -190,7 +192,7 @@
 		s.checkStaleness(ready.Manifest)
 		r.digest = fmt.Sprint(ready.Manifest)
 		if ready.ManifestUnwritten {
-			s.keptManifests[r.digest] = ready.Manifest
+			s.hostManifests[r.digest] = ready.Manifest
 			ready.Cursor.ManifestLocation = &ManifestLocation{Digest: r.digest}
 			r.result = ready
 		}
@@ -198,7 +200,7 @@
 		if cursor := s.requestCursors[answer.ID]; !s.storedManifests[r.digest] && !namesManifest(cursor, r.digest) {
 			s.checkOfflineBatch(c, ready, cursor)
 		}
-		c.answered[r.digest] = true
+		c.handedOut[r.digest] = true
 		key := batchKey(ready)
 		known, seen := s.manifests[key]
 		if seen && known != r.digest && (!s.useCursor || s.outages == 0) {
@@ -426,22 +428,22 @@
 		return
 	}
 	position := open[pick%len(open)]
-	sample, work := job.Sample(position)
+	sample, attempt := job.Sample(position)
 	switch sample.State {
 	case StatePending:
-		s.handle(index, SampleStarted{Attempt: work})
+		s.handle(index, SampleStarted{Attempt: attempt})
 	case StateGenerating:
 		tokens := append(slices.Clone(sample.Prefix), Token{Text: "x", Version: version})
 		if pick%5 == 0 {
-			s.handle(index, SampleFailed{Attempt: work, Tokens: tokens})
+			s.handle(index, SampleFailed{Attempt: attempt, Tokens: tokens})
 			return
 		}
-		digest := fmt.Sprintf("%d-%d-%d-%d", index, s.fencingNumber, position, work.Number)
-		s.handle(index, SampleGenerated{Attempt: work, Tokens: tokens, Digest: digest})
+		digest := fmt.Sprintf("%d-%d-%d-%d", index, s.fencingNumber, position, attempt.Number)
+		s.handle(index, SampleGenerated{Attempt: attempt, Tokens: tokens, Digest: digest})
 	case StateGenerated:
-		s.handle(index, SampleCopied{Attempt: work})
+		s.handle(index, SampleCopied{Attempt: attempt})
 	default:
-		s.handle(index, SampleScored{Attempt: work, Score: 1})
+		s.handle(index, SampleScored{Attempt: attempt, Score: 1})
 	}
 }
 
--- a/internal/core/delivery/worldcheck_test.go
+++ b/internal/core/delivery/worldcheck_test.go
@@ -47,7 +47,7 @@
 		s.t.Fatalf("process %d proceeded offline from a cursor that it did not issue: %+v", c.id, cursor)
 	}
 	// A batch that was handed out offline may be repeated after the platform is back.
-	if repeated := c.answered[fmt.Sprint(ready.Manifest)]; !repeated {
+	if repeated := c.handedOut[fmt.Sprint(ready.Manifest)]; !repeated {
 		s.checkOfflineAllowed(c)
 	}
 	for _, ref := range ready.Manifest.SampleRefs {
