--- a/internal/core/scenario/call_test.go
+++ b/internal/core/scenario/call_test.go
@@ -5,42 +5,51 @@
 	"time"
 )
 
-// call is one request of a caller.
+// call is one request of a client.
 type call struct {
-	org      int
-	key      int
-	cost     float64
-	patience time.Duration
+	// org is the index of the organisation in sim.orgs.
+	org int
+	// key numbers the API keys of the organisation; 0 is the hot one.
+	key int
+	// cost is the length of the answer in tokens.
+	cost float64
+	// timeout is how long the client waits for the answer.
+	timeout  time.Duration
 	arrived  time.Time
 	deadline time.Time
-	// measured calls count; a call that was refused comes back once, as returned.
+	// measured calls are counted in the results.
 	measured bool
-	returned bool
-	tries    int
-	exclude  map[string]bool
-	entry    *entry
+	// resubmitted marks the second submission of a call that was refused; a client resubmits once.
+	resubmitted bool
+	// retries counts the attempts after the first one that the entry made for the call.
+	retries int
+	// exclude holds the servers that refused or lost the call.
+	exclude map[string]bool
+	entry   *entry
 }
 
-// tally is what the callers of an organisation received.
-type tally struct {
-	offered float64
-	served  float64
-	// done is the work of all calls answered within the measured time.
-	done    float64
-	calls   int
-	refused int
-	failed  int
-	late    int
-	back    int
-	backOK  int
-	// waits are the times beyond that of the call at an idle server; short those of short calls.
-	waits []time.Duration
-	short []time.Duration
-	// arrivals are the calls made first, for the fair share.
+// orgStats is what the clients of an organisation asked for and received. Work is in tokens.
+type orgStats struct {
+	offeredWork float64
+	servedWork  float64
+	// windowWork is the work of all calls that were answered in time between measureStart and measureEnd.
+	windowWork        float64
+	calls             int
+	refused           int
+	failed            int
+	late              int
+	resubmissions     int
+	resubmittedServed int
+	// waits holds the latency of each served call minus its latency at an idle server; shortWaits holds those of short calls.
+	waits      []time.Duration
+	shortWaits []time.Duration
+	// arrivals holds the first submission of each call, from which the fair share is computed.
 	arrivals []arrival
-	keys     map[int]*[2]float64
+	// workByKey holds the offered and the served work of each API key.
+	workByKey map[int]*[2]float64
 }
 
+// quantile returns the q-quantile of the values, for q from 0 to 1; 0 if there are none.
 func quantile(values []time.Duration, q float64) time.Duration {
 	if len(values) == 0 {
 		return 0
@@ -49,85 +58,87 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-func (t *tally) key(key int) *[2]float64 {
-	if t.keys == nil {
-		t.keys = map[int]*[2]float64{}
+// keyWork returns the offered and the served work of an API key, to be updated in place.
+func (stats *orgStats) keyWork(key int) *[2]float64 {
+	if stats.workByKey == nil {
+		stats.workByKey = map[int]*[2]float64{}
 	}
-	if t.keys[key] == nil {
-		t.keys[key] = &[2]float64{}
+	if stats.workByKey[key] == nil {
+		stats.workByKey[key] = &[2]float64{}
 	}
-	return t.keys[key]
+	return stats.workByKey[key]
 }
 
-// ideal is the time of a call at an idle server.
-func ideal(cost float64) time.Duration {
+// idleLatency returns the latency of a call at an idle server.
+func idleLatency(cost float64) time.Duration {
 	return time.Duration(cost / slotSpeed * float64(time.Second))
 }
 
-// offer counts a call when it is made first.
-func (s *sim) offer(c *call) {
-	if c.returned {
+// recordArrival counts the first submission of a call.
+func (s *sim) recordArrival(c *call) {
+	if c.resubmitted {
 		return
 	}
-	t := &s.tallies[c.org]
-	t.arrivals = append(t.arrivals, arrival{
-		at: s.clock.elapsed(), left: c.cost, lastStart: c.deadline.Sub(epoch) - ideal(c.cost), measured: c.measured,
+	stats := &s.stats[c.org]
+	stats.arrivals = append(stats.arrivals, arrival{
+		at: s.clock.elapsed(), remaining: c.cost, lastStart: c.deadline.Sub(epoch) - idleLatency(c.cost), measured: c.measured,
 	})
 	if !c.measured {
 		return
 	}
-	t.calls++
-	t.offered += c.cost
-	t.key(c.key)[0] += c.cost
+	stats.calls++
+	stats.offeredWork += c.cost
+	stats.keyWork(c.key)[0] += c.cost
 }
 
-// served counts a whole answer. One that comes after the deadline is worth nothing to the caller.
-func (s *sim) served(c *call) {
-	t := &s.tallies[c.org]
+// recordServed counts a complete answer. An answer after the deadline counts as late, since it is worth nothing to the client.
+func (s *sim) recordServed(c *call) {
+	stats := &s.stats[c.org]
 	if s.clock.now.After(c.deadline) {
-		s.late(c)
+		s.recordLate(c)
 		return
 	}
-	if at := s.clock.elapsed(); at >= begin && at <= end {
-		t.done += c.cost
+	if at := s.clock.elapsed(); at >= measureStart && at <= measureEnd {
+		stats.windowWork += c.cost
 	}
 	if !c.measured {
 		return
 	}
-	t.served += c.cost
-	t.key(c.key)[1] += c.cost
-	if c.returned {
-		t.backOK++
+	stats.servedWork += c.cost
+	stats.keyWork(c.key)[1] += c.cost
+	if c.resubmitted {
+		stats.resubmittedServed++
 		return
 	}
-	wait := s.clock.now.Sub(c.arrived) - ideal(c.cost)
-	t.waits = append(t.waits, wait)
-	if c.cost < longCost {
-		t.short = append(t.short, wait)
+	wait := s.clock.now.Sub(c.arrived) - idleLatency(c.cost)
+	stats.waits = append(stats.waits, wait)
+	if c.cost < longCostThreshold {
+		stats.shortWaits = append(stats.shortWaits, wait)
 	}
 }
 
-// refuse ends a call; the caller comes back once, at the time it was told.
-func (s *sim) refuse(c *call, after time.Duration) {
-	t := &s.tallies[c.org]
-	if c.measured && !c.returned {
-		t.refused++
+// refuse ends a call with a refusal. The client resubmits it once, after the time given; if that is 0, never.
+func (s *sim) refuse(c *call, retryAfter time.Duration) {
+	stats := &s.stats[c.org]
+	if c.measured && !c.resubmitted {
+		stats.refused++
 	}
-	if c.returned || after <= 0 {
+	if c.resubmitted || retryAfter <= 0 {
 		return
 	}
 	if c.measured {
-		t.back++
+		stats.resubmissions++
 	}
-	s.clock.after(after, func() {
-		again := *c
-		again.returned, again.tries, again.exclude = true, 0, nil
-		s.make(&again)
+	s.clock.after(retryAfter, func() {
+		resubmission := *c
+		resubmission.resubmitted, resubmission.retries, resubmission.exclude = true, 0, nil
+		s.submit(&resubmission)
 	})
 }
 
-func (s *sim) fail(c *call) {
-	if c.measured && !c.returned {
-		s.tallies[c.org].failed++
+// recordFailed counts a call that ended with an error because its server was lost.
+func (s *sim) recordFailed(c *call) {
+	if c.measured && !c.resubmitted {
+		s.stats[c.org].failed++
 	}
 }
--- a/internal/core/scenario/policy_test.go
+++ b/internal/core/scenario/policy_test.go
@@ -14,56 +14,65 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
+// policy is how calls are admitted, placed and queued.
 type policy string
 
 const (
 	roundRobin       policy = "fcfs round robin"
 	leastOutstanding policy = "least outstanding"
-	// leastShort is a stronger baseline: queues of a quarter of the callers' patience.
-	leastShort policy = "least, short queues"
-	modules    policy = "modules"
+	// leastOutstandingShortQueue is a stronger baseline: the length of its queues limits the wait to about a quarter of callTimeout.
+	leastOutstandingShortQueue policy = "least, short queues"
+	// corePolicy uses the packages admission, queue and placement of internal/core.
+	corePolicy policy = "modules"
 )
 
 const (
-	hop           = 500 * time.Microsecond
-	baselineBound = 100
-	shortBound    = 20
-	baselineBack  = time.Second
-	listLag       = 5 * time.Second
+	// networkDelay is the delay of a message in one direction.
+	networkDelay = 500 * time.Microsecond
+	// baselineQueueLimit is the length of a server's queue, in calls, at which the baselines refuse further calls.
+	baselineQueueLimit = 100
+	// shortQueueLimit is that length for leastOutstandingShortQueue.
+	shortQueueLimit = 20
+	// baselineRetryAfter is the time after which the baselines tell refused clients to retry.
+	baselineRetryAfter = time.Second
+	// hostListLag is the time after which a lost server disappears from the host list.
+	hostListLag = 5 * time.Second
 )
 
-var errLost = errors.New("server lost")
+var errServerLost = errors.New("server lost")
 
-// entry is an entry host.
+// entry is an entry host, which accepts the calls of clients and sends them to agents.
 type entry struct {
-	admission   *admission.Controller
-	tracker     *placement.Tracker
-	budget      *placement.RetryBudget
+	admission *admission.Controller
+	tracker   *placement.Tracker
+	budget    *placement.RetryBudget
+	// outstanding counts the queued and running calls of this entry by server; only the baselines use it.
 	outstanding map[string]int
-	next        int
+	// nextServer is the position of the round robin.
+	nextServer int
 }
 
-// agent is the process beside a server: a fair queue for the modules, a plain one for the baselines.
+// agent is the process next to a server that queues its calls: in queue under corePolicy, in fifo under the baselines.
 type agent struct {
 	sim     *sim
 	server  *server
 	queue   *queue.Queue[*call]
 	limiter *queue.Limiter
-	plain   []*call
+	fifo    []*call
 	running int
 }
 
 func newAgent(s *sim, srv *server) *agent {
-	a := &agent{sim: s, server: srv, limiter: queue.NewLimiter(knee)}
+	a := &agent{sim: s, server: srv, limiter: queue.NewLimiter(slotsPerServer)}
 	a.queue = queue.New[*call](queue.WithSlots(a.limiter.Limit), queue.WithServiceTime(a.limiter.TypicalLatency))
 	return a
 }
 
-// reach returns the agents that the entry believes to be there.
-func (s *sim) reach() []placement.Server {
+// listedServers returns the servers in the host list, which still contains a lost server for hostListLag.
+func (s *sim) listedServers() []placement.Server {
 	var out []placement.Server
 	for i, a := range s.agents {
-		if gone := s.gone[i]; gone > 0 && s.clock.elapsed() > gone+listLag {
+		if lostAt := s.lostAt[i]; lostAt > 0 && s.clock.elapsed() > lostAt+hostListLag {
 			continue
 		}
 		out = append(out, placement.Server{HostID: a.server.name, AvailabilityZone: "a", Address: netip.AddrPort{}})
@@ -71,17 +80,17 @@
 	return out
 }
 
-// make lets a call arrive at an entry.
-func (s *sim) make(c *call) {
+// submit makes a call arrive at a random entry now.
+func (s *sim) submit(c *call) {
 	c.arrived = s.clock.now
-	c.deadline = c.arrived.Add(c.patience)
+	c.deadline = c.arrived.Add(c.timeout)
 	c.entry = s.entries[s.random.IntN(len(s.entries))]
-	s.offer(c)
-	if s.policy != modules {
-		s.dispatchPlain(c)
+	s.recordArrival(c)
+	if s.policy != corePolicy {
+		s.dispatchBaseline(c)
 		return
 	}
-	if err := c.entry.admission.Admit(s.clock.now, s.ask(c)); err != nil {
+	if err := c.entry.admission.Admit(s.clock.now, s.admissionRequest(c)); err != nil {
 		s.refuse(c, verdict.From(err).RetryAfter)
 		return
 	}
@@ -89,7 +98,7 @@
 	s.place(c)
 }
 
-func (s *sim) ask(c *call) admission.Request {
+func (s *sim) admissionRequest(c *call) admission.Request {
 	return admission.Request{
 		Organisation: s.orgs[c.org].Name,
 		Pool:         "pool",
@@ -99,39 +108,41 @@
 	}
 }
 
-// place probes the candidates and sends the call to the one chosen.
+// place probes the candidates and sends the call to the server that is chosen.
 func (s *sim) place(c *call) {
-	candidates := c.entry.tracker.Candidates(s.clock.now, s.reach(), 0, c.exclude)
+	candidates := c.entry.tracker.Candidates(s.clock.now, s.listedServers(), 0, c.exclude)
 	probed := make([]placement.ProbeResult, 0, len(candidates))
 	for _, server := range candidates {
-		a := s.byName[server.HostID]
-		p := placement.ProbeResult{Server: server, RoundTrip: 2 * hop}
+		a := s.agentsByName[server.HostID]
+		result := placement.ProbeResult{Server: server, RoundTrip: 2 * networkDelay}
 		if a.server.up {
-			p.Load = a.load(c)
+			result.Load = a.load(c)
 		} else {
-			p.Err = errLost
+			result.Err = errServerLost
 		}
-		probed = append(probed, p)
+		probed = append(probed, result)
 	}
 	server, ok := c.entry.tracker.Choose(s.clock.now, probed, c.cost)
 	if !ok {
-		s.giveUp(c, verdict.Refuse(verdict.NotRun, verdict.ReasonNoServer, time.Second, "no server"))
+		s.retryOrRefuse(c, verdict.Refuse(verdict.NotRun, verdict.ReasonNoServer, time.Second, "no server"))
 		return
 	}
-	s.clock.after(3*hop, func() { s.byName[server.HostID].accept(c) })
+	s.clock.after(3*networkDelay, func() { s.agentsByName[server.HostID].accept(c) })
 }
 
-// giveUp ends a try: elsewhere if the retry budget allows, else the call is refused.
-func (s *sim) giveUp(c *call, refusal *verdict.Refusal) {
-	if refusal.Reason != verdict.ReasonDeadlinePassed && c.tries < 2 && c.entry.budget.TryWithdraw() {
-		c.tries++
+// retryOrRefuse handles a call that no server accepted or started. It places the call again, up to
+// twice, if its deadline hasn't passed and the retry budget allows it, and refuses it otherwise.
+func (s *sim) retryOrRefuse(c *call, refusal *verdict.Refusal) {
+	if refusal.Reason != verdict.ReasonDeadlinePassed && c.retries < 2 && c.entry.budget.TryWithdraw() {
+		c.retries++
 		s.place(c)
 		return
 	}
-	c.entry.admission.Done(s.clock.now, s.ask(c), s.clock.now.Sub(c.arrived), true)
+	c.entry.admission.Done(s.clock.now, s.admissionRequest(c), s.clock.now.Sub(c.arrived), true)
 	s.refuse(c, refusal.RetryAfter)
 }
 
+// load returns the load report that the agent sends in answer to a probe for the call.
 func (a *agent) load(c *call) request.Load {
 	org := a.sim.orgs[c.org]
 	return request.Load{
@@ -142,11 +153,11 @@
 	}
 }
 
-// accept queues a call at the agent.
+// accept queues a call at the agent under corePolicy.
 func (a *agent) accept(c *call) {
 	s := a.sim
 	if !a.server.up {
-		a.lost(c)
+		a.retryOrFail(c)
 		return
 	}
 	org := s.orgs[c.org]
@@ -154,49 +165,52 @@
 		Organisation: org.Name, Weight: org.Weight, Cost: c.cost, Deadline: c.deadline, Value: c,
 	})
 	if err != nil {
-		c.excluding(a.server.name)
-		s.giveUp(c, verdict.From(err))
+		c.excludeServer(a.server.name)
+		s.retryOrRefuse(c, verdict.From(err))
 	}
-	a.pump()
+	a.startQueued()
 }
 
-func (c *call) excluding(host string) {
+// excludeServer keeps further attempts of the call away from a server.
+func (c *call) excludeServer(host string) {
 	if c.exclude == nil {
 		c.exclude = map[string]bool{}
 	}
 	c.exclude[host] = true
 }
 
-// lost retries an idempotent call elsewhere within the budget.
-func (a *agent) lost(c *call) {
-	c.excluding(a.server.name)
+// retryOrFail handles a call whose server was lost. All calls are idempotent here, so the call is placed again, up
+// to twice, if the retry budget allows it; otherwise it fails.
+func (a *agent) retryOrFail(c *call) {
+	c.excludeServer(a.server.name)
 	c.entry.tracker.ObserveRequest(a.sim.clock.now, a.server.name, 0, true)
-	if c.tries < 2 && c.entry.budget.TryWithdraw() {
-		c.tries++
+	if c.retries < 2 && c.entry.budget.TryWithdraw() {
+		c.retries++
 		a.sim.place(c)
 		return
 	}
-	c.entry.admission.Done(a.sim.clock.now, a.sim.ask(c), a.sim.clock.now.Sub(c.arrived), false)
-	a.sim.fail(c)
+	c.entry.admission.Done(a.sim.clock.now, a.sim.admissionRequest(c), a.sim.clock.now.Sub(c.arrived), false)
+	a.sim.recordFailed(c)
 }
 
-// pump starts what there are slots for.
-func (a *agent) pump() {
+// startQueued refuses the calls that expired in the queue and starts others while the server has free slots.
+func (a *agent) startQueued() {
 	s := a.sim
 	for _, item := range a.queue.Expire(s.clock.now) {
-		s.giveUp(item.Value, verdict.Refuse(verdict.NotRun, verdict.ReasonDeadlinePassed,
-			max(time.Second, a.queue.EstimateWait(s.clock.now, item.Organisation, item.Weight)-item.Value.patience), "late"))
+		s.retryOrRefuse(item.Value, verdict.Refuse(verdict.NotRun, verdict.ReasonDeadlinePassed,
+			max(time.Second, a.queue.EstimateWait(s.clock.now, item.Organisation, item.Weight)-item.Value.timeout), "late"))
 	}
 	for a.server.up && a.running < a.limiter.Limit() {
 		item, ok := a.queue.Pop(s.clock.now)
 		if !ok {
 			return
 		}
-		a.run(item)
+		a.startCall(item)
 	}
 }
 
-func (a *agent) run(item queue.Item[*call]) {
+// startCall runs a call and feeds its outcome back to the limiter, the tracker and the admission controller.
+func (a *agent) startCall(item queue.Item[*call]) {
 	s := a.sim
 	c, started := item.Value, s.clock.now
 	a.running++
@@ -205,62 +219,63 @@
 		a.running--
 		a.queue.Finished(item)
 		if !ok {
-			a.lost(c)
+			a.retryOrFail(c)
 			return
 		}
 		took := s.clock.now.Sub(started)
 		a.limiter.Observe(s.clock.now, took, c.cost, false)
 		c.entry.tracker.ObserveRequest(s.clock.now, a.server.name, time.Duration(float64(took)/c.cost), false)
-		c.entry.admission.Done(s.clock.now, s.ask(c), s.clock.now.Sub(c.arrived), false)
-		s.served(c)
-		a.pump()
+		c.entry.admission.Done(s.clock.now, s.admissionRequest(c), s.clock.now.Sub(c.arrived), false)
+		s.recordServed(c)
+		a.startQueued()
 	})
 }
 
-// dispatchPlain is the baselines: a server by turn, or the one with the fewest calls of this entry.
-func (s *sim) dispatchPlain(c *call) {
-	servers := s.reach()
+// dispatchBaseline sends a call to the next server in turn, or to the one with the fewest outstanding calls of its entry.
+func (s *sim) dispatchBaseline(c *call) {
+	servers := s.listedServers()
 	e := c.entry
-	at := e.next % len(servers)
-	e.next++
+	chosen := e.nextServer % len(servers)
+	e.nextServer++
 	if s.policy != roundRobin {
 		for i := range servers {
-			candidate := (at + i) % len(servers)
-			if e.outstanding[servers[candidate].HostID] < e.outstanding[servers[at].HostID] {
-				at = candidate
+			candidate := (chosen + i) % len(servers)
+			if e.outstanding[servers[candidate].HostID] < e.outstanding[servers[chosen].HostID] {
+				chosen = candidate
 			}
 		}
 	}
-	a := s.byName[servers[at].HostID]
-	s.clock.after(hop, func() { a.acceptPlain(c) })
+	a := s.agentsByName[servers[chosen].HostID]
+	s.clock.after(networkDelay, func() { a.acceptBaseline(c) })
 }
 
-func (a *agent) acceptPlain(c *call) {
+// acceptBaseline queues a call at the agent under a baseline. A call that meets a lost server is sent elsewhere once.
+func (a *agent) acceptBaseline(c *call) {
 	s := a.sim
 	switch {
-	case !a.server.up && c.tries < 1:
-		c.tries++
-		s.dispatchPlain(c)
+	case !a.server.up && c.retries < 1:
+		c.retries++
+		s.dispatchBaseline(c)
 	case !a.server.up:
-		s.fail(c)
-	case len(a.plain) >= baselineBound || s.policy == leastShort && len(a.plain) >= shortBound:
-		s.refuse(c, baselineBack)
+		s.recordFailed(c)
+	case len(a.fifo) >= baselineQueueLimit || s.policy == leastOutstandingShortQueue && len(a.fifo) >= shortQueueLimit:
+		s.refuse(c, baselineRetryAfter)
 	default:
 		c.entry.outstanding[a.server.name]++
-		a.plain = append(a.plain, c)
-		a.pumpPlain()
+		a.fifo = append(a.fifo, c)
+		a.startQueuedBaseline()
 	}
 }
 
-// pumpPlain runs calls in order of arrival, leaving out those whose caller has gone.
-func (a *agent) pumpPlain() {
+// startQueuedBaseline starts calls in order of arrival and drops those whose deadline has passed.
+func (a *agent) startQueuedBaseline() {
 	s := a.sim
-	for a.server.up && a.running < knee && len(a.plain) > 0 {
-		c := a.plain[0]
-		a.plain = a.plain[1:]
+	for a.server.up && a.running < slotsPerServer && len(a.fifo) > 0 {
+		c := a.fifo[0]
+		a.fifo = a.fifo[1:]
 		if s.clock.now.After(c.deadline) {
 			c.entry.outstanding[a.server.name]--
-			s.late(c)
+			s.recordLate(c)
 			continue
 		}
 		a.running++
@@ -268,17 +283,18 @@
 			a.running--
 			c.entry.outstanding[a.server.name]--
 			if ok {
-				s.served(c)
+				s.recordServed(c)
 			} else {
-				a.acceptPlain(c)
+				a.acceptBaseline(c)
 			}
-			a.pumpPlain()
+			a.startQueuedBaseline()
 		})
 	}
 }
 
-func (s *sim) late(c *call) {
-	if c.measured && !c.returned {
-		s.tallies[c.org].late++
+// recordLate counts a call that was answered or dropped after its deadline.
+func (s *sim) recordLate(c *call) {
+	if c.measured && !c.resubmitted {
+		s.stats[c.org].late++
 	}
 }
--- a/internal/core/scenario/result_test.go
+++ b/internal/core/scenario/result_test.go
@@ -6,127 +6,136 @@
 	"time"
 )
 
-// result is what the callers received in one run.
+// result is what the clients received in one run, or on average over several runs.
 type result struct {
-	// share is what the worst-served organisation got of its fair share.
-	share float64
-	// shares is what each organisation got of its fair share, and meanShare the least of their means over the seeds.
-	shares    []float64
-	meanShare float64
-	p50       time.Duration
-	p99       time.Duration
-	// shortP99 is that of short calls of the organisations that ask for less than their share.
-	shortP99 time.Duration
-	// goodput is the work answered in time within the measured time over the pool's capacity.
+	// minShare is the work that the worst-served organisation received divided by its fair share.
+	minShare float64
+	// shares holds this quotient for each organisation; minMeanShare is the lowest of their means over the seeds.
+	shares       []float64
+	minMeanShare float64
+	// p50Wait and p99Wait are quantiles of the waits of the worst-served organisation.
+	p50Wait time.Duration
+	p99Wait time.Duration
+	// shortP99Wait is the 99th percentile for short calls of the organisations that ask for less than their share.
+	shortP99Wait time.Duration
+	// goodput is the work answered in time between measureStart and measureEnd, divided by the capacity in that time.
 	goodput float64
-	refused float64
-	late    float64
-	// back is how many of those that came back when told were served.
-	back float64
-	// coldKey is what the worst-served key got of what it asked for, up to an equal part.
-	coldKey float64
+	// refusedShare and lateOrFailedShare are shares of the measured calls at their first submission.
+	refusedShare      float64
+	lateOrFailedShare float64
+	// resubmittedServedShare is the share of the resubmitted calls that were served.
+	resubmittedServedShare float64
+	// minKeyShare is the lowest result of the function minKeyShare for any organisation.
+	minKeyShare float64
 }
 
-// fairShares is what each organisation would get of the capacity of each moment.
+// fairShares returns the work in tokens that each organisation would receive if the available capacity were shared fairly.
 func (s *sim) fairShares(available func(time.Duration) float64) []float64 {
-	fluids := make([]*fluid, len(s.tallies))
-	limits := make([]float64, len(s.tallies))
-	for i, t := range s.tallies {
-		fluids[i] = &fluid{weight: s.orgs[i].Weight, coming: t.arrivals}
+	orgs := make([]*fluidOrganisation, len(s.stats))
+	limits := make([]float64, len(s.stats))
+	for i, stats := range s.stats {
+		orgs[i] = &fluidOrganisation{weight: s.orgs[i].Weight, upcoming: stats.arrivals}
 		limits[i] = s.orgs[i].RequestsPerSecond * meanCost
 	}
-	return fairShares(fluids, available, limits)
+	return fluidFairShares(orgs, available, limits)
 }
 
-// modest says that an organisation asked for less than its share of the capacity.
-func (s *sim) modest(org int) bool {
+// asksLessThanShare reports whether an organisation asked for less than its share by weight of the capacity.
+func (s *sim) asksLessThanShare(org int) bool {
 	weight := 0.0
 	for _, o := range s.orgs {
 		weight += o.Weight
 	}
-	return s.tallies[org].offered < capacity*(end-begin).Seconds()*s.orgs[org].Weight/weight
+	return s.stats[org].offeredWork < capacity*(measureEnd-measureStart).Seconds()*s.orgs[org].Weight/weight
 }
 
+// result summarises the run. available returns the capacity at a point in time, in tokens per second.
 func (s *sim) result(available func(time.Duration) float64) result {
 	shares := s.fairShares(available)
-	r := result{share: 10, coldKey: 1}
-	worst, calls, refused, late, back, backOK, done := 0, 0, 0, 0, 0, 0, 0.0
-	var short []time.Duration
-	for i, t := range s.tallies {
-		part := t.served / shares[i]
-		r.shares = append(r.shares, part)
-		if part < r.share {
-			r.share, worst = part, i
+	r := result{minShare: 10, minKeyShare: 1}
+	worst, calls, refused, lateOrFailed, resubmitted, resubmittedServed, windowWork := 0, 0, 0, 0, 0, 0, 0.0
+	var shortWaits []time.Duration
+	for i, stats := range s.stats {
+		share := stats.servedWork / shares[i]
+		r.shares = append(r.shares, share)
+		if share < r.minShare {
+			r.minShare, worst = share, i
 		}
-		calls += t.calls
-		refused += t.refused
-		late += t.late + t.failed
-		back += t.back
-		backOK += t.backOK
-		done += t.done
-		if s.modest(i) {
-			short = append(short, t.short...)
+		calls += stats.calls
+		refused += stats.refused
+		lateOrFailed += stats.late + stats.failed
+		resubmitted += stats.resubmissions
+		resubmittedServed += stats.resubmittedServed
+		windowWork += stats.windowWork
+		if s.asksLessThanShare(i) {
+			shortWaits = append(shortWaits, stats.shortWaits...)
 		}
-		r.coldKey = min(r.coldKey, coldKey(t))
+		r.minKeyShare = min(r.minKeyShare, minKeyShare(stats))
 	}
-	r.p50, r.p99 = quantile(s.tallies[worst].waits, 0.5), quantile(s.tallies[worst].waits, 0.99)
-	r.shortP99 = quantile(short, 0.99)
-	r.goodput = done / (capacity * (end - begin).Seconds())
-	r.refused = float64(refused) / float64(calls)
-	r.late = float64(late) / float64(calls)
-	r.back = float64(backOK) / max(1, float64(back))
+	r.p50Wait, r.p99Wait = quantile(s.stats[worst].waits, 0.5), quantile(s.stats[worst].waits, 0.99)
+	r.shortP99Wait = quantile(shortWaits, 0.99)
+	r.goodput = windowWork / (capacity * (measureEnd - measureStart).Seconds())
+	r.refusedShare = float64(refused) / float64(calls)
+	r.lateOrFailedShare = float64(lateOrFailed) / float64(calls)
+	r.resubmittedServedShare = float64(resubmittedServed) / max(1, float64(resubmitted))
 	return r
 }
 
-// coldKey is the least share that a key got of what it asked for, up to an equal part of what was served.
-func coldKey(t tally) float64 {
-	least := 1.0
-	for _, k := range t.keys {
-		least = min(least, k[1]/min(k[0], max(1, t.served/float64(len(t.keys)))))
+// minKeyShare returns the lowest share that an API key received of what it asked for. A key that asked for more than an
+// equal part of the organisation's served work is compared with that part.
+func minKeyShare(stats orgStats) float64 {
+	lowest := 1.0
+	for _, work := range stats.workByKey {
+		lowest = min(lowest, work[1]/min(work[0], max(1, stats.servedWork/float64(len(stats.workByKey)))))
 	}
-	return least
+	return lowest
 }
 
-// mean averages the runs of several seeds; share is the lowest of them.
-func mean(results []result) result {
+// meanResult averages the runs of several seeds, except that minShare and minKeyShare are the lowest of all runs.
+func meanResult(results []result) result {
 	n := float64(len(results))
-	out := result{share: 10, coldKey: 10, meanShare: 10}
+	out := result{minShare: 10, minKeyShare: 10, minMeanShare: 10}
 	for org := range results[0].shares {
 		sum := 0.0
 		for _, r := range results {
 			sum += r.shares[org]
 		}
-		out.meanShare = min(out.meanShare, sum/n)
+		out.minMeanShare = min(out.minMeanShare, sum/n)
 	}
 	for _, r := range results {
-		out.share = min(out.share, r.share)
-		out.coldKey = min(out.coldKey, r.coldKey)
-		out.p50 += r.p50 / time.Duration(n)
-		out.p99 += r.p99 / time.Duration(n)
-		out.shortP99 += r.shortP99 / time.Duration(n)
+		out.minShare = min(out.minShare, r.minShare)
+		out.minKeyShare = min(out.minKeyShare, r.minKeyShare)
+		out.p50Wait += r.p50Wait / time.Duration(n)
+		out.p99Wait += r.p99Wait / time.Duration(n)
+		out.shortP99Wait += r.shortP99Wait / time.Duration(n)
 		out.goodput += r.goodput / n
-		out.refused += r.refused / n
-		out.late += r.late / n
-		out.back += r.back / n
+		out.refusedShare += r.refusedShare / n
+		out.lateOrFailedShare += r.lateOrFailedShare / n
+		out.resubmittedServedShare += r.resubmittedServedShare / n
 	}
 	return out
 }
 
-const header = "| scenario | policy | worst share | worst mean | its p50 wait | its p99 wait | p99 wait of modest | goodput | refused | late or failed | came back served | worst key |\n|---|---|---|---|---|---|---|---|---|---|---|---|\n"
+// scenarioHeader names the columns of the scenario table, in the order in which row fills them. "Its" refers to the
+// organisation with the worst share, "modest" to organisations that ask for less than their share, and "came back" to
+// calls that were resubmitted after a refusal.
+const scenarioHeader = "| scenario | policy | worst share | worst mean | its p50 wait | its p99 wait | p99 wait of modest | goodput | refused | late or failed | came back served | worst key |\n|---|---|---|---|---|---|---|---|---|---|---|---|\n"
 
+// row returns the result as a row of the scenario table.
 func (r result) row(scenario string, p policy) string {
 	seconds := func(d time.Duration) string { return fmt.Sprintf("%.2f s", d.Seconds()) }
-	modest := "-"
-	if r.shortP99 > 0 {
-		modest = seconds(r.shortP99)
+	shortWait := "-"
+	if r.shortP99Wait > 0 {
+		shortWait = seconds(r.shortP99Wait)
 	}
-	back := "-"
-	if r.refused > 0 {
-		back = fmt.Sprintf("%.2f", r.back)
+	resubmittedServed := "-"
+	if r.refusedShare > 0 {
+		resubmittedServed = fmt.Sprintf("%.2f", r.resubmittedServedShare)
 	}
 	return "| " + strings.Join([]string{
-		scenario, string(p), fmt.Sprintf("%.3f", r.share), fmt.Sprintf("%.3f", r.meanShare), seconds(r.p50), seconds(r.p99), modest,
-		fmt.Sprintf("%.3f", r.goodput), fmt.Sprintf("%.3f", r.refused), fmt.Sprintf("%.3f", r.late), back,
-		fmt.Sprintf("%.2f", r.coldKey),
+		scenario, string(p), fmt.Sprintf("%.3f", r.minShare), fmt.Sprintf("%.3f", r.minMeanShare),
+		seconds(r.p50Wait), seconds(r.p99Wait), shortWait,
+		fmt.Sprintf("%.3f", r.goodput), fmt.Sprintf("%.3f", r.refusedShare), fmt.Sprintf("%.3f", r.lateOrFailedShare), resubmittedServed,
+		fmt.Sprintf("%.2f", r.minKeyShare),
 	}, " | ") + " |\n"
 }
--- a/internal/core/scenario/scenario_test.go
+++ b/internal/core/scenario/scenario_test.go
@@ -15,67 +15,74 @@
 
 var update = flag.Bool("update", false, "write the golden tables")
 
+// seeds are the seeds of the random numbers; the tables show a summary over all of them.
 var seeds = []uint64{1, 2, 3}
 
-// scenario is a load pattern with what happens to the servers.
+// scenario is the load of all organisations together with the events that affect the servers.
 type scenario struct {
 	name    string
-	sources []source
-	// available is the part of the capacity that is there at a time; nil is all.
+	sources []trafficSource
+	// available returns the share of the capacity that is available at a point in time; nil means all of it.
 	available func(at time.Duration) float64
-	prepare   func(s *sim)
+	// prepare schedules the events that affect the servers.
+	prepare func(s *sim)
 }
 
-// sources returns eight organisations, two of them large, that ask for total of the capacity.
-func sources(total float64) []source {
-	out := make([]source, 8)
+// eightSources returns the sources of eight organisations, two of them with three times the weight and load of the
+// others. Together they ask for total, as a share of the capacity.
+func eightSources(total float64) []trafficSource {
+	out := make([]trafficSource, 8)
 	for i := range out {
-		out[i] = source{weight: 1, load: steady(total / 12), keys: 1}
+		out[i] = trafficSource{weight: 1, load: constant(total / 12), keyCount: 1}
 		if i < 2 {
-			out[i] = source{weight: 3, load: steady(total / 4), keys: 1}
+			out[i] = trafficSource{weight: 3, load: constant(total / 4), keyCount: 1}
 		}
 	}
 	return out
 }
 
-// with changes one organisation's source.
-func with(sources []source, org int, change func(*source)) []source {
+// modifySource applies change to the source of one organisation.
+func modifySource(sources []trafficSource, org int, change func(*trafficSource)) []trafficSource {
 	change(&sources[org])
 	return sources
 }
 
-func burst(at time.Duration) float64 {
+// burstLoad is a low load with a burst of ten seconds.
+func burstLoad(at time.Duration) float64 {
 	if at >= 80*time.Second && at < 90*time.Second {
 		return 1.5
 	}
 	return 0.05
 }
 
-func loseThird(s *sim) {
+// loseThreeServers takes three of the ten servers down for 30 seconds.
+func loseThreeServers(s *sim) {
 	for i := range 3 {
-		s.clock.after(90*time.Second, func() { s.lose(i) })
-		s.clock.after(120*time.Second, func() { s.recover(i) })
+		s.clock.after(90*time.Second, func() { s.loseServer(i) })
+		s.clock.after(120*time.Second, func() { s.recoverServer(i) })
 	}
 }
 
-func thirdLost(at time.Duration) float64 {
+// capacityWithThreeLost is the available capacity under loseThreeServers.
+func capacityWithThreeLost(at time.Duration) float64 {
 	if at >= 90*time.Second && at < 120*time.Second {
 		return 0.7
 	}
 	return 1
 }
 
-// swapping leaves out the two seconds of each swap.
-func swapping(at time.Duration) float64 {
+// capacityDuringSwaps approximates the available capacity under swapWeights: none for the two seconds
+// in the middle of each swap.
+func capacityDuringSwaps(at time.Duration) float64 {
 	for _, swap := range []time.Duration{80, 110, 140} {
-		if into := at - swap*time.Second; into >= 500*time.Millisecond && into < 2500*time.Millisecond {
+		if sinceSwap := at - swap*time.Second; sinceSwap >= 500*time.Millisecond && sinceSwap < 2500*time.Millisecond {
 			return 0
 		}
 	}
 	return 1
 }
 
-// swapWeights stops all servers for two seconds, spread over one second, three times.
+// swapWeights stops each server for two seconds, three times. The servers stop one after another within a second.
 func swapWeights(s *sim) {
 	for _, at := range []time.Duration{80, 110, 140} {
 		for i, a := range s.agents {
@@ -87,40 +94,43 @@
 }
 
 func scenarios() []scenario {
-	long := sources(0.9)
+	long := eightSources(0.9)
 	for i := range long {
 		long[i].longShare = 0.08
 	}
-	longOver := sources(1.2)
+	longOver := eightSources(1.2)
 	for i := range longOver {
 		longOver[i].longShare = 0.08
 	}
-	flood := with(sources(0.6), 1, func(src *source) { src.load, src.longShare = steady(1.2), 1 })
+	flood := modifySource(eightSources(0.6), 1, func(src *trafficSource) { src.load, src.longShare = constant(1.2), 1 })
 	return []scenario{
-		{name: "at capacity", sources: sources(1)},
-		{name: "burst", sources: with(sources(0.7), 2, func(src *source) { src.load = burst })},
-		{name: "hot organisation", sources: with(sources(0.7), 2, func(src *source) { src.load = steady(1.5) })},
-		{name: "hot key", sources: with(sources(0.7), 2, func(src *source) { src.load, src.keys, src.hotKey, src.limit = steady(0.5), 5, 0.9, 4 })},
-		{name: "slow server", sources: sources(0.7), available: steady(0.92), prepare: func(s *sim) { s.agents[0].server.setSpeed(0.2) }},
+		{name: "at capacity", sources: eightSources(1)},
+		{name: "burst", sources: modifySource(eightSources(0.7), 2, func(src *trafficSource) { src.load = burstLoad })},
+		{name: "hot organisation", sources: modifySource(eightSources(0.7), 2, func(src *trafficSource) { src.load = constant(1.5) })},
+		{name: "hot key", sources: modifySource(eightSources(0.7), 2, func(src *trafficSource) {
+			src.load, src.keyCount, src.hotKeyShare, src.rateLimit = constant(0.5), 5, 0.9, 4
+		})},
+		{name: "slow server", sources: eightSources(0.7), available: constant(0.92), prepare: func(s *sim) { s.agents[0].server.setSpeed(0.2) }},
 		{name: "long among short", sources: long},
 		{name: "long among short 1.2", sources: longOver},
 		{name: "flood of long", sources: flood},
-		{name: "overload 1.5", sources: sources(1.5)},
-		{name: "overload 3", sources: sources(3)},
-		{name: "loss of a third", sources: sources(0.6), available: thirdLost, prepare: loseThird},
-		{name: "weight swap", sources: sources(0.8), available: swapping, prepare: swapWeights},
+		{name: "overload 1.5", sources: eightSources(1.5)},
+		{name: "overload 3", sources: eightSources(3)},
+		{name: "loss of a third", sources: eightSources(0.6), available: capacityWithThreeLost, prepare: loseThreeServers},
+		{name: "weight swap", sources: eightSources(0.8), available: capacityDuringSwaps, prepare: swapWeights},
 	}
 }
 
-func (s *sim) lose(i int) {
+// loseServer takes a server down. Its running and queued calls are sent elsewhere or fail.
+func (s *sim) loseServer(i int) {
 	a := s.agents[i]
-	s.gone[i] = s.clock.elapsed()
+	s.lostAt[i] = s.clock.elapsed()
 	a.server.fail()
-	waiting := a.plain
-	a.plain = nil
-	for _, c := range waiting {
+	queued := a.fifo
+	a.fifo = nil
+	for _, c := range queued {
 		c.entry.outstanding[a.server.name]--
-		a.acceptPlain(c)
+		a.acceptBaseline(c)
 	}
 	for {
 		item, ok := a.queue.Pop(s.clock.now)
@@ -128,21 +138,23 @@
 			return
 		}
 		a.queue.Finished(item)
-		a.lost(item.Value)
+		a.retryOrFail(item.Value)
 	}
 }
 
-func (s *sim) recover(i int) {
-	s.gone[i] = 0
+// recoverServer brings a lost server back, with an empty queue and cache.
+func (s *sim) recoverServer(i int) {
+	s.lostAt[i] = 0
 	s.agents[i].server.up = true
 }
 
-func (sc scenario) run(p policy, seed uint64) result {
+// simulate runs the scenario under a policy.
+func (sc scenario) simulate(p policy, seed uint64) result {
 	s := newSim(seed, p, sc.sources)
 	if sc.prepare != nil {
 		sc.prepare(s)
 	}
-	s.clock.runUntil(drain)
+	s.clock.runUntil(simulationEnd)
 	return s.result(func(at time.Duration) float64 {
 		if sc.available == nil {
 			return capacity
@@ -151,13 +163,14 @@
 	})
 }
 
-// TestScenarios compares what callers receive with the golden table, whose rows docs/DECISIONS.md shows.
+// TestScenarios runs each scenario under each policy and compares what the clients receive with the golden table, whose
+// rows are shown in docs/DECISIONS.md.
 func TestScenarios(t *testing.T) {
 	t.Parallel()
 	var table strings.Builder
-	table.WriteString(header)
+	table.WriteString(scenarioHeader)
 	all := scenarios()
-	policies := []policy{roundRobin, leastOutstanding, leastShort, modules}
+	policies := []policy{roundRobin, leastOutstanding, leastOutstandingShortQueue, corePolicy}
 	rows := make([]string, len(all)*len(policies))
 	workers := pool.New().WithMaxGoroutines(runtime.GOMAXPROCS(0))
 	for i := range rows {
@@ -165,17 +178,18 @@
 			sc, p := all[i/len(policies)], policies[i%len(policies)]
 			var results []result
 			for _, seed := range seeds {
-				results = append(results, sc.run(p, seed))
+				results = append(results, sc.simulate(p, seed))
 			}
-			rows[i] = mean(results).row(sc.name, p)
+			rows[i] = meanResult(results).row(sc.name, p)
 		})
 	}
 	workers.Wait()
 	table.WriteString(strings.Join(rows, ""))
-	golden(t, "scenarios.md", table.String())
+	compareGolden(t, "scenarios.md", table.String())
 }
 
-func golden(t *testing.T, name, got string) {
+// compareGolden compares got with a file in testdata, which it writes first if -update is given.
+func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
--- a/internal/core/scenario/server_test.go
+++ b/internal/core/scenario/server_test.go
@@ -7,86 +7,96 @@
 )
 
 const (
-	// knee is how many requests a server runs at full speed each; more of them share its capacity.
-	knee = 8
-	// slotSpeed is the tokens a second of one request.
+	// slotsPerServer is the number of requests that a server runs at full speed; more requests share its capacity equally.
+	slotsPerServer = 8
+	// slotSpeed is the speed of one request in tokens per second.
 	slotSpeed = 50.0
-	// cacheSize is how many prefixes a server holds.
-	cacheSize = 64
+	// prefixCacheSize is the number of prompt prefixes that a server keeps in its cache.
+	prefixCacheSize = 64
 )
 
-// run is one generation at a server.
-type run struct {
-	left float64
-	cost float64
-	// pace is its speed next to the others; 1 but for a straggler.
-	pace float64
+// activeRequest is a request that a server is running.
+type activeRequest struct {
+	// remaining is the work left in tokens, including the prefill.
+	remaining float64
+	cost      float64
+	// relativeSpeed is the speed compared with the other requests of the server; 1 except for stragglers.
+	relativeSpeed float64
+	// done is called at the end; ok is false if the server failed before the request was complete.
 	done func(ok bool)
 }
 
-// server is the one model of a backend server: continuous batching as processor sharing above a knee.
+// server models a backend server in all simulations. Continuous batching is modelled as processor sharing: up to
+// slotsPerServer requests run at full speed, and more requests slow each other down.
 type server struct {
-	clock   *clock
-	name    string
+	clock *clock
+	name  string
+	// speed is a factor on slotSpeed; 0 stops the server.
 	speed   float64
 	up      bool
-	running []*run
-	last    time.Time
-	epoch   int
-	cached  []uint64
+	running []*activeRequest
+	// lastAdvance is the time up to which the work of the running requests is accounted for.
+	lastAdvance time.Time
+	// scheduleVersion identifies the latest completion event; earlier ones are outdated and ignored.
+	scheduleVersion int
+	// cachedPrefixes is ordered from the least to the most recently used.
+	cachedPrefixes []uint64
 }
 
 func newServer(c *clock, name string) *server {
-	return &server{clock: c, name: name, speed: 1, up: true, last: c.now}
+	return &server{clock: c, name: name, speed: 1, up: true, lastAdvance: c.now}
 }
 
+// rate returns the current speed of a request with relativeSpeed 1, in tokens per second.
 func (s *server) rate() float64 {
 	if len(s.running) == 0 {
 		return 0
 	}
-	return s.speed * slotSpeed * min(1, knee/float64(len(s.running)))
+	return s.speed * slotSpeed * min(1, slotsPerServer/float64(len(s.running)))
 }
 
-// advance takes the work done since the last change off the runs.
+// advance subtracts the work done since lastAdvance from the running requests.
 func (s *server) advance() {
-	work := s.rate() * s.clock.now.Sub(s.last).Seconds()
+	work := s.rate() * s.clock.now.Sub(s.lastAdvance).Seconds()
 	for _, r := range s.running {
-		r.left -= work * r.pace
+		r.remaining -= work * r.relativeSpeed
 	}
-	s.last = s.clock.now
+	s.lastAdvance = s.clock.now
 }
 
+// change applies a change of the state, which alters the speed of the requests, and reschedules the next completion.
 func (s *server) change(apply func()) {
 	s.advance()
 	apply()
-	s.schedule()
+	s.scheduleCompletion()
 }
 
-// schedule sets the event of the next completion.
-func (s *server) schedule() {
-	s.epoch++
-	mine := s.epoch
+// scheduleCompletion schedules an event for the next completion of a request and invalidates the previous one.
+func (s *server) scheduleCompletion() {
+	s.scheduleVersion++
+	version := s.scheduleVersion
 	rate := s.rate()
 	if rate <= 0 {
 		return
 	}
-	least := math.Inf(1)
+	shortest := math.Inf(1)
 	for _, r := range s.running {
-		least = min(least, r.left/r.pace)
+		shortest = min(shortest, r.remaining/r.relativeSpeed)
 	}
-	wait := time.Duration(math.Ceil(max(0, least) / rate * float64(time.Second)))
+	wait := time.Duration(math.Ceil(max(0, shortest) / rate * float64(time.Second)))
 	s.clock.after(wait, func() {
-		if mine == s.epoch {
-			s.complete()
+		if version == s.scheduleVersion {
+			s.completeFinished()
 		}
 	})
 }
 
-func (s *server) complete() {
-	var finished []*run
+// completeFinished removes the requests without remaining work and calls their done functions.
+func (s *server) completeFinished() {
+	var finished []*activeRequest
 	s.change(func() {
-		s.running = slices.DeleteFunc(s.running, func(r *run) bool {
-			if r.left <= 1e-6 {
+		s.running = slices.DeleteFunc(s.running, func(r *activeRequest) bool {
+			if r.remaining <= 1e-6 {
 				finished = append(finished, r)
 				return true
 			}
@@ -98,57 +108,62 @@
 	}
 }
 
-// start runs a request; a prefix that isn't cached costs prefill tokens more.
-func (s *server) start(cost float64, prefix uint64, prefill float64, done func(ok bool)) *run {
-	r := &run{left: cost, cost: cost, pace: 1, done: done}
-	if prefix != 0 && !s.holds(prefix) {
-		r.left += prefill
+// start runs a request of cost tokens. A prefix that isn't cached adds prefill tokens of work; prefix 0 means none.
+func (s *server) start(cost float64, prefix uint64, prefill float64, done func(ok bool)) *activeRequest {
+	r := &activeRequest{remaining: cost, cost: cost, relativeSpeed: 1, done: done}
+	if prefix != 0 && !s.touchPrefix(prefix) {
+		r.remaining += prefill
 	}
 	s.change(func() { s.running = append(s.running, r) })
 	return r
 }
 
-// holds looks a prefix up and makes it the one used last.
-func (s *server) holds(prefix uint64) bool {
-	at := slices.Index(s.cached, prefix)
-	if at >= 0 {
-		s.cached = append(slices.Delete(s.cached, at, at+1), prefix)
+// touchPrefix reports whether the prefix is cached, and makes it the most recently used one. A prefix that isn't cached
+// is added; if the cache is full, the least recently used one is evicted.
+func (s *server) touchPrefix(prefix uint64) bool {
+	i := slices.Index(s.cachedPrefixes, prefix)
+	if i >= 0 {
+		s.cachedPrefixes = append(slices.Delete(s.cachedPrefixes, i, i+1), prefix)
 		return true
 	}
-	s.cached = append(s.cached, prefix)
-	if len(s.cached) > cacheSize {
-		s.cached = s.cached[1:]
+	s.cachedPrefixes = append(s.cachedPrefixes, prefix)
+	if len(s.cachedPrefixes) > prefixCacheSize {
+		s.cachedPrefixes = s.cachedPrefixes[1:]
 	}
 	return false
 }
 
-// startAt runs a request at a pace of its own.
-func (s *server) startAt(pace, cost float64, prefix uint64, prefill float64, done func(ok bool)) *run {
+// startAtSpeed is start for a request with a relative speed of its own.
+func (s *server) startAtSpeed(relativeSpeed, cost float64, prefix uint64, prefill float64, done func(ok bool)) *activeRequest {
 	r := s.start(cost, prefix, prefill, done)
-	r.pace = pace
-	s.schedule()
+	r.relativeSpeed = relativeSpeed
+	s.scheduleCompletion()
 	return r
 }
 
-// tokens is how many tokens of a run exist.
-func (s *server) tokens(r *run) int {
+// generatedTokens returns how many tokens of a request have been generated so far.
+func (s *server) generatedTokens(r *activeRequest) int {
 	s.advance()
-	return int(max(0, r.cost-r.left))
+	return int(max(0, r.cost-r.remaining))
 }
 
-func (s *server) cancel(r *run) {
-	s.change(func() { s.running = slices.DeleteFunc(s.running, func(o *run) bool { return o == r }) })
+// cancel stops a request without calling its done function.
+func (s *server) cancel(r *activeRequest) {
+	s.change(func() {
+		s.running = slices.DeleteFunc(s.running, func(other *activeRequest) bool { return other == r })
+	})
 }
 
-// fail ends all runs without an answer.
+// fail takes the server down, clears its cache and ends all its requests with ok set to false.
 func (s *server) fail() {
-	var lost []*run
+	var interrupted []*activeRequest
 	s.change(func() {
-		lost, s.running, s.up, s.cached = s.running, nil, false, nil
+		interrupted, s.running, s.up, s.cachedPrefixes = s.running, nil, false, nil
 	})
-	for _, r := range lost {
+	for _, r := range interrupted {
 		r.done(false)
 	}
 }
 
+// setSpeed changes the speed factor of the server.
 func (s *server) setSpeed(speed float64) { s.change(func() { s.speed = speed }) }
--- a/internal/core/scenario/step_test.go
+++ b/internal/core/scenario/step_test.go
@@ -15,93 +15,108 @@
 )
 
 const (
-	groups        = 16
-	groupSize     = 8
-	sampleTokens  = 200
+	// largeStepGroups is the number of groups in a step of the large job.
+	largeStepGroups = 16
+	// groupSize is the number of samples in a group.
+	groupSize = 8
+	// sampleTokens scales the random lengths of samples: from 0.2 to 4 times as many tokens.
+	sampleTokens = 200
+	// prefillTokens is the work for a prompt that the engine hasn't cached, in tokens.
 	prefillTokens = 100
-	// stuckShare of the generations run at stuckPace, as when an engine preempts them.
-	stuckShare = 0.03
-	stuckPace  = 0.1
-	trainTime  = 5 * time.Second
-	stepsEnd   = 400 * time.Second
-	lookEach   = 500 * time.Millisecond
+	// preemptedShare is the share of the generations that run at preemptedSpeed, as if the engine had preempted them.
+	preemptedShare = 0.03
+	preemptedSpeed = 0.1
+	// trainingTime is the time from the end of a step's last sample to the start of the next step.
+	trainingTime      = 5 * time.Second
+	stepSimulationEnd = 400 * time.Second
+	// progressInterval is the interval at which the progress of generations is reported.
+	progressInterval = 500 * time.Millisecond
 )
 
-// variant is how the samples of the steps are ordered and placed.
-type variant struct {
+// stepPolicy is how the samples of steps are ordered and placed.
+type stepPolicy struct {
 	name string
-	// planned uses the planner and the tracker, else samples go in order.
-	planned bool
-	least   bool
-	// spread starts the first sample of each group, then the second of each.
-	spread    bool
+	// usePlanner uses rollout.Planner and placement.Tracker; otherwise samples start in order of arrival.
+	usePlanner bool
+	// leastOutstanding places samples on the server with the fewest running ones instead of round robin.
+	leastOutstanding bool
+	// interleaveGroups starts the first sample of each group, then the second of each, and so on.
+	interleaveGroups bool
+	// copyShare is the limit of the work of copies as a share of all work.
 	copyShare float64
-	// together gives the samples of a group one prefix to be placed by.
-	together bool
+	// placeByPrefix tells the tracker the prompt's prefix, so that the samples of a group tend to meet on one server.
+	placeByPrefix bool
 }
 
-// attempt is one running generation.
+// attempt is one generation of a sample, which may be a copy or resume an earlier one.
 type attempt struct {
-	server string
-	run    *run
-	sample string
-	base   int
-	ended  bool
+	server  string
+	request *activeRequest
+	sample  string
+	// resumedTokens is the length of the part that an earlier attempt generated.
+	resumedTokens int
+	ended         bool
 }
 
 // stepSim runs two trainer jobs that share the engines.
 type stepSim struct {
-	variant  variant
-	clock    *clock
-	random   *rand.Rand
-	servers  []*server
-	byName   map[string]*server
-	planner  *rollout.Planner
-	tracker  *placement.Tracker
-	waiting  []rollout.Generation
-	running  int
-	next     int
-	lengths  map[string]float64
-	left     map[string]int
-	began    map[string]time.Time
-	attempts map[string][]*attempt
-	times    []time.Duration
-	groups   []time.Duration
-	inGroup  map[string]int
-	useful   float64
-	work     float64
+	policy        stepPolicy
+	clock         *clock
+	random        *rand.Rand
+	servers       []*server
+	serversByName map[string]*server
+	planner       *rollout.Planner
+	tracker       *placement.Tracker
+	// waiting holds the samples to start if the planner isn't used.
+	waiting    []rollout.Generation
+	running    int
+	nextServer int
+	// lengths and attempts are by sample, samplesLeft and stepStarts by job, finishedInGroup by job, step and group.
+	lengths         map[string]float64
+	samplesLeft     map[string]int
+	stepStarts      map[string]time.Time
+	attempts        map[string][]*attempt
+	stepTimes       []time.Duration
+	groupTimes      []time.Duration
+	finishedInGroup map[string]int
+	// usefulTokens counts the tokens of finished samples, processedTokens those of all attempts.
+	usefulTokens    float64
+	processedTokens float64
+	// starts counts the attempts, prefills those whose prompt wasn't cached.
 	prefills int
 	starts   int
 }
 
-func newStepSim(seed uint64, v variant) *stepSim {
+// newStepSim returns a simulation in which server 0 is slow from 100 s to 200 s and server 1 is lost from 250 s to 280 s.
+func newStepSim(seed uint64, p stepPolicy) *stepSim {
 	s := &stepSim{
-		variant: v, clock: newClock(), random: rand.New(rand.NewPCG(seed, 7)), byName: map[string]*server{},
-		planner: rollout.NewPlanner(rollout.WithCopyShare(v.copyShare)),
+		policy: p, clock: newClock(), random: rand.New(rand.NewPCG(seed, 7)), serversByName: map[string]*server{},
+		planner: rollout.NewPlanner(rollout.WithCopyShare(p.copyShare)),
 		tracker: placement.NewTracker(placement.WithSeed(seed)),
-		lengths: map[string]float64{}, left: map[string]int{}, began: map[string]time.Time{}, attempts: map[string][]*attempt{}, inGroup: map[string]int{},
+		lengths: map[string]float64{}, samplesLeft: map[string]int{}, stepStarts: map[string]time.Time{},
+		attempts: map[string][]*attempt{}, finishedInGroup: map[string]int{},
 	}
 	for i := range serverCount {
 		srv := newServer(s.clock, fmt.Sprintf("server%d", i))
 		s.servers = append(s.servers, srv)
-		s.byName[srv.name] = srv
+		s.serversByName[srv.name] = srv
 	}
 	s.clock.after(100*time.Second, func() { s.servers[0].setSpeed(0.2) })
 	s.clock.after(200*time.Second, func() { s.servers[0].setSpeed(1) })
 	s.clock.after(250*time.Second, func() { s.servers[1].fail() })
 	s.clock.after(280*time.Second, func() { s.servers[1].up = true })
-	s.add("large", 1)
-	s.add("small", 1)
-	s.look()
+	s.startStep("large", 1)
+	s.startStep("small", 1)
+	s.checkProgress()
 	return s
 }
 
-// add starts a step: the large job's has four times the groups of the small one's.
-func (s *stepSim) add(job string, number int) {
+// startStep starts a step of a job. Those of the large job have four times as many groups as those of the small one.
+func (s *stepSim) startStep(job string, number int) {
 	step := rollout.Step{Job: job, Number: number, Weight: 1}
-	count := groups
+	count := largeStepGroups
 	if job == "small" {
-		count = groups / 4
+		count = largeStepGroups / 4
 	}
 	random := rand.New(rand.NewPCG(uint64(number), uint64(len(job))))
 	for g := range count {
@@ -114,21 +129,21 @@
 		}
 		step.Groups = append(step.Groups, group)
 	}
-	if s.variant.spread {
+	if s.policy.interleaveGroups {
 		slices.SortStableFunc(s.waiting, func(a, b rollout.Generation) int {
 			return cmp.Compare(a.SampleID[strings.LastIndex(a.SampleID, "/"):], b.SampleID[strings.LastIndex(b.SampleID, "/"):])
 		})
 	}
-	s.left[job] = count * groupSize
-	s.began[job] = s.clock.now
+	s.samplesLeft[job] = count * groupSize
+	s.stepStarts[job] = s.clock.now
 	s.planner.AddStep(step)
-	s.fill()
+	s.startSamples()
 }
 
-// fill starts samples while there are slots.
-func (s *stepSim) fill() {
-	for s.running < serverCount*knee {
-		if !s.variant.planned {
+// startSamples starts samples while there are free slots.
+func (s *stepSim) startSamples() {
+	for s.running < serverCount*slotsPerServer {
+		if !s.policy.usePlanner {
 			if len(s.waiting) == 0 {
 				return
 			}
@@ -146,133 +161,141 @@
 	}
 }
 
+// launch starts an attempt on a server that isn't in exclude.
 func (s *stepSim) launch(work rollout.Generation, exclude map[string]bool) {
-	srv := s.pick(work, exclude)
-	a := &attempt{server: srv.name, sample: work.SampleID, base: work.Tokens}
-	pace := 1.0
-	if s.random.Float64() < stuckShare {
-		pace = stuckPace
+	srv := s.pickServer(work, exclude)
+	a := &attempt{server: srv.name, sample: work.SampleID, resumedTokens: work.Tokens}
+	relativeSpeed := 1.0
+	if s.random.Float64() < preemptedShare {
+		relativeSpeed = preemptedSpeed
 	}
-	prefix := prefixOf(work)
+	prefix := promptPrefix(work)
 	s.starts++
 	started := s.clock.now
-	rest := max(1, s.lengths[work.SampleID]-float64(work.Tokens))
+	remaining := max(1, s.lengths[work.SampleID]-float64(work.Tokens))
 	s.running++
 	s.attempts[work.SampleID] = append(s.attempts[work.SampleID], a)
-	a.run = srv.startAt(pace, rest, prefix, prefillTokens, func(ok bool) { s.ended(work, a, started, ok) })
-	if a.run.left > rest {
+	a.request = srv.startAtSpeed(relativeSpeed, remaining, prefix, prefillTokens, func(ok bool) { s.finishAttempt(work, a, started, ok) })
+	if a.request.remaining > remaining {
 		s.prefills++
 	}
 }
 
-func prefixOf(work rollout.Generation) uint64 {
+// promptPrefix identifies the prompt that the samples of a group share.
+func promptPrefix(work rollout.Generation) uint64 {
 	return uint64(work.Step)<<20 | uint64(work.Group)<<8 | uint64(len(work.Job))
 }
 
-func (s *stepSim) pick(work rollout.Generation, exclude map[string]bool) *server {
-	if s.variant.planned {
-		return s.pickProbed(work, exclude)
+// pickServer returns the server for a sample: that of the tracker, the one with the fewest requests or the next in turn.
+func (s *stepSim) pickServer(work rollout.Generation, exclude map[string]bool) *server {
+	if s.policy.usePlanner {
+		return s.pickByProbing(work, exclude)
 	}
-	at := s.next % len(s.servers)
-	s.next++
+	chosen := s.nextServer % len(s.servers)
+	s.nextServer++
 	for i := range s.servers {
-		candidate := (at + i) % len(s.servers)
-		better := s.variant.least && len(s.servers[candidate].running) < len(s.servers[at].running)
-		if s.servers[candidate].up && (better || !s.servers[at].up) {
-			at = candidate
+		candidate := (chosen + i) % len(s.servers)
+		better := s.policy.leastOutstanding && len(s.servers[candidate].running) < len(s.servers[chosen].running)
+		if s.servers[candidate].up && (better || !s.servers[chosen].up) {
+			chosen = candidate
 		}
 	}
-	return s.servers[at]
+	return s.servers[chosen]
 }
 
-func (s *stepSim) pickProbed(work rollout.Generation, exclude map[string]bool) *server {
+// pickByProbing lets the tracker choose among the servers that it wants to probe.
+func (s *stepSim) pickByProbing(work rollout.Generation, exclude map[string]bool) *server {
 	var list []placement.Server
 	for _, srv := range s.servers {
 		list = append(list, placement.Server{HostID: srv.name})
 	}
 	prefix := uint64(0)
-	if s.variant.together {
-		prefix = prefixOf(work)
+	if s.policy.placeByPrefix {
+		prefix = promptPrefix(work)
 	}
 	var probed []placement.ProbeResult
 	for _, candidate := range s.tracker.Candidates(s.clock.now, list, prefix, exclude) {
-		srv := s.byName[candidate.HostID]
-		p := placement.ProbeResult{Server: candidate, RoundTrip: 2 * hop, Load: request.Load{Running: len(srv.running), Limit: knee}}
-		if over := len(srv.running) - knee; over >= 0 {
-			p.Load.Wait = time.Duration(over+1) * 500 * time.Millisecond
+		srv := s.serversByName[candidate.HostID]
+		result := placement.ProbeResult{
+			Server: candidate, RoundTrip: 2 * networkDelay, Load: request.Load{Running: len(srv.running), Limit: slotsPerServer},
 		}
-		for _, cached := range srv.cached {
-			p.Load.PrefixCached = p.Load.PrefixCached || prefix != 0 && cached == prefix
+		if over := len(srv.running) - slotsPerServer; over >= 0 {
+			result.Load.Wait = time.Duration(over+1) * 500 * time.Millisecond
+		}
+		for _, cached := range srv.cachedPrefixes {
+			result.Load.PrefixCached = result.Load.PrefixCached || prefix != 0 && cached == prefix
 		}
 		if !srv.up {
-			p.Err = errLost
+			result.Err = errServerLost
 		}
-		probed = append(probed, p)
+		probed = append(probed, result)
 	}
 	server, _ := s.tracker.Choose(s.clock.now, probed, sampleTokens)
 	s.tracker.ObservePrefix(s.clock.now, prefix, server.HostID)
-	return s.byName[server.HostID]
+	return s.serversByName[server.HostID]
 }
 
-// ended is called when a generation is whole or lost.
-func (s *stepSim) ended(work rollout.Generation, a *attempt, started time.Time, ok bool) {
+// finishAttempt handles the end of an attempt; ok is false if its server was lost.
+func (s *stepSim) finishAttempt(work rollout.Generation, a *attempt, started time.Time, ok bool) {
 	a.ended = true
 	s.running--
-	done := a.run.cost - max(0, a.run.left)
-	s.work += done
-	tokens := a.base + int(done)
+	done := a.request.cost - max(0, a.request.remaining)
+	s.processedTokens += done
+	tokens := a.resumedTokens + int(done)
 	if !ok {
-		s.lost(work, tokens)
+		s.requeue(work, tokens)
 		return
 	}
 	took := s.clock.now.Sub(started)
-	s.tracker.ObserveRequest(s.clock.now, a.server, time.Duration(float64(took)/a.run.cost), false)
-	s.cancelOthers(work.SampleID)
+	s.tracker.ObserveRequest(s.clock.now, a.server, time.Duration(float64(took)/a.request.cost), false)
+	s.cancelOtherAttempts(work.SampleID)
 	s.planner.RecordCompletion(s.clock.now, work.SampleID, tokens)
-	s.useful += s.lengths[work.SampleID]
-	s.left[work.Job]--
+	s.usefulTokens += s.lengths[work.SampleID]
+	s.samplesLeft[work.Job]--
 	group := fmt.Sprint(work.Job, work.Step, work.Group)
-	if s.inGroup[group]++; s.inGroup[group] == groupSize {
-		s.groups = append(s.groups, s.clock.now.Sub(s.began[work.Job]))
+	if s.finishedInGroup[group]++; s.finishedInGroup[group] == groupSize {
+		s.groupTimes = append(s.groupTimes, s.clock.now.Sub(s.stepStarts[work.Job]))
 	}
-	if s.left[work.Job] == 0 {
-		s.times = append(s.times, s.clock.now.Sub(s.began[work.Job]))
-		s.clock.after(trainTime, func() { s.add(work.Job, work.Step+1) })
+	if s.samplesLeft[work.Job] == 0 {
+		s.stepTimes = append(s.stepTimes, s.clock.now.Sub(s.stepStarts[work.Job]))
+		s.clock.after(trainingTime, func() { s.startStep(work.Job, work.Step+1) })
 	}
-	s.fill()
+	s.startSamples()
 }
 
-func (s *stepSim) lost(work rollout.Generation, tokens int) {
-	if !s.variant.planned {
+// requeue makes a lost sample wait again; the planner resumes it from the tokens that exist, the baselines start it anew.
+func (s *stepSim) requeue(work rollout.Generation, tokens int) {
+	if !s.policy.usePlanner {
 		s.waiting = append([]rollout.Generation{work}, s.waiting...)
 	}
 	s.planner.RecordFailure(s.clock.now, work.SampleID, tokens)
-	s.clock.after(time.Millisecond, s.fill)
+	s.clock.after(time.Millisecond, s.startSamples)
 }
 
-func (s *stepSim) cancelOthers(sample string) {
+// cancelOtherAttempts cancels the copies of a finished sample that are still running.
+func (s *stepSim) cancelOtherAttempts(sample string) {
 	for _, other := range s.attempts[sample] {
 		if other.ended {
 			continue
 		}
 		other.ended = true
 		s.running--
-		s.byName[other.server].cancel(other.run)
-		s.work += other.run.cost - max(0, other.run.left)
+		s.serversByName[other.server].cancel(other.request)
+		s.processedTokens += other.request.cost - max(0, other.request.remaining)
 	}
 	delete(s.attempts, sample)
 }
 
-// look reports progress and starts copies.
-func (s *stepSim) look() {
+// checkProgress reports the progress of all attempts to the planner, starts copies of stragglers and reschedules itself.
+func (s *stepSim) checkProgress() {
 	for id, attempts := range s.attempts {
 		for _, a := range attempts {
 			if !a.ended {
-				s.planner.RecordProgress(s.clock.now, id, a.base+s.byName[a.server].tokens(a.run))
+				s.planner.RecordProgress(s.clock.now, id, a.resumedTokens+s.serversByName[a.server].generatedTokens(a.request))
 			}
 		}
 	}
-	if s.variant.planned {
+	if s.policy.usePlanner {
 		for _, work := range s.planner.Hedge(s.clock.now) {
 			exclude := map[string]bool{}
 			for _, a := range s.attempts[work.SampleID] {
@@ -282,22 +305,24 @@
 			s.launch(work, exclude)
 		}
 	}
-	s.clock.after(lookEach, s.look)
+	s.clock.after(progressInterval, s.checkProgress)
 }
 
-func variants() []variant {
-	return []variant{
+// stepPolicies returns the policies to compare. "Apart" means that placement doesn't know the prompts' prefixes.
+func stepPolicies() []stepPolicy {
+	return []stepPolicy{
 		{name: "fcfs round robin"},
-		{name: "fcfs least outstanding", least: true},
-		{name: "least outstanding, all groups at once", least: true, spread: true},
-		{name: "planner, no copies, apart", planned: true},
-		{name: "planner, no copies", planned: true, together: true},
-		{name: "planner, 5 % copies, apart", planned: true, copyShare: 0.05},
-		{name: "planner, 5 % copies", planned: true, copyShare: 0.05, together: true},
+		{name: "fcfs least outstanding", leastOutstanding: true},
+		{name: "least outstanding, all groups at once", leastOutstanding: true, interleaveGroups: true},
+		{name: "planner, no copies, apart", usePlanner: true},
+		{name: "planner, no copies", usePlanner: true, placeByPrefix: true},
+		{name: "planner, 5 % copies, apart", usePlanner: true, copyShare: 0.05},
+		{name: "planner, 5 % copies", usePlanner: true, copyShare: 0.05, placeByPrefix: true},
 	}
 }
 
-func average(values []time.Duration) time.Duration {
+// meanDuration returns the mean of the values; 0 if there are none.
+func meanDuration(values []time.Duration) time.Duration {
 	var sum time.Duration
 	for _, v := range values {
 		sum += v
@@ -305,28 +330,29 @@
 	return sum / time.Duration(max(1, len(values)))
 }
 
-// TestSteps compares the time of trainers' steps with stragglers, a slow server and a lost one.
-func TestSteps(t *testing.T) {
+// TestTrainerSteps compares the duration of trainers' steps under the policies, with stragglers, a slow server and a lost one.
+func TestTrainerSteps(t *testing.T) {
 	t.Parallel()
 	var table strings.Builder
 	table.WriteString("| policy | mean step | p90 step | mean group | trainer idle | extra work | prompts computed | steps |\n|---|---|---|---|---|---|---|---|\n")
-	for _, v := range variants() {
-		var times, whole []time.Duration
-		var work, useful, idle, prefills, starts float64
+	for _, p := range stepPolicies() {
+		var stepTimes, groupTimes []time.Duration
+		var processed, useful, idle, prefills, starts float64
 		for _, seed := range seeds {
-			s := newStepSim(seed, v)
-			s.clock.runUntil(stepsEnd)
-			for _, took := range s.times {
+			s := newStepSim(seed, p)
+			s.clock.runUntil(stepSimulationEnd)
+			for _, took := range s.stepTimes {
 				idle += took.Seconds()
 			}
-			times = append(times, s.times...)
-			whole = append(whole, s.groups...)
-			work, useful = work+s.work, useful+s.useful
+			stepTimes = append(stepTimes, s.stepTimes...)
+			groupTimes = append(groupTimes, s.groupTimes...)
+			processed, useful = processed+s.processedTokens, useful+s.usefulTokens
 			prefills, starts = prefills+float64(s.prefills), starts+float64(s.starts)
 		}
-		n := float64(len(times))
-		fmt.Fprintf(&table, "| %s | %.2f s | %.2f s | %.2f s | %.3f | %.3f | %.3f | %d |\n", v.name, idle/n, quantile(times, 0.9).Seconds(), average(whole).Seconds(),
-			idle/(idle+n*trainTime.Seconds()), work/useful-1, prefills/starts, len(times))
+		n := float64(len(stepTimes))
+		fmt.Fprintf(&table, "| %s | %.2f s | %.2f s | %.2f s | %.3f | %.3f | %.3f | %d |\n", p.name,
+			idle/n, quantile(stepTimes, 0.9).Seconds(), meanDuration(groupTimes).Seconds(),
+			idle/(idle+n*trainingTime.Seconds()), processed/useful-1, prefills/starts, len(stepTimes))
 	}
-	golden(t, "steps.md", table.String())
+	compareGolden(t, "steps.md", table.String())
 }
