--- a/internal/program/cmd/agent.go
+++ b/internal/program/cmd/agent.go
@@ -13,7 +13,7 @@
 	return &cli.Command{
 		Name:        "agent",
 		Usage:       "run the agent of one backend server",
-		Description: "SIGTERM or SIGINT ends it gracefully: no request is cut off.\n\nExample:\n  oleandershelf agent --settings examples/sahil/agent.json",
+		Description: "SIGTERM or SIGINT shuts it down gracefully: requests in progress are completed.\n\nExample:\n  oleandershelf agent --settings examples/sahil/agent.json",
 		Flags:       []cli.Flag{settingsFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			set, err := settings.Load(c.String(flagSettings), settings.RoleAgent)
--- a/internal/program/cmd/capacity.go
+++ b/internal/program/cmd/capacity.go
@@ -15,11 +15,11 @@
 	flagOnly = "only"
 )
 
-// capacityCommand measures the slopes from which docs/CAPACITY.md is worked out.
+// capacityCommand measures how each cost grows with its input size. docs/CAPACITY.md is computed from these slopes.
 func capacityCommand() *cli.Command {
 	return &cli.Command{
 		Name:            "capacity",
-		Usage:           "measure how the cost of each part grows with its size, as a table and plots",
+		Usage:           "measure how the cost of each component grows with its input size; writes a table and plots",
 		Description:     "Takes about three minutes. Example:\n  oleandershelf capacity --out docs/capacity",
 		Hidden:          true,
 		HideHelpCommand: true,
@@ -28,10 +28,10 @@
 			&cli.StringSliceFlag{Name: flagOnly, Usage: "measure only the slope `NAME`; may be repeated"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			tell := func(name string, took time.Duration) {
-				_, _ = fmt.Fprintf(c.Root().Writer, "%-16s %5.1fs\n", name, took.Seconds())
+			printProgress := func(name string, elapsed time.Duration) {
+				_, _ = fmt.Fprintf(c.Root().Writer, "%-16s %5.1fs\n", name, elapsed.Seconds())
 			}
-			return capacity.Run(ctx, c.String(flagOut), c.StringSlice(flagOnly), tell)
+			return capacity.Run(ctx, c.String(flagOut), c.StringSlice(flagOnly), printProgress)
 		},
 	}
 }
--- a/internal/program/cmd/demo.go
+++ b/internal/program/cmd/demo.go
@@ -14,8 +14,8 @@
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "demo",
-		Usage:       "run gateways before stand-ins of the platform in one process, play both deployments' main job, and print what came out",
-		Description: "Exits 0 only if every promise held.\n\nExample:\n  oleandershelf demo",
+		Usage:       "run gateways against a stand-in platform in one process, exercise both example deployments, and print a transcript",
+		Description: "Exits 0 only if every guarantee held.\n\nExample:\n  oleandershelf demo",
 		Flags:       []cli.Flag{&cli.BoolFlag{Name: flagVerbose, Usage: "show the logs of all processes"}},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			log := zerolog.Nop()
--- a/internal/program/cmd/entry.go
+++ b/internal/program/cmd/entry.go
@@ -19,7 +19,7 @@
 	return &cli.Command{
 		Name:        "entry",
 		Usage:       "run an entry: HTTP for callers, trainers and operators",
-		Description: "SIGTERM or SIGINT ends it gracefully: no request is cut off.\n\nExample:\n  oleandershelf entry --settings examples/sahil/entry.json",
+		Description: "SIGTERM or SIGINT shuts it down gracefully: requests in progress are completed.\n\nExample:\n  oleandershelf entry --settings examples/sahil/entry.json",
 		Flags:       []cli.Flag{settingsFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			set, err := settings.Load(c.String(flagSettings), settings.RoleEntry)
--- a/internal/program/cmd/gateway.go
+++ b/internal/program/cmd/gateway.go
@@ -14,18 +14,18 @@
 func gatewayCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "gateway",
-		Usage:       "run an entry that calls backend servers itself, on the users' platform",
-		Description: "SIGTERM ends it gracefully; SIGHUP makes it read its settings again.\n\nExample:\n  oleandershelf gateway --settings gateway.json",
+		Usage:       "run an entry that calls backend servers directly, without agents, on the users' platform",
+		Description: "SIGTERM shuts it down gracefully; SIGHUP makes it reload its settings.\n\nExample:\n  oleandershelf gateway --settings gateway.json",
 		Flags:       []cli.Flag{settingsFlag()},
 		Action: func(ctx context.Context, c *cli.Command) error {
-			// Until the settings are watched, a hang-up signal would end the process.
+			// SIGHUP would terminate the process until RunGateway installs its reload handler.
 			signal.Ignore(syscall.SIGHUP)
 			path := c.String(flagSettings)
 			set, err := settings.Load(path, settings.RoleGateway)
 			if err != nil {
 				return err
 			}
-			log, closeLog := newProcessLog(c.Root().Writer, set)
+			log, closeLog := newNonBlockingLog(c.Root().Writer, set)
 			defer closeLog()
 			return process.RunGateway(ctx, path, set, log)
 		},
--- a/internal/program/cmd/log.go
+++ b/internal/program/cmd/log.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// logLines is how many lines wait to be written; some hundred bytes each. When a reader of the log falls behind, older
-	// lines are dropped and counted rather than requests held up.
-	logLines = 2000
-	// logPause is how often waiting lines are looked for.
-	logPause = 20 * time.Millisecond
+	// logBufferLines is the capacity of the log buffer; a line takes a few hundred bytes. If the log's reader falls behind,
+	// the oldest lines are dropped and counted, so that logging never blocks a request.
+	logBufferLines = 2000
+	// logPollInterval is how often the buffer is checked for lines to write.
+	logPollInterval = 20 * time.Millisecond
 )
 
-// newLog returns the structured log of a process: one JSON object a line.
+// newLog returns the structured log of a process, with one JSON object per line.
 func newLog(out io.Writer, set settings.Settings) zerolog.Logger {
 	return zerolog.New(out).Level(set.LogLevel).With().Timestamp().Str("hostId", set.HostID).Logger()
 }
 
-// newProcessLog returns a log that never blocks its writers, and the function that writes what waits and ends it.
-func newProcessLog(out io.Writer, set settings.Settings) (log zerolog.Logger, end func()) {
-	var dropped zerolog.Logger
-	writer := diode.NewWriter(out, logLines, logPause, func(missed int) {
-		dropped.Warn().Int("lines", missed).Msg("log lines dropped")
+// newNonBlockingLog returns a log that drops lines rather than block its writers, and a function that flushes and closes it.
+func newNonBlockingLog(out io.Writer, set settings.Settings) (log zerolog.Logger, closeLog func()) {
+	var dropLog zerolog.Logger
+	writer := diode.NewWriter(out, logBufferLines, logPollInterval, func(missed int) {
+		dropLog.Warn().Int("lines", missed).Msg("log lines dropped")
 	})
-	dropped = newLog(out, set)
+	dropLog = newLog(out, set)
 	return newLog(writer, set), func() {
-		// The process ends; there is nobody left to tell.
+		// The process is exiting, so the error can no longer be logged.
 		_ = writer.Close()
 	}
 }
--- a/internal/program/cmd/root.go
+++ b/internal/program/cmd/root.go
@@ -1,4 +1,4 @@
-// Package cmd holds the subcommands of oleandershelf, one file each.
+// Package cmd implements the oleandershelf command line, with one file per subcommand.
 package cmd
 
 import (
@@ -18,22 +18,22 @@
 
 // Exit codes of the command line.
 const (
-	// ExitOK: done.
+	// ExitOK: the command succeeded.
 	ExitOK = 0
-	// ExitFailure: something failed; the message says what.
+	// ExitFailure: the command failed for a reason without an exit code of its own; the message on standard error names it.
 	ExitFailure = 1
-	// ExitUsage: the command line, a settings file or a ticket is wrong; nothing was done.
+	// ExitUsage: the command line, a settings file or a ticket file is invalid; nothing was done.
 	ExitUsage = 2
-	// ExitNotRun: the system refused, and the request had no effect.
+	// ExitNotRun: the request was refused and had no effect.
 	ExitNotRun = 3
 	// ExitMayHaveRun: it is unknown whether the request had an effect.
 	ExitMayHaveRun = 4
 )
 
-// errUsage marks errors in what the operator wrote.
+// errUsage marks errors in the command line or in files that it names.
 var errUsage = errors.New("usage")
 
-// Run runs the command line and returns the exit code.
+// Run executes the command line and returns the exit code. SIGINT and SIGTERM cancel the command.
 func Run(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -94,7 +94,7 @@
 	}
 }
 
-// unknownCommand answers a command group without or with an unknown subcommand.
+// unknownCommand prints the help of a command group called without a subcommand, and returns a usage error for an unknown one.
 func unknownCommand(_ context.Context, c *cli.Command) error {
 	if !c.Args().Present() {
 		return cli.ShowSubcommandHelp(c)
@@ -102,7 +102,7 @@
 	return errors.Wrapf(errUsage, "unknown command %q; see %s --help", c.Args().First(), c.FullName())
 }
 
-// oneArgument returns the only argument of a command.
+// oneArgument returns the single argument of a command, or a usage error that describes it as what.
 func oneArgument(c *cli.Command, what string) (string, error) {
 	if c.Args().Len() != 1 {
 		return "", errors.Wrapf(errUsage, "want one argument, %s; have %d", what, c.Args().Len())
--- a/internal/program/cmd/settings.go
+++ b/internal/program/cmd/settings.go
@@ -25,11 +25,11 @@
 func settingsCheckCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "check",
-		Usage:       "check settings files and say what is wrong, with file, line and field",
+		Usage:       "check settings files and report each problem with file, line and field",
 		ArgsUsage:   "FILE…",
 		Description: "Example:\n  oleandershelf settings check --role entry examples/sahil/entry.json",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: flagRole, Value: string(settings.RoleEntry), Usage: "the role that the files are for: entry, agent or gateway"},
+			&cli.StringFlag{Name: flagRole, Value: string(settings.RoleEntry), Usage: "role to check the files for: entry, agent or gateway"},
 		},
 		Action: checkSettings,
 	}
@@ -38,7 +38,7 @@
 func checkSettings(_ context.Context, c *cli.Command) error {
 	role := settings.Role(c.String(flagRole))
 	if role != settings.RoleEntry && role != settings.RoleAgent && role != settings.RoleGateway {
-		return errors.Wrapf(errUsage, "--role is %q; want entry or agent, or gateway", role)
+		return errors.Wrapf(errUsage, "--role is %q; want entry, agent or gateway", role)
 	}
 	if !c.Args().Present() {
 		return errors.Wrap(errUsage, "want at least one settings file")
--- a/internal/program/cmd/soak.go
+++ b/internal/program/cmd/soak.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	flagSeed    = "seed"
-	flagFor     = "for"
-	defaultSoak = 10 * time.Second
+	flagSeed        = "seed"
+	flagFor         = "for"
+	defaultSoakTime = 10 * time.Second
 )
 
-// errBroken is returned if the soak found a broken promise.
-var errBroken = errors.New("a promise was broken")
+// errGuaranteeViolated is returned if the soak test found a violated guarantee.
+var errGuaranteeViolated = errors.New("a guarantee was violated")
 
-// soakCommand runs gateways as processes of their own and disturbs them.
+// soakCommand runs gateways as separate processes and injects faults.
 func soakCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "soak",
-		Usage:       "run three gateways before stand-ins of the platform, disturb them, check the promises, and print what came out",
-		Description: "Exits 0 only if every promise held; else the logs of the gateways are kept. Example:\n  oleandershelf soak --seed 7 --for 30s",
+		Usage:       "run three gateways against a stand-in platform, inject faults, check the guarantees, and print a report",
+		Description: "Exits 0 only if every guarantee held; otherwise the logs of the gateways are kept. Example:\n  oleandershelf soak --seed 7 --for 30s",
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: flagSeed, Usage: "the seed `N` gives the same disturbances each time; absent: another one each time"},
-			&cli.DurationFlag{Name: flagFor, Value: defaultSoak, Usage: "`TIME` for which disturbances begin"},
+			&cli.Uint64Flag{Name: flagSeed, Usage: "seed `N` of the fault schedule; the same seed gives the same schedule, the default is random"},
+			&cli.DurationFlag{Name: flagFor, Value: defaultSoakTime, Usage: "`DURATION` during which new faults are injected"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			seed := c.Uint64(flagSeed)
@@ -42,9 +42,9 @@
 	}
 }
 
-// runSoak plays a plan and writes its page.
+// runSoak executes a plan and writes its report to standard output. It keeps the log folder if a guarantee was violated.
 func runSoak(ctx context.Context, c *cli.Command, p soak.Plan) error {
-	program, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return errors.Wrap(err, "soak")
 	}
@@ -52,8 +52,8 @@
 	if err != nil {
 		return errors.Wrap(err, "soak")
 	}
-	tell := func(line string) { _, _ = fmt.Fprintln(c.Root().ErrWriter, line) }
-	report, err := soak.Run(ctx, soak.Options{Plan: p, Program: program, Folder: folder, Tell: tell})
+	printProgress := func(line string) { _, _ = fmt.Fprintln(c.Root().ErrWriter, line) }
+	report, err := soak.Run(ctx, soak.Options{Plan: p, Program: executable, Folder: folder, Tell: printProgress})
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 		return err
 	}
 	if report.Broken() {
-		return errors.Wrapf(errBroken, "logs in %s", folder)
+		return errors.Wrapf(errGuaranteeViolated, "logs in %s", folder)
 	}
 	return errors.Wrap(os.RemoveAll(folder), "soak")
 }
--- a/internal/program/cmd/standby.go
+++ b/internal/program/cmd/standby.go
@@ -11,8 +11,8 @@
 func standbyCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "standby",
-		Usage:       "hold a host that must run a process of the system and has nothing to do",
-		Description: "It keeps nothing, serves nothing and ends on SIGTERM.\n\nExample:\n  oleandershelf standby",
+		Usage:       "run an idle process, for hosts that must run one but have no work",
+		Description: "It stores nothing, serves nothing and exits on SIGTERM.\n\nExample:\n  oleandershelf standby",
 		Action: func(ctx context.Context, _ *cli.Command) error {
 			process.Standby(ctx)
 			return nil
--- a/internal/program/cmd/standin.go
+++ b/internal/program/cmd/standin.go
@@ -26,26 +26,27 @@
 	flagWeightStore = "weight-store"
 	flagTokenTime   = "token-time"
 	flagSlots       = "slots"
-	queuePerSlot    = 4
+	// queuePerSlot is how many requests an engine queues for each slot.
+	queuePerSlot = 4
 )
 
-// standinCommand runs the stand-ins for outside systems, for tests and trials on one machine.
+// standinCommand runs stand-ins for external systems, for tests on one machine.
 func standinCommand() *cli.Command {
 	return &cli.Command{
 		Name:            "standin",
-		Usage:           "run a stand-in for an outside system: platform, engine, service, scorer or weightstore",
+		Usage:           "run a stand-in for an external system: platform, engine, service, scorer or weightstore",
 		Description:     "Example:\n  oleandershelf standin platform --listen 127.0.0.1:9000",
 		Hidden:          true,
 		HideHelpCommand: true,
 		Action:          unknownCommand,
 		Commands: []*cli.Command{
 			standin("platform", startPlatform,
-				&cli.StringFlag{Name: flagHosts, Usage: "JSON `FILE` with the possible hosts"},
-				&cli.DurationFlag{Name: flagStartup, Usage: "how long an ordered server takes to start"}),
+				&cli.StringFlag{Name: flagHosts, Usage: "JSON `FILE` that lists the hosts on which servers can be started"},
+				&cli.DurationFlag{Name: flagStartup, Usage: "startup time of an ordered server"}),
 			standin("engine", startEngine,
 				&cli.StringFlag{Name: flagWeightStore, Usage: "`URL` of the weight store"},
-				&cli.DurationFlag{Name: flagTokenTime, Value: engine.DefaultTokenTime, Usage: "time of one token"},
-				&cli.IntFlag{Name: flagSlots, Value: engine.DefaultSlots, Usage: "requests that run at a time"}),
+				&cli.DurationFlag{Name: flagTokenTime, Value: engine.DefaultTokenTime, Usage: "time to generate one token"},
+				&cli.IntFlag{Name: flagSlots, Value: engine.DefaultSlots, Usage: "maximum number of concurrent requests"}),
 			standin("service", func(ctx context.Context, l net.Listener, _ *cli.Command) error {
 				_, err := service.New(ctx, l)
 				return err
@@ -62,13 +63,13 @@
 	}
 }
 
-// standin builds the command of one stand-in; it runs until a signal ends it.
+// standin builds the command of one stand-in, which runs until ctx ends.
 func standin(name string, start func(context.Context, net.Listener, *cli.Command) error, flags ...cli.Flag) *cli.Command {
 	return &cli.Command{
 		Name:  name,
 		Usage: "run the stand-in " + name,
 		Flags: append([]cli.Flag{
-			&cli.StringFlag{Name: flagListen, Required: true, Usage: "`ADDRESS` with port; a loopback address"},
+			&cli.StringFlag{Name: flagListen, Required: true, Usage: "loopback `ADDRESS` with port"},
 		}, flags...),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			address, err := netip.ParseAddrPort(c.String(flagListen))
@@ -76,11 +77,11 @@
 				return errors.Wrapf(errUsage, "--listen is %q; want a loopback address with port", c.String(flagListen))
 			}
 			var config net.ListenConfig
-			l, err := config.Listen(ctx, "tcp", address.String())
+			listener, err := config.Listen(ctx, "tcp", address.String())
 			if err != nil {
 				return errors.Wrap(err, name)
 			}
-			if err := start(ctx, l, c); err != nil {
+			if err := start(ctx, listener, c); err != nil {
 				return errors.Wrap(err, name)
 			}
 			<-ctx.Done()
--- a/internal/program/cmd/state.go
+++ b/internal/program/cmd/state.go
@@ -17,7 +17,7 @@
 		Name:        "state",
 		Usage:       "print the state of a running process, as JSON",
 		ArgsUsage:   "URL",
-		Description: "URL is the process's adminListen address.\n\nExample:\n  oleandershelf state http://127.0.0.1:8082",
+		Description: "URL is the address that adminListen sets for the process.\n\nExample:\n  oleandershelf state http://127.0.0.1:8082",
 		Action: func(_ context.Context, c *cli.Command) error {
 			url, err := oneArgument(c, "the URL of a process's adminListen")
 			if err != nil {
@@ -28,9 +28,9 @@
 				return errors.Wrapf(err, "%s", url)
 			}
 			if status != http.StatusOK {
-				return errors.Errorf("%s answered %d: %s", url, status, body)
+				return errors.Errorf("%s responded with status %d: %s", url, status, body)
 			}
-			return printRaw(c.Root().Writer, body)
+			return printLine(c.Root().Writer, body)
 		},
 	}
 }
--- a/internal/program/cmd/ticket.go
+++ b/internal/program/cmd/ticket.go
@@ -37,24 +37,25 @@
 func entryFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: flagEntry, Value: "http://127.0.0.1:8080", Usage: "`URL` of an entry"},
-		&cli.StringFlag{Name: flagKeyFile, Usage: "`FILE` that holds the operator's key, where entries ask for one"},
+		&cli.StringFlag{Name: flagKeyFile, Usage: "`FILE` with the operator's key, if the entries require one"},
 	}
 }
 
-// ticketStatus is the answer of an entry about a ticket.
+// ticketStatus is the state of a ticket as an entry reports it.
 type ticketStatus struct {
 	Number   int  `json:"number"`
 	Accepted bool `json:"accepted"`
-	// Share is the share of hosts where the ticket is in force, 0 to 1.
+	// Share is the fraction of hosts on which the ticket is in force, from 0 to 1.
 	Share float64 `json:"share"`
 }
 
-// operatorClient sends one operator's request to an entry.
+// operatorClient sends an operator's requests to an entry; key may be empty.
 type operatorClient struct {
 	entry string
 	key   string
 }
 
+// newOperatorClient builds a client from the flags of entryFlags.
 func newOperatorClient(c *cli.Command) (operatorClient, error) {
 	client := operatorClient{entry: c.String(flagEntry)}
 	path := c.String(flagKeyFile)
@@ -76,8 +77,8 @@
 	return data
 }
 
-// ticket sends one request about the ticket and returns the entry's answer.
-func (o operatorClient) ticket(ctx context.Context, method string, number int, body []byte) ([]byte, error) {
+// requestTicket sends one request about a ticket and returns the response body.
+func (o operatorClient) requestTicket(ctx context.Context, method string, number int, body []byte) ([]byte, error) {
 	request := fasthttp.AcquireRequest()
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -88,60 +89,62 @@
 		request.Header.Set("Authorization", "Bearer "+o.key)
 	}
 	request.SetBody(body)
-	end, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok {
-		end = time.Now().Add(operatorTimeout)
+		deadline = time.Now().Add(operatorTimeout)
 	}
-	// A ticket sent twice is accepted once, but the client must not hide a lost answer behind its own retry.
+	// Applying a ticket twice is harmless, but an automatic retry would hide from the operator that a response was lost.
 	client := &fasthttp.Client{MaxIdemponentCallAttempts: 1, RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }}
-	if err := client.DoDeadline(request, response, end); err != nil {
-		return nil, unsettled(method, number, err)
+	if err := client.DoDeadline(request, response, deadline); err != nil {
+		return nil, requestError(method, number, err)
 	}
 	if response.StatusCode() != http.StatusOK {
-		return nil, refused(response.StatusCode(), response.Body())
+		return nil, refusalError(response.StatusCode(), response.Body())
 	}
 	return append([]byte(nil), response.Body()...), nil
 }
 
-// unsettled says what a lost answer means: a ticket may have been accepted, a question had no effect.
-func unsettled(method string, number int, err error) error {
+// requestError classifies a request without a response: a read had no effect, a ticket that reached the entry may have been accepted.
+func requestError(method string, number int, err error) error {
 	if method == http.MethodGet {
 		return errors.Wrapf(err, "ticket %d", number)
 	}
-	var dial *net.OpError
-	if errors.As(err, &dial) && dial.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonNoServer, 0, "ticket %d was not sent: %v", number, err)
 	}
 	return verdict.Refuse(verdict.MayHaveRun, verdict.ReasonTicketUnsettled, time.Second,
 		"ticket %d: %v; apply it again with the same number and content, which is harmless", number, err)
 }
 
-func refused(status int, body []byte) error {
-	var answer struct {
+// refusalError decodes the body of a response with an error status.
+func refusalError(status int, body []byte) error {
+	var refusal struct {
 		Verdict           verdict.Verdict `json:"verdict"`
 		Reason            verdict.Reason  `json:"reason"`
 		Detail            string          `json:"detail"`
 		RetryAfterSeconds int             `json:"retryAfterSeconds"`
 	}
-	if err := json.Unmarshal(body, &answer); err != nil {
-		return errors.Errorf("the entry answered %d: %s", status, body)
+	if err := json.Unmarshal(body, &refusal); err != nil {
+		return errors.Errorf("the entry responded with status %d: %s", status, body)
 	}
-	return verdict.Refuse(answer.Verdict, answer.Reason, time.Duration(answer.RetryAfterSeconds)*time.Second, "%s", answer.Detail)
+	return verdict.Refuse(refusal.Verdict, refusal.Reason, time.Duration(refusal.RetryAfterSeconds)*time.Second, "%s", refusal.Detail)
 }
 
-func numberArgument(c *cli.Command) (int, error) {
+func ticketNumberArgument(c *cli.Command) (int, error) {
 	text, err := oneArgument(c, "the ticket's number")
 	if err != nil {
 		return 0, err
 	}
 	number, err := strconv.Atoi(text)
 	if err != nil || number < 1 {
-		return 0, errors.Wrapf(errUsage, "a ticket has a number from 1, not %q", text)
+		return 0, errors.Wrapf(errUsage, "the ticket number must be 1 or more, not %q", text)
 	}
 	return number, nil
 }
 
-func printRaw(out io.Writer, body []byte) error {
+// printLine writes body and a newline.
+func printLine(out io.Writer, body []byte) error {
 	_, err := out.Write(append(body, '\n'))
 	return err
 }
--- a/internal/program/cmd/ticketapply.go
+++ b/internal/program/cmd/ticketapply.go
@@ -16,10 +16,10 @@
 func ticketApplyCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "apply",
-		Usage:       "apply a ticket; the same number and content again is harmless",
+		Usage:       "apply a ticket; applying the same number and content again is harmless",
 		ArgsUsage:   "FILE",
 		Description: "FILE is JSON with comments. It is checked before anything is sent.\n\nExample:\n  oleandershelf ticket apply --number 1 examples/sahil/ticket-1.json",
-		Flags:       append(entryFlags(), &cli.IntFlag{Name: flagNumber, Required: true, Usage: "the ticket's `NUMBER`, one above the last"}),
+		Flags:       append(entryFlags(), &cli.IntFlag{Name: flagNumber, Required: true, Usage: "`NUMBER` of the ticket, one more than the last ticket's"}),
 		Action:      applyTicket,
 	}
 }
@@ -41,14 +41,14 @@
 	if number < 1 {
 		return errors.Wrapf(errUsage, "--number is %d; want 1 or more", number)
 	}
-	if _, err := client.ticket(ctx, http.MethodPost, number, body); err != nil {
+	if _, err := client.requestTicket(ctx, http.MethodPost, number, body); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(c.Root().Writer, "ticket %d accepted\n", number)
 	return err
 }
 
-// readTicket reads and checks a ticket file and returns it as plain JSON.
+// readTicket reads and validates a ticket file and returns it as JSON without comments.
 func readTicket(path string) ([]byte, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/program/cmd/ticketshow.go
+++ b/internal/program/cmd/ticketshow.go
@@ -10,12 +10,12 @@
 func ticketShowCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "show",
-		Usage:       "print what an entry knows about a ticket, as JSON",
+		Usage:       "print a ticket and its state, as an entry reports them, in JSON",
 		ArgsUsage:   "NUMBER",
 		Description: "Example:\n  oleandershelf ticket show --entry http://127.0.0.1:8080 1",
 		Flags:       entryFlags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
-			number, err := numberArgument(c)
+			number, err := ticketNumberArgument(c)
 			if err != nil {
 				return err
 			}
@@ -23,11 +23,11 @@
 			if err != nil {
 				return err
 			}
-			body, err := client.ticket(ctx, http.MethodGet, number, nil)
+			body, err := client.requestTicket(ctx, http.MethodGet, number, nil)
 			if err != nil {
 				return err
 			}
-			return printRaw(c.Root().Writer, body)
+			return printLine(c.Root().Writer, body)
 		},
 	}
 }
--- a/internal/program/cmd/ticketstatus.go
+++ b/internal/program/cmd/ticketstatus.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	flagWait       = "wait"
-	statusInterval = 200 * time.Millisecond
+	flagWait           = "wait"
+	statusPollInterval = 200 * time.Millisecond
 )
 
 func ticketStatusCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "status",
-		Usage:       "say whether a ticket is accepted and on which share of hosts it is in force",
+		Usage:       "print whether a ticket is accepted and the percentage of hosts on which it is in force",
 		ArgsUsage:   "NUMBER",
 		Description: "Example:\n  oleandershelf ticket status --wait 10s 1",
 		Flags: append(entryFlags(),
@@ -28,8 +28,9 @@
 	}
 }
 
+// showStatus prints the status of a ticket once it is in force on all hosts or the wait time is over.
 func showStatus(ctx context.Context, c *cli.Command) error {
-	number, err := numberArgument(c)
+	number, err := ticketNumberArgument(c)
 	if err != nil {
 		return err
 	}
@@ -37,31 +38,31 @@
 	if err != nil {
 		return err
 	}
-	end := time.Now().Add(c.Duration(flagWait))
+	deadline := time.Now().Add(c.Duration(flagWait))
 	for {
 		status, err := client.status(ctx, number)
 		if err != nil {
 			return err
 		}
-		if status.Share >= 1 || !time.Now().Before(end) {
+		if status.Share >= 1 || !time.Now().Before(deadline) {
 			return printStatus(c, status)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(statusInterval):
+		case <-time.After(statusPollInterval):
 		}
 	}
 }
 
 func (o operatorClient) status(ctx context.Context, number int) (ticketStatus, error) {
-	body, err := o.ticket(ctx, http.MethodGet, number, nil)
+	body, err := o.requestTicket(ctx, http.MethodGet, number, nil)
 	if err != nil {
 		return ticketStatus{}, err
 	}
 	var status ticketStatus
 	if err := json.Unmarshal(body, &status); err != nil {
-		return ticketStatus{}, errors.Wrapf(err, "ticket %d: the entry's answer", number)
+		return ticketStatus{}, errors.Wrapf(err, "ticket %d: decode the entry's response", number)
 	}
 	return status, nil
 }
--- a/internal/program/cmd/version.go
+++ b/internal/program/cmd/version.go
@@ -8,7 +8,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Version is set at release by the linker.
+// Version is the version of the program; release builds set it through the linker.
 var Version = "development"
 
 func versionCommand() *cli.Command {
