--- a/internal/program/settings/field.go
+++ b/internal/program/settings/field.go
@@ -15,54 +15,54 @@
 	"github.com/rs/zerolog"
 )
 
-// field is one setting: what is right, and how it is read.
+// field describes one setting: want states the valid values in error messages, and set decodes a value into Settings.
 type field struct {
 	want string
-	set  func(set *Settings, raw json.RawMessage) error
+	set  func(s *Settings, raw json.RawMessage) error
 }
 
 const (
-	wantAddress = `an address with port, such as "127.0.0.1:8080"`
-	wantName    = `a name of letters, digits, "-", "_" and ".", such as "om-north-a"`
-	wantTime    = `a positive duration, such as "90s"`
-	wantFile    = `the path of a file that can be read`
-	wantURL     = `a URL, such as "http://10.0.0.5:9000"`
+	wantAddress  = `an address with port, such as "127.0.0.1:8080"`
+	wantName     = `a name of letters, digits, "-", "_" and ".", such as "om-north-a"`
+	wantDuration = `a positive duration, such as "90s"`
+	wantFile     = `the path of a file that can be read`
+	wantURL      = `a URL, such as "http://10.0.0.5:9000"`
 )
 
 var (
-	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
-	hashPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
-	errValue    = errors.New("value out of range")
+	namePattern     = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
+	hashPattern     = regexp.MustCompile(`^[0-9a-f]{64}$`)
+	errInvalidValue = errors.New("value out of range")
 )
 
 var fields = map[string]field{
-	"listen":             {wantAddress, address(func(s *Settings) *netip.AddrPort { return &s.Listen })},
-	"peerListen":         {wantAddress, address(func(s *Settings) *netip.AddrPort { return &s.PeerListen })},
-	"peerAdvertise":      {wantAddress, address(func(s *Settings) *netip.AddrPort { return &s.PeerAdvertise })},
-	"adminListen":        {wantAddress, address(func(s *Settings) *netip.AddrPort { return &s.AdminListen })},
-	"availabilityZone":   {wantName, text(validName, func(s *Settings) *string { return &s.AvailabilityZone })},
-	"hostId":             {wantName, text(validName, func(s *Settings) *string { return &s.HostID })},
-	"platformUrl":        {wantURL, text(validURL, func(s *Settings) *string { return &s.PlatformURL })},
-	"dataFolder":         {`the path of a folder`, text(notEmpty, func(s *Settings) *string { return &s.DataFolder })},
+	"listen":             {wantAddress, addressSetter(func(s *Settings) *netip.AddrPort { return &s.Listen })},
+	"peerListen":         {wantAddress, addressSetter(func(s *Settings) *netip.AddrPort { return &s.PeerListen })},
+	"peerAdvertise":      {wantAddress, addressSetter(func(s *Settings) *netip.AddrPort { return &s.PeerAdvertise })},
+	"adminListen":        {wantAddress, addressSetter(func(s *Settings) *netip.AddrPort { return &s.AdminListen })},
+	"availabilityZone":   {wantName, textSetter(validName, func(s *Settings) *string { return &s.AvailabilityZone })},
+	"hostId":             {wantName, textSetter(validName, func(s *Settings) *string { return &s.HostID })},
+	"platformUrl":        {wantURL, textSetter(validURL, func(s *Settings) *string { return &s.PlatformURL })},
+	"dataFolder":         {`the path of a folder`, textSetter(notEmpty, func(s *Settings) *string { return &s.DataFolder })},
 	"logLevel":           {`one of "debug", "info", "warn", "error"`, setLogLevel},
-	"pool":               {wantName, text(validName, func(s *Settings) *string { return &s.Pool })},
-	"serverUrl":          {wantURL, text(validURL, func(s *Settings) *string { return &s.ServerURL })},
-	"peerSecret":         {`a string of at least 16 characters`, text(longEnough, func(s *Settings) *string { return &s.PeerSecret })},
-	"tlsCertificateFile": {wantFile, text(readable, func(s *Settings) *string { return &s.TLSCertificateFile })},
-	"tlsKeyFile":         {wantFile, text(readable, func(s *Settings) *string { return &s.TLSKeyFile })},
-	"tlsAuthorityFile":   {wantFile, text(readable, func(s *Settings) *string { return &s.TLSAuthorityFile })},
+	"pool":               {wantName, textSetter(validName, func(s *Settings) *string { return &s.Pool })},
+	"serverUrl":          {wantURL, textSetter(validURL, func(s *Settings) *string { return &s.ServerURL })},
+	"peerSecret":         {`a string of at least 16 characters`, textSetter(validSecret, func(s *Settings) *string { return &s.PeerSecret })},
+	"tlsCertificateFile": {wantFile, textSetter(isReadable, func(s *Settings) *string { return &s.TLSCertificateFile })},
+	"tlsKeyFile":         {wantFile, textSetter(isReadable, func(s *Settings) *string { return &s.TLSKeyFile })},
+	"tlsAuthorityFile":   {wantFile, textSetter(isReadable, func(s *Settings) *string { return &s.TLSAuthorityFile })},
 	"operatorKeyHashes":  {`a list of SHA-256 sums in lower-case hexadecimal`, setOperatorKeys},
 	"usageWindow":        {`a duration of whole seconds, such as "1h"`, setUsageWindow},
-	"leaveDelay":         {wantTime, duration(func(s *Settings) *time.Duration { return &s.LeaveDelay })},
-	"drainTime":          {wantTime, duration(func(s *Settings) *time.Duration { return &s.DrainTime })},
-	"weightSpread":       {wantTime, duration(func(s *Settings) *time.Duration { return &s.WeightSpread })},
-	"reportsUrl":         {wantURL, text(validURL, func(s *Settings) *string { return &s.ReportsURL })},
+	"leaveDelay":         {wantDuration, durationSetter(func(s *Settings) *time.Duration { return &s.LeaveDelay })},
+	"drainTime":          {wantDuration, durationSetter(func(s *Settings) *time.Duration { return &s.DrainTime })},
+	"weightSpread":       {wantDuration, durationSetter(func(s *Settings) *time.Duration { return &s.WeightSpread })},
+	"reportsUrl":         {wantURL, textSetter(validURL, func(s *Settings) *string { return &s.ReportsURL })},
 	"seeds":              {`a list of addresses with ports`, setSeeds},
 	"processorCores":     {`a number of cores from 0.01 to 1024, such as 0.5`, setProcessorCores},
 	"bodyLimitBytes":     {`a whole number of bytes from 1024 to 1073741824`, setBodyLimit},
 }
 
-// gatewayFields have a meaning for gateways only.
+// gatewayFields apply to gateways only.
 var gatewayFields = []string{"peerAdvertise", "processorCores", "reportsUrl", "seeds"}
 
 // knownFields returns the fields that may be set for the role, sorted.
@@ -77,75 +77,78 @@
 	return names
 }
 
-// decode reads one value strictly.
+// decode decodes one JSON value and rejects unknown fields and null.
 func decode[T any](raw json.RawMessage) (T, error) {
 	var value T
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(&value)
 	if err == nil && string(raw) == "null" {
-		err = errValue
+		err = errInvalidValue
 	}
 	return value, err
 }
 
-func text(valid func(string) bool, target func(*Settings) *string) func(*Settings, json.RawMessage) error {
-	return func(set *Settings, raw json.RawMessage) error {
+// textSetter returns a setter for a string that valid accepts.
+func textSetter(valid func(string) bool, target func(*Settings) *string) func(*Settings, json.RawMessage) error {
+	return func(s *Settings, raw json.RawMessage) error {
 		value, err := decode[string](raw)
 		if err != nil {
 			return err
 		}
 		if !valid(value) {
-			return errValue
+			return errInvalidValue
 		}
-		*target(set) = value
+		*target(s) = value
 		return nil
 	}
 }
 
-func address(target func(*Settings) *netip.AddrPort) func(*Settings, json.RawMessage) error {
-	return func(set *Settings, raw json.RawMessage) error {
+// addressSetter returns a setter for an IP address with port.
+func addressSetter(target func(*Settings) *netip.AddrPort) func(*Settings, json.RawMessage) error {
+	return func(s *Settings, raw json.RawMessage) error {
 		value, err := decode[netip.AddrPort](raw)
 		if err != nil {
 			return err
 		}
 		if !value.IsValid() {
-			return errValue
+			return errInvalidValue
 		}
-		*target(set) = value
+		*target(s) = value
 		return nil
 	}
 }
 
-func duration(target func(*Settings) *time.Duration) func(*Settings, json.RawMessage) error {
-	return func(set *Settings, raw json.RawMessage) error {
-		written, err := decode[string](raw)
+// durationSetter returns a setter for a positive duration in the format of time.ParseDuration.
+func durationSetter(target func(*Settings) *time.Duration) func(*Settings, json.RawMessage) error {
+	return func(s *Settings, raw json.RawMessage) error {
+		text, err := decode[string](raw)
 		if err != nil {
 			return err
 		}
-		value, err := time.ParseDuration(written)
+		value, err := time.ParseDuration(text)
 		if err != nil {
 			return err
 		}
 		if value <= 0 {
-			return errValue
+			return errInvalidValue
 		}
-		*target(set) = value
+		*target(s) = value
 		return nil
 	}
 }
 
-func setUsageWindow(set *Settings, raw json.RawMessage) error {
-	if err := duration(func(s *Settings) *time.Duration { return &s.UsageWindow })(set, raw); err != nil {
+func setUsageWindow(s *Settings, raw json.RawMessage) error {
+	if err := durationSetter(func(s *Settings) *time.Duration { return &s.UsageWindow })(s, raw); err != nil {
 		return err
 	}
-	if set.UsageWindow%time.Second != 0 {
-		return errValue
+	if s.UsageWindow%time.Second != 0 {
+		return errInvalidValue
 	}
 	return nil
 }
 
-func setLogLevel(set *Settings, raw json.RawMessage) error {
+func setLogLevel(s *Settings, raw json.RawMessage) error {
 	name, err := decode[string](raw)
 	if err != nil {
 		return err
@@ -158,47 +161,47 @@
 	}
 	level, known := levels[name]
 	if !known {
-		return errValue
+		return errInvalidValue
 	}
-	set.LogLevel = level
+	s.LogLevel = level
 	return nil
 }
 
-func setOperatorKeys(set *Settings, raw json.RawMessage) error {
+func setOperatorKeys(s *Settings, raw json.RawMessage) error {
 	hashes, err := decode[[]string](raw)
 	if err != nil {
 		return err
 	}
 	for _, hash := range hashes {
 		if !hashPattern.MatchString(hash) {
-			return errValue
+			return errInvalidValue
 		}
 	}
-	set.OperatorKeyHashes = hashes
+	s.OperatorKeyHashes = hashes
 	return nil
 }
 
-func setBodyLimit(set *Settings, raw json.RawMessage) error {
+func setBodyLimit(s *Settings, raw json.RawMessage) error {
 	limit, err := decode[int](raw)
 	if err != nil {
 		return err
 	}
 	if limit < 1<<10 || limit > 1<<30 {
-		return errValue
+		return errInvalidValue
 	}
-	set.BodyLimitBytes = limit
+	s.BodyLimitBytes = limit
 	return nil
 }
 
-func setProcessorCores(set *Settings, raw json.RawMessage) error {
+func setProcessorCores(s *Settings, raw json.RawMessage) error {
 	cores, err := decode[float64](raw)
 	if err != nil {
 		return err
 	}
 	if cores < 0.01 || cores > 1024 {
-		return errValue
+		return errInvalidValue
 	}
-	set.ProcessorCores = cores
+	s.ProcessorCores = cores
 	return nil
 }
 
@@ -206,14 +209,14 @@
 
 func notEmpty(value string) bool { return value != "" }
 
-func longEnough(value string) bool { return len(value) >= minSecretLength }
+func validSecret(value string) bool { return len(value) >= minSecretLength }
 
 func validURL(value string) bool {
 	parsed, err := url.Parse(value)
 	return err == nil && parsed.Host != "" && (parsed.Scheme == "http" || parsed.Scheme == "https")
 }
 
-func readable(path string) bool {
+func isReadable(path string) bool {
 	file, err := os.Open(path)
 	if err != nil {
 		return false
@@ -221,11 +224,11 @@
 	return file.Close() == nil
 }
 
-func setSeeds(set *Settings, raw json.RawMessage) error {
+func setSeeds(s *Settings, raw json.RawMessage) error {
 	seeds, err := decode[[]netip.AddrPort](raw)
 	if err != nil {
 		return err
 	}
-	set.Seeds = seeds
+	s.Seeds = seeds
 	return nil
 }
--- a/internal/program/settings/settings.go
+++ b/internal/program/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of one process: JSON with comments, in which an unknown,
-// ill-typed or contradictory field is refused with file, line and field.
+// Package settings reads the settings file of a process: JSON with comments. Unknown, invalid and
+// contradictory fields are rejected with file, line and field.
 package settings
 
 import (
@@ -11,14 +11,14 @@
 	"github.com/rs/zerolog"
 )
 
-// Role is the process for which settings are read.
+// Role is the kind of process that reads the settings.
 type Role string
 
-// The roles that read settings.
+// The kinds of process that have settings.
 const (
 	RoleEntry Role = "entry"
 	RoleAgent Role = "agent"
-	// RoleGateway is an entry that calls backend servers itself.
+	// RoleGateway is an entry that calls backend servers directly, without agents.
 	RoleGateway Role = "gateway"
 )
 
@@ -29,31 +29,31 @@
 	DefaultLeaveDelay     = 3 * time.Second
 	DefaultBodyLimitBytes = 4 << 20
 	minSecretLength       = 16
-	// loopbackSecret serves processes that listen on loopback addresses only, where no other host can connect.
+	// loopbackSecret is the default peer secret of a process whose PeerListen is a loopback address, where no other host can connect.
 	loopbackSecret = "loopback-only-peer-secret"
 )
 
-// Settings are what a process is told at its start; all else comes from the platform.
+// Settings are the local settings of a process, read at its start. All other configuration comes from the platform.
 type Settings struct {
-	// Listen takes callers, trainers and operators (entry only).
+	// Listen is the address that callers, trainers and operators connect to (not for agents).
 	Listen netip.AddrPort
-	// PeerListen takes connections of the system's other processes.
+	// PeerListen is the address that the other processes of the deployment connect to.
 	PeerListen netip.AddrPort
-	// PeerAdvertise is where the other entries reach PeerListen, if that is another address (gateway only).
+	// PeerAdvertise is the address at which other entries reach this one, if it differs from PeerListen (gateway only).
 	PeerAdvertise netip.AddrPort
-	// AdminListen takes /metrics, /healthz, /readyz and /debug/state.
+	// AdminListen is the address that serves /metrics, /healthz, /readyz and /debug/state.
 	AdminListen      netip.AddrPort
 	AvailabilityZone string
 	HostID           string
 	PlatformURL      string
-	// DataFolder is the one folder for bulk data; empty on hosts that keep nothing.
+	// DataFolder is the folder for bulk data; empty on hosts that store none.
 	DataFolder string
 	LogLevel   zerolog.Level
-	// Pool and ServerURL name the agent's backend server.
+	// Pool and ServerURL are the pool and the URL of the agent's backend server.
 	Pool      string
 	ServerURL string
-	// WeightSpread is the time over which the agents of a model load announced weights, each at its own
-	// moment, so that a rate-limited weight store isn't asked by all at once; 0 is at once.
+	// WeightSpread is the time over which the agents of a model stagger loading announced weights, so that they
+	// don't all call a rate-limited weight store at once; with 0 they load at once.
 	WeightSpread time.Duration
 	// PeerSecret is shared by all processes of one deployment.
 	PeerSecret string
@@ -61,24 +61,24 @@
 	TLSCertificateFile string
 	TLSKeyFile         string
 	TLSAuthorityFile   string
-	// OperatorKeyHashes are SHA-256 sums of the keys that may apply tickets; empty leaves the ticket interface open.
+	// OperatorKeyHashes are the SHA-256 sums of the keys that may apply tickets; if empty, no key is required.
 	OperatorKeyHashes []string
 	UsageWindow       time.Duration
-	// ProcessorCores is the processor time that the process has, in cores; 0 if it isn't said. Entries with less than half of what
-	// the largest one has don't run batch jobs.
+	// ProcessorCores is the CPU time available to the process, in cores; 0 if unknown. Entries with less than half as much as
+	// the largest entry don't run batch jobs.
 	ProcessorCores float64
-	// LeaveDelay is how long a leaving process still takes requests while the balancer and its peers learn of it.
+	// LeaveDelay is how long a process that shuts down still accepts requests while the load balancer and its peers learn of it.
 	LeaveDelay time.Duration
 	// DrainTime bounds a graceful shutdown.
 	DrainTime      time.Duration
 	BodyLimitBytes int
-	// ReportsURL is where the platform takes usage reports (gateway only).
+	// ReportsURL is where usage reports are sent (gateway only).
 	ReportsURL string
-	// Seeds are addresses at which other entries may be (gateway only).
+	// Seeds are addresses at which to look for other entries (gateway only).
 	Seeds []netip.AddrPort
 }
 
-// PeerAddress is where the other entries reach this one.
+// PeerAddress returns the address at which the other entries reach this one.
 func (s *Settings) PeerAddress() netip.AddrPort {
 	if s.PeerAdvertise.IsValid() {
 		return s.PeerAdvertise
@@ -86,7 +86,7 @@
 	return s.PeerListen
 }
 
-// Load reads the file and checks it for the role.
+// Load reads a settings file and validates it for the role.
 func Load(path string, role Role) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -95,25 +95,25 @@
 	return Parse(path, data, role)
 }
 
-// Parse checks the content of the file named path for the role. All problems come in one error, sorted by line.
+// Parse parses and validates data for the role; path is the file name in error messages. The error lists all problems, sorted by line.
 func Parse(path string, data []byte, role Role) (Settings, error) {
 	doc, err := parseDocument(path, data)
 	if err != nil {
 		return Settings{}, err
 	}
-	set := Settings{
+	s := Settings{
 		LogLevel:       zerolog.InfoLevel,
 		UsageWindow:    DefaultUsageWindow,
 		LeaveDelay:     DefaultLeaveDelay,
 		DrainTime:      DefaultDrainTime,
 		BodyLimitBytes: DefaultBodyLimitBytes,
 	}
-	doc.apply(&set, role)
-	set.check(doc, role)
-	if set.PeerSecret == "" && set.PeerListen.Addr().IsLoopback() {
-		set.PeerSecret = loopbackSecret
+	doc.apply(&s, role)
+	s.check(doc, role)
+	if s.PeerSecret == "" && s.PeerListen.Addr().IsLoopback() {
+		s.PeerSecret = loopbackSecret
 	}
-	return set, doc.problems()
+	return s, doc.err()
 }
 
 func (s *Settings) check(doc *document, role Role) {
@@ -121,13 +121,13 @@
 	switch role {
 	case RoleEntry:
 		required = append(required, "listen")
-		doc.refuseFor(role, "pool", "serverUrl", "weightSpread", "reportsUrl", "seeds")
+		doc.rejectForRole(role, "pool", "serverUrl", "weightSpread", "reportsUrl", "seeds")
 	case RoleAgent:
 		required = append(required, "pool", "serverUrl")
-		doc.refuseFor(role, "listen", "operatorKeyHashes", "bodyLimitBytes", "reportsUrl", "seeds")
+		doc.rejectForRole(role, "listen", "operatorKeyHashes", "bodyLimitBytes", "reportsUrl", "seeds")
 	case RoleGateway:
 		required = append(required, "listen", "reportsUrl")
-		doc.refuseFor(role, "pool", "serverUrl", "weightSpread", "operatorKeyHashes", "dataFolder")
+		doc.rejectForRole(role, "pool", "serverUrl", "weightSpread", "operatorKeyHashes", "dataFolder")
 	}
 	doc.require(required...)
 	s.checkSecret(doc)
@@ -139,40 +139,40 @@
 	if doc.has("peerSecret") || !s.PeerListen.IsValid() || s.PeerListen.Addr().IsLoopback() {
 		return
 	}
-	doc.refuse("peerListen", "%s is reached by other hosts, so peerSecret must be set to a secret of at least %d characters, the same on all hosts", s.PeerListen, minSecretLength)
+	doc.addProblem("peerListen", "%s can be reached by other hosts, so peerSecret must be set to a secret of at least %d characters, the same on all hosts", s.PeerListen, minSecretLength)
 }
 
 func (s *Settings) checkAddresses(doc *document) {
 	seen := map[netip.AddrPort]string{}
-	for _, field := range []struct {
+	for _, listener := range []struct {
 		name string
 		addr netip.AddrPort
 	}{{"listen", s.Listen}, {"peerListen", s.PeerListen}, {"adminListen", s.AdminListen}} {
-		if !field.addr.IsValid() || field.addr.Port() == 0 {
+		if !listener.addr.IsValid() || listener.addr.Port() == 0 {
 			continue
 		}
-		if other, taken := seen[field.addr]; taken {
-			doc.refuse(field.name, "%s is the address of %s too; each needs its own port", field.addr, other)
+		if other, taken := seen[listener.addr]; taken {
+			doc.addProblem(listener.name, "%s is also the address of %s; each needs its own port", listener.addr, other)
 			continue
 		}
-		seen[field.addr] = field.name
+		seen[listener.addr] = listener.name
 	}
 }
 
 func (s *Settings) checkTLS(doc *document) {
 	names := []string{"tlsCertificateFile", "tlsKeyFile", "tlsAuthorityFile"}
-	set := 0
+	count := 0
 	for _, name := range names {
 		if doc.has(name) {
-			set++
+			count++
 		}
 	}
-	if set == 0 || set == len(names) {
+	if count == 0 || count == len(names) {
 		return
 	}
 	for _, name := range names {
 		if doc.has(name) {
-			doc.refuse(name, "TLS needs all of tlsCertificateFile, tlsKeyFile and tlsAuthorityFile, or none")
+			doc.addProblem(name, "TLS needs all of tlsCertificateFile, tlsKeyFile and tlsAuthorityFile, or none")
 			return
 		}
 	}
--- a/internal/program/settings/settings_test.go
+++ b/internal/program/settings/settings_test.go
@@ -11,14 +11,14 @@
 	"github.com/pkg/errors"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// A broken settings file must be refused before anything starts, with file, line, field and what would be
-// right; an operator who restarts a host at night has only this message.
-func TestBrokenFilesAreRefused(t *testing.T) {
+// Guards against error messages that don't tell an operator how to fix a settings file: each problem must be
+// reported with file, line, field and the valid values, since the message is all that the operator sees.
+func TestInvalidFilesAreRejected(t *testing.T) {
 	files, err := filepath.Glob("testdata/broken/*.json")
 	if err != nil || len(files) < 10 {
-		t.Fatalf("broken files: %d, %v", len(files), err)
+		t.Fatalf("want at least 10 invalid files, have %d, %v", len(files), err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -41,7 +41,7 @@
 				t.Errorf("message (-want +have):\n%s", diff)
 			}
 			if strings.Contains(have, "hunter2") {
-				t.Error("the message shows a secret")
+				t.Error("the message contains a secret")
 			}
 		})
 	}
@@ -59,7 +59,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			files, err := filepath.Glob(test.pattern)
 			if err != nil || len(files) < 2 {
-				t.Fatalf("examples: %d, %v", len(files), err)
+				t.Fatalf("want at least 2 examples, have %d, %v", len(files), err)
 			}
 			for _, file := range files {
 				if _, err := Load(file, test.role); err != nil {
@@ -70,24 +70,24 @@
 	}
 }
 
-// A gateway behind address translation listens where no other host can reach it. The others must be told the address that
-// they can reach, and the one that it listens on where nothing else is set.
-func TestPeersAreToldWhereToReachAGateway(t *testing.T) {
+// Guards against a gateway behind address translation that announces an address no other host can reach: it must announce
+// peerAdvertise if that is set, else peerListen.
+func TestPeerAddressPrefersPeerAdvertise(t *testing.T) {
 	const base = `{"hostId": "a", "availabilityZone": "z", "listen": "127.0.0.1:1", "peerListen": "127.0.0.1:2", "adminListen": "127.0.0.1:3",
 		"platformUrl": "http://127.0.0.1:4", "reportsUrl": "http://127.0.0.1:5"`
 	for advertised, want := range map[string]string{"": "127.0.0.1:2", `, "peerAdvertise": "127.0.0.9:9"`: "127.0.0.9:9"} {
 		set, err := Parse("gateway.json", []byte(base+advertised+"}"), RoleGateway)
 		if err != nil || set.PeerAddress().String() != want {
-			t.Errorf("%q: told %v, %v; want %s", advertised, set.PeerAddress(), err, want)
+			t.Errorf("%q: peer address %v, %v; want %s", advertised, set.PeerAddress(), err, want)
 		}
 	}
 	if _, err := Parse("entry.json", []byte(base+`, "peerAdvertise": "127.0.0.9:9"}`), RoleEntry); !errors.Is(err, ErrInvalid) {
-		t.Errorf("an entry took a field of gateways: %v", err)
+		t.Errorf("an entry accepted a field for gateways only: %v", err)
 	}
 }
 
-// Whatever stands in a settings file, the process must not end by a panic, an error must name the file, and
-// settings without an error must have all that their role needs.
+// For any file content, Parse must not panic, an error must name the file, and settings without an error must
+// have every field that the role requires.
 func FuzzParse(f *testing.F) {
 	files, err := filepath.Glob("testdata/broken/*.json")
 	if err != nil {
@@ -109,7 +109,7 @@
 			return
 		}
 		if set.HostID == "" || !set.Listen.IsValid() || !set.PeerListen.IsValid() || set.PeerSecret == "" {
-			t.Errorf("accepted without what an entry needs: %q", data)
+			t.Errorf("accepted without the fields that an entry requires: %q", data)
 		}
 	})
 }
