--- a/internal/program/binary/binary.go
+++ b/internal/program/binary/binary.go
@@ -1,4 +1,4 @@
-// Package binary builds the program for tests that run it as processes of its own.
+// Package binary builds the program for tests that run it in separate processes.
 package binary
 
 import (
@@ -10,13 +10,14 @@
 	"github.com/pkg/errors"
 )
 
-// Path builds the program once for a test binary and returns its path. The test runs two folders below the packages of the program.
+// Path builds the program once per test binary and returns its path. The calling test must be in a package at internal/program/NAME,
+// since the module root is addressed as ../../.. from its working directory.
 var Path = sync.OnceValues(func() (string, error) {
-	folder, err := os.MkdirTemp("", "oleandershelf-test")
+	dir, err := os.MkdirTemp("", "oleandershelf-test")
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(folder, "oleandershelf")
+	path := filepath.Join(dir, "oleandershelf")
 	out, err := exec.Command("go", "build", "-o", path, "../../..").CombinedOutput()
 	return path, errors.Wrapf(err, "go build: %s", out)
 })
