--- a/internal/program/bench/path_test.go
+++ b/internal/program/bench/path_test.go
@@ -18,168 +18,171 @@
 )
 
 const (
-	calls        = 20_000
+	callCount    = 20_000
 	openStreams  = 400
-	streams      = 64
+	streamCount  = 64
 	streamTokens = 400
 	concurrency  = 1000
 )
 
-// cost is what a number of units took.
+// cost holds the sorted latencies of a number of calls and the CPU time that this process spent meanwhile.
 type cost struct {
-	times []time.Duration
-	cpu   time.Duration
+	latencies []time.Duration
+	cpu       time.Duration
 }
 
+// quantile returns the q-quantile of the latencies, with q from 0 to 1.
 func (c cost) quantile(q float64) time.Duration {
-	return c.times[min(len(c.times)-1, int(q*float64(len(c.times))))]
+	return c.latencies[min(len(c.latencies)-1, int(q*float64(len(c.latencies))))]
 }
 
-// cpu is the processor time of this process so far.
-func cpu() time.Duration {
-	var used syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
+// cpuTime returns the CPU time that this process has used so far, or 0 if it is unknown.
+func cpuTime() time.Duration {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
 	}
-	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// wide is a deployment whose pools run many calls at a time; one zone, so that all calls take the same path.
-func wide(b *testing.B, opts ...engine.Option) *world {
+// newConcurrentEnvironment starts a deployment whose pools run up to concurrency calls at a time. It has one availability zone,
+// so that all calls take the same path.
+func newConcurrentEnvironment(b *testing.B, opts ...engine.Option) *environment {
 	b.Helper()
 	d := scenario.Sahil()
 	d.AvailabilityZones = d.AvailabilityZones[:1]
-	w := newWorld(b, d, opts...)
+	env := newEnvironment(b, d, opts...)
 	pool := func(name string, kind ticket.PoolKind, model string) ticket.Pool {
 		return ticket.Pool{
 			Name: name, Kind: kind, Model: model, AvailabilityZones: d.AvailabilityZones, MinServers: 1, MaxServers: 1, Concurrency: concurrency,
 		}
 	}
-	w.apply(3, ticket.Ticket{Pools: []ticket.Pool{pool(d.Service, ticket.KindService, ""), pool(d.Model, ticket.KindModel, d.Model)}})
-	return w
+	env.applyTicket(3, ticket.Ticket{Pools: []ticket.Pool{pool(d.Service, ticket.KindService, ""), pool(d.Model, ticket.KindModel, d.Model)}})
+	return env
 }
 
-// measure makes calls by a number of callers and returns what they took.
-func (w *world) measure(callers, total int, call func() error) cost {
-	w.b.Helper()
-	each := make([][]time.Duration, callers)
+// measure runs total calls, divided among concurrent callers, and returns their cost. An error fails the benchmark.
+func (env *environment) measure(callers, total int, call func() error) cost {
+	env.b.Helper()
+	latencies := make([][]time.Duration, callers)
 	var group sync.WaitGroup
-	before := cpu()
+	before := cpuTime()
 	for caller := range callers {
 		group.Go(func() {
 			for range total / callers {
 				started := time.Now()
 				if err := call(); err != nil {
-					w.b.Error(err)
+					env.b.Error(err)
 					return
 				}
-				each[caller] = append(each[caller], time.Since(started))
+				latencies[caller] = append(latencies[caller], time.Since(started))
 			}
 		})
 	}
 	group.Wait()
-	if w.b.Failed() {
-		w.b.FailNow()
+	if env.b.Failed() {
+		env.b.FailNow()
 	}
-	c := cost{cpu: cpu() - before, times: slices.Concat(each...)}
-	slices.Sort(c.times)
+	c := cost{cpu: cpuTime() - before, latencies: slices.Concat(latencies...)}
+	slices.Sort(c.latencies)
 	return c
 }
 
-func (w *world) get(url string) func() error {
+// get returns a function that sends a GET request and returns an error unless the status is 200.
+func (env *environment) get(url string) func() error {
 	return func() error {
-		status, body, err := w.do(http.MethodGet, url, w.deployment.Caller, "")
+		status, body, err := env.do(http.MethodGet, url, env.deployment.Caller, "")
 		if err == nil && status != http.StatusOK {
-			err = fmt.Errorf("%s answered %d: %s", url, status, body)
+			err = fmt.Errorf("%s responded with status %d: %s", url, status, body)
 		}
 		return err
 	}
 }
 
-// BenchmarkPath measures what entry and agent add to a call of the plain service.
+// BenchmarkPath measures the latency and CPU time that entry and agent add to a call of the plain service.
 //
 //	go test ./internal/program/bench -run none -bench Path -benchtime 1x
 func BenchmarkPath(b *testing.B) {
 	for _, callers := range []int{1, 32} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
 			for range b.N {
-				w := wide(b)
+				env := newConcurrentEnvironment(b)
 				urls := []string{
-					w.topology.Targets().Services[0] + w.deployment.LookupPath,
-					w.entry() + "/v1/services/" + w.deployment.Service + w.deployment.LookupPath,
+					env.topology.Targets().Services[0] + env.deployment.LookupPath,
+					env.entryURL() + "/v1/services/" + env.deployment.Service + env.deployment.LookupPath,
 				}
 				var costs []cost
 				for _, url := range urls {
-					w.measure(callers, calls/10, w.get(url))
-					costs = append(costs, w.measure(callers, calls, w.get(url)))
+					env.measure(callers, callCount/10, env.get(url))
+					costs = append(costs, env.measure(callers, callCount, env.get(url)))
 				}
 				direct, path := costs[0], costs[1]
 				b.ReportMetric(direct.quantile(0.5).Seconds()*1e6, "direct-p50-us")
 				b.ReportMetric(direct.quantile(0.99).Seconds()*1e6, "direct-p99-us")
 				b.ReportMetric(path.quantile(0.5).Seconds()*1e6, "path-p50-us")
 				b.ReportMetric(path.quantile(0.99).Seconds()*1e6, "path-p99-us")
-				b.ReportMetric(calls/(path.cpu-direct.cpu).Seconds(), "requests/s-a-core")
+				b.ReportMetric(callCount/(path.cpu-direct.cpu).Seconds(), "requests/s-a-core")
 			}
 		})
 	}
 }
 
-// stream opens a generation and reads it to its end; held, if set, is called after the first token.
-func (w *world) stream(url, body string, held func()) error {
-	q, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
+// stream opens a streamed generation and reads it to the end; onFirstToken, if not nil, is called after the first token.
+func (env *environment) stream(url, body string, onFirstToken func()) error {
+	request, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		return err
 	}
-	q.Header.Set("Authorization", "Bearer "+w.deployment.Key(w.deployment.Caller))
-	q.Header.Set("Accept", "text/event-stream")
-	q.Header.Set("Request-Timeout", "120")
-	answer, err := w.client.Do(q)
+	request.Header.Set("Authorization", "Bearer "+env.deployment.Key(env.deployment.Caller))
+	request.Header.Set("Accept", "text/event-stream")
+	request.Header.Set("Request-Timeout", "120")
+	response, err := env.client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = answer.Body.Close() }()
+	defer func() { _ = response.Body.Close() }()
 	tokens := 0
-	for lines := bufio.NewScanner(answer.Body); lines.Scan(); {
+	for lines := bufio.NewScanner(response.Body); lines.Scan(); {
 		if !strings.HasPrefix(lines.Text(), "data: ") {
 			continue
 		}
-		if tokens++; tokens == 1 && held != nil {
-			held()
+		if tokens++; tokens == 1 && onFirstToken != nil {
+			onFirstToken()
 		}
 	}
-	if answer.StatusCode != http.StatusOK || tokens < 2 {
-		return fmt.Errorf("%s answered %d with %d tokens", url, answer.StatusCode, tokens)
+	if response.StatusCode != http.StatusOK || tokens < 2 {
+		return fmt.Errorf("%s responded with status %d and %d tokens", url, response.StatusCode, tokens)
 	}
 	return nil
 }
 
-// generations returns the URLs of a generation at the engine itself and through the entry.
-func (w *world) generations() []string {
+// generationURLs returns two URLs for generations: directly at an engine, and through the entry.
+func (env *environment) generationURLs() []string {
 	direct := ""
-	for _, place := range w.topology.Places {
+	for _, place := range env.topology.Places {
 		if place.Kind == ticket.KindModel && direct == "" {
 			direct = place.Settings.ServerURL + "/generate"
 		}
 	}
-	return []string{direct, w.entry() + "/v1/models/" + w.deployment.Model + "/generate"}
+	return []string{direct, env.entryURL() + "/v1/models/" + env.deployment.Model + "/generate"}
 }
 
-// BenchmarkStreams measures the processor time of a streamed token and the memory of an open stream.
+// BenchmarkStreams measures the CPU time of a streamed token and the memory of an open stream.
 //
 //	go test ./internal/program/bench -run none -bench Streams -benchtime 1x
 func BenchmarkStreams(b *testing.B) {
 	for range b.N {
-		w := wide(b, engine.WithTokenTime(time.Millisecond, 0), engine.WithSlots(concurrency, concurrency))
+		env := newConcurrentEnvironment(b, engine.WithTokenTime(time.Millisecond, 0), engine.WithSlots(concurrency, concurrency))
 		body := fmt.Sprintf(`{"prompt":"x","maxTokens":%d,"stream":true}`, streamTokens)
 		var perToken []time.Duration
 		var memory []uint64
-		for _, url := range w.generations() {
-			before := w.generated()
-			c := w.measure(streams, 2*streams, func() error { return w.stream(url, body, nil) })
-			perToken = append(perToken, c.cpu/time.Duration(w.generated()-before))
+		for _, url := range env.generationURLs() {
+			before := env.generatedTokens()
+			c := env.measure(streamCount, 2*streamCount, func() error { return env.stream(url, body, nil) })
+			perToken = append(perToken, c.cpu/time.Duration(env.generatedTokens()-before))
 		}
-		for _, url := range w.generations() {
-			memory = append(memory, w.held(url, body))
+		for _, url := range env.generationURLs() {
+			memory = append(memory, env.streamMemory(url, body))
 		}
 		b.ReportMetric(float64(perToken[0].Nanoseconds())/1e3, "direct-us/token")
 		b.ReportMetric(float64(perToken[1].Nanoseconds())/1e3, "path-us/token")
@@ -189,32 +192,33 @@
 	}
 }
 
-// held is the memory of an open stream whose engine has stalled after its first token.
-func (w *world) held(url, body string) uint64 {
-	w.b.Helper()
-	before := inUse()
-	var first, all sync.WaitGroup
-	first.Add(openStreams)
+// streamMemory returns the memory per open stream, in bytes, while the engines have stalled after the first token of each.
+func (env *environment) streamMemory(url, body string) uint64 {
+	env.b.Helper()
+	before := memoryInUse()
+	var started, finished sync.WaitGroup
+	started.Add(openStreams)
 	for range openStreams {
-		all.Go(func() {
-			if err := w.stream(url, body, first.Done); err != nil {
-				w.b.Error(err)
+		finished.Go(func() {
+			if err := env.stream(url, body, started.Done); err != nil {
+				env.b.Error(err)
 			}
 		})
 	}
-	first.Wait()
-	for _, e := range w.engines {
+	started.Wait()
+	for _, e := range env.engines {
 		e.SetFaults(engine.Faults{Stalled: true})
 	}
-	after := inUse()
-	for _, e := range w.engines {
+	after := memoryInUse()
+	for _, e := range env.engines {
 		e.SetFaults(engine.Faults{})
 	}
-	all.Wait()
+	finished.Wait()
 	return (after - before) / openStreams
 }
 
-func inUse() uint64 {
+// memoryInUse returns the heap and stack memory in use after a garbage collection, in bytes.
+func memoryInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/program/bench/step_test.go
+++ b/internal/program/bench/step_test.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	stepGroups  = 16
-	stepSamples = 8
-	stepTokens  = 100
-	measured    = 6
-	trainTime   = 2 * time.Second
-	engineSlots = 8
+	stepGroups    = 16
+	stepSamples   = 8
+	stepTokens    = 100
+	measuredSteps = 6
+	// trainingTime is the time that a trainer is assumed to spend training on a step.
+	trainingTime = 2 * time.Second
+	engineSlots  = 8
 )
 
-// batchSeen is what the benchmark reads of a batch.
-type batchSeen struct {
+// batch holds the fields of a batch that the benchmark uses.
+type batch struct {
 	ModelVersion int  `json:"modelVersion"`
 	Last         bool `json:"last"`
 	Samples      []struct {
@@ -31,8 +32,9 @@
 	} `json:"samples"`
 }
 
-// BenchmarkStep measures a trainer's steps of 128 samples on eight engines: all of them whole, one at a tenth of its speed,
-// and one more that has stalled with its streams open. Work is what the engines generated over what the trainer received.
+// BenchmarkStep measures a trainer's steps of 128 samples on eight engines: all of them healthy, one running at a tenth of its
+// speed, and in addition one that has stalled with its streams open. The metric extra-work is the number of generated tokens
+// divided by the number of tokens that the trainer received, minus 1.
 //
 //	go test ./internal/program/bench -run none -bench Step -benchtime 1x
 func BenchmarkStep(b *testing.B) {
@@ -56,8 +58,8 @@
 	b.Helper()
 	d := scenario.Sahil()
 	d.AvailabilityZones = []string{"om-north-a", "om-north-b", "om-south-a", "om-south-b"}
-	w := newWorld(b, d, engine.WithTokenTime(5*time.Millisecond, 0.05), engine.WithSlots(engineSlots, 64))
-	w.apply(3, ticket.Ticket{
+	env := newEnvironment(b, d, engine.WithTokenTime(5*time.Millisecond, 0.05), engine.WithSlots(engineSlots, 64))
+	env.applyTicket(3, ticket.Ticket{
 		Pools: []ticket.Pool{{
 			Name: d.Model, Kind: ticket.KindModel, Model: d.Model, AvailabilityZones: d.AvailabilityZones,
 			MinServers: 2, MaxServers: 2, Concurrency: engineSlots,
@@ -67,82 +69,84 @@
 			BatchSize: 32, StalenessBound: 1, MaxTokens: stepTokens,
 		}},
 	})
-	w.allEngines()
-	w.step(1)
+	env.warmUpEngines()
+	env.runStep(1)
 	for i, fault := range faults {
-		w.engines[3*i].SetFaults(fault)
+		env.engines[3*i].SetFaults(fault)
 	}
-	versions := fmt.Sprintf("%s/v1/trainerJobs/%s/modelVersions", w.entry(), d.Job)
-	before := w.generated()
-	received, old, longest := 0, 0, time.Duration(0)
+	versions := fmt.Sprintf("%s/v1/trainerJobs/%s/modelVersions", env.entryURL(), d.Job)
+	before := env.generatedTokens()
+	received, staleness, longest := 0, 0, time.Duration(0)
 	started := time.Now()
-	for number := 2; number < 2+measured; number++ {
-		w.until(http.MethodPost, versions, d.Trainer, fmt.Sprintf(`{"version":%d,"weights":"%s/%d"}`, number, d.Model, number))
-		began := time.Now()
-		tokens, stale := w.step(number)
-		longest = max(longest, time.Since(began))
-		received, old = received+tokens, old+stale
+	for number := 2; number < 2+measuredSteps; number++ {
+		env.waitForOK(http.MethodPost, versions, d.Trainer, fmt.Sprintf(`{"version":%d,"weights":"%s/%d"}`, number, d.Model, number))
+		stepStarted := time.Now()
+		tokens, stepStaleness := env.runStep(number)
+		longest = max(longest, time.Since(stepStarted))
+		received, staleness = received+tokens, staleness+stepStaleness
 	}
-	took := time.Since(started)
-	idle := took.Seconds() / (took + measured*trainTime).Seconds()
-	b.ReportMetric(took.Seconds()/measured, "s/step")
+	elapsed := time.Since(started)
+	idle := elapsed.Seconds() / (elapsed + measuredSteps*trainingTime).Seconds()
+	b.ReportMetric(elapsed.Seconds()/measuredSteps, "s/step")
 	b.ReportMetric(longest.Seconds(), "longest-s")
 	b.ReportMetric(idle, "trainer-idle")
-	b.ReportMetric(float64(w.generated()-before)/float64(received)-1, "extra-work")
-	b.ReportMetric(float64(old)/(measured*stepGroups*stepSamples), "staleness")
+	b.ReportMetric(float64(env.generatedTokens()-before)/float64(received)-1, "extra-work")
+	b.ReportMetric(float64(staleness)/(measuredSteps*stepGroups*stepSamples), "staleness")
 }
 
-// allEngines sends calls until each engine has generated.
-func (w *world) allEngines() {
-	w.b.Helper()
-	for end := time.Now().Add(prepareLimit); time.Now().Before(end); {
-		serving := 0
-		for _, e := range w.engines {
+// warmUpEngines sends requests until every engine has generated tokens.
+func (env *environment) warmUpEngines() {
+	env.b.Helper()
+	for deadline := time.Now().Add(prepareLimit); time.Now().Before(deadline); {
+		generating := 0
+		for _, e := range env.engines {
 			if e.State().Generated > 0 {
-				serving++
+				generating++
 			}
 		}
-		if serving == len(w.engines) {
+		if generating == len(env.engines) {
 			return
 		}
 		body := fmt.Sprintf(`{"prompt":"%d","maxTokens":2}`, time.Now().UnixNano())
-		for _, url := range w.topology.Targets().Entries {
-			_, _, _ = w.do(http.MethodPost, url+"/v1/models/"+w.deployment.Model+"/generate", w.deployment.Caller, body)
+		for _, url := range env.topology.Targets().Entries {
+			_, _, _ = env.do(http.MethodPost, url+"/v1/models/"+env.deployment.Model+"/generate", env.deployment.Caller, body)
 		}
 	}
-	w.b.Fatal("an engine serves nothing")
+	env.b.Fatal("an engine generated no tokens")
 }
 
-func (w *world) generated() int {
+// generatedTokens returns the number of tokens that all engines have generated so far.
+func (env *environment) generatedTokens() int {
 	total := 0
-	for _, e := range w.engines {
+	for _, e := range env.engines {
 		total += e.State().Generated
 	}
 	return total
 }
 
-// step posts a step and takes all its batches; it returns the tokens received and the sum of the samples' staleness.
-func (w *world) step(number int) (tokens, stale int) {
-	w.b.Helper()
+// runStep submits a step and reads all its batches. It returns the number of tokens received and the sum of the samples'
+// staleness, in model versions.
+func (env *environment) runStep(number int) (tokens, staleness int) {
+	env.b.Helper()
 	var groups []string
 	for group := range stepGroups {
 		groups = append(groups, fmt.Sprintf(`{"prompt":"step %d log %d","samples":%d}`, number, group, stepSamples))
 	}
-	url := fmt.Sprintf("%s/v1/trainerJobs/%s/steps/%d", w.entry(), w.deployment.Job, number)
-	w.until(http.MethodPost, url, w.deployment.Trainer, fmt.Sprintf(`{"groups":[%s],"maxTokens":%d}`, strings.Join(groups, ","), stepTokens))
-	for batch, last := 1, false; !last; batch++ {
-		var seen batchSeen
-		raw := w.until(http.MethodGet, fmt.Sprintf("%s/batches/%d", url, batch), w.deployment.Trainer, "")
-		if err := json.Unmarshal(raw, &seen); err != nil {
-			w.b.Fatal(err)
+	url := fmt.Sprintf("%s/v1/trainerJobs/%s/steps/%d", env.entryURL(), env.deployment.Job, number)
+	env.waitForOK(http.MethodPost, url, env.deployment.Trainer, fmt.Sprintf(`{"groups":[%s],"maxTokens":%d}`, strings.Join(groups, ","), stepTokens))
+	for index, last := 1, false; !last; index++ {
+		var received batch
+		raw := env.waitForOK(http.MethodGet, fmt.Sprintf("%s/batches/%d", url, index), env.deployment.Trainer, "")
+		if err := json.Unmarshal(raw, &received); err != nil {
+			env.b.Fatal(err)
 		}
-		last = seen.Last
-		for _, sample := range seen.Samples {
+		last = received.Last
+		for _, sample := range received.Samples {
 			for _, span := range sample.Spans {
 				tokens += span.To - span.From
 			}
-			stale += seen.ModelVersion - sample.Spans[0].Version
+			staleness += received.ModelVersion - sample.Spans[0].Version
 		}
 	}
-	return tokens, stale
+	return tokens, staleness
 }
--- a/internal/program/bench/world_test.go
+++ b/internal/program/bench/world_test.go
@@ -27,8 +27,8 @@
 
 const prepareLimit = time.Minute
 
-// world is a deployment that runs in this process.
-type world struct {
+// environment is a deployment that runs in this process.
+type environment struct {
 	b          *testing.B
 	deployment scenario.Deployment
 	topology   scenario.Topology
@@ -36,38 +36,40 @@
 	client     *http.Client
 }
 
-// newWorld starts the deployment with engines of the options and waits until it serves; it ends with the benchmark.
-func newWorld(b *testing.B, d scenario.Deployment, opts ...engine.Option) *world {
+// newEnvironment starts a deployment whose engines have the given options and waits until it serves requests. It stops when the
+// benchmark ends.
+func newEnvironment(b *testing.B, d scenario.Deployment, opts ...engine.Option) *environment {
 	b.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &world{b: b, deployment: d, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}}}
-	w.topology = must(scenario.NewTopology(d, loopback.Addresses()))(b)
-	must(platform.New(ctx, w.listen(w.topology.Platform), platform.WithHosts(w.topology.Hosts())))(b)
-	must(weightstore.New(ctx, w.listen(w.topology.WeightStore)))(b)
-	var parts []interface{ Close() }
-	for _, place := range w.topology.Places {
-		w.startServer(ctx, place, opts)
+	env := &environment{b: b, deployment: d, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2000}}}
+	env.topology = must(scenario.NewTopology(d, loopback.Addresses()))(b)
+	must(platform.New(ctx, env.listen(env.topology.Platform), platform.WithHosts(env.topology.Hosts())))(b)
+	must(weightstore.New(ctx, env.listen(env.topology.WeightStore)))(b)
+	var processes []interface{ Close() }
+	for _, place := range env.topology.Places {
+		env.startServer(ctx, place, opts)
 	}
-	for _, set := range w.topology.Entries {
-		parts = append(parts, must(process.StartEntry(ctx, set, zerolog.Nop()))(b))
+	for _, set := range env.topology.Entries {
+		processes = append(processes, must(process.StartEntry(ctx, set, zerolog.Nop()))(b))
 	}
-	for _, place := range w.topology.Places {
-		parts = append(parts, must(process.StartAgent(ctx, place.Settings, zerolog.Nop()))(b))
+	for _, place := range env.topology.Places {
+		processes = append(processes, must(process.StartAgent(ctx, place.Settings, zerolog.Nop()))(b))
 	}
 	b.Cleanup(func() {
-		for _, part := range parts {
-			part.Close()
+		for _, running := range processes {
+			running.Close()
 		}
 		cancel()
 	})
-	limit, stop := context.WithTimeout(ctx, prepareLimit)
+	prepareCtx, stop := context.WithTimeout(ctx, prepareLimit)
 	defer stop()
-	if err := scenario.NewPlayer(d, w.topology.Targets(), func(string, ...any) {}).Prepare(limit); err != nil {
+	if err := scenario.NewPlayer(d, env.topology.Targets(), func(string, ...any) {}).Prepare(prepareCtx); err != nil {
 		b.Fatal(err)
 	}
-	return w
+	return env
 }
 
+// must returns a function that ends the test if err is not nil, and returns value otherwise.
 func must[T any](value T, err error) func(testing.TB) T {
 	return func(t testing.TB) T {
 		t.Helper()
@@ -78,66 +80,68 @@
 	}
 }
 
-func (w *world) listen(address netip.AddrPort) net.Listener {
-	w.b.Helper()
-	return must(net.Listen("tcp", address.String()))(w.b)
+func (env *environment) listen(address netip.AddrPort) net.Listener {
+	env.b.Helper()
+	return must(net.Listen("tcp", address.String()))(env.b)
 }
 
-func (w *world) startServer(ctx context.Context, place scenario.Place, opts []engine.Option) {
-	w.b.Helper()
-	l := w.listen(place.Server)
+// startServer starts the stand-in for the backend server at a place.
+func (env *environment) startServer(ctx context.Context, place scenario.Place, opts []engine.Option) {
+	env.b.Helper()
+	listener := env.listen(place.Server)
 	switch place.Kind {
 	case ticket.KindModel:
-		w.engines = append(w.engines, must(engine.New(ctx, l, opts...))(w.b))
+		env.engines = append(env.engines, must(engine.New(ctx, listener, opts...))(env.b))
 	case ticket.KindScoring:
-		must(scorer.New(ctx, l))(w.b)
+		must(scorer.New(ctx, listener))(env.b)
 	default:
-		must(service.New(ctx, l))(w.b)
+		must(service.New(ctx, listener))(env.b)
 	}
 }
 
-func (w *world) entry() string { return w.topology.Targets().Entry }
+// entryURL returns the URL of the entry that requests are sent to.
+func (env *environment) entryURL() string { return env.topology.Targets().Entry }
 
-// do sends a request with the organisation's key and returns the whole answer.
-func (w *world) do(method, url, organisation, body string) (int, []byte, error) {
-	q, err := http.NewRequest(method, url, bytes.NewReader([]byte(body)))
+// do sends a request with the organisation's key and returns the status and body of the response.
+func (env *environment) do(method, url, organisation, body string) (int, []byte, error) {
+	request, err := http.NewRequest(method, url, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return 0, nil, err
 	}
-	q.Header.Set("Authorization", "Bearer "+w.deployment.Key(organisation))
-	q.Header.Set("Request-Timeout", "120")
-	answer, err := w.client.Do(q)
+	request.Header.Set("Authorization", "Bearer "+env.deployment.Key(organisation))
+	request.Header.Set("Request-Timeout", "120")
+	response, err := env.client.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer func() { _ = answer.Body.Close() }()
-	raw, err := io.ReadAll(answer.Body)
-	return answer.StatusCode, raw, err
+	defer func() { _ = response.Body.Close() }()
+	raw, err := io.ReadAll(response.Body)
+	return response.StatusCode, raw, err
 }
 
-// until repeats a request until it is answered with 200.
-func (w *world) until(method, url, organisation, body string) []byte {
-	w.b.Helper()
-	for end := time.Now().Add(prepareLimit); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		if status, raw, err := w.do(method, url, organisation, body); err == nil && status == http.StatusOK {
+// waitForOK repeats a request until the response has status 200 and returns its body. It fails the benchmark after prepareLimit.
+func (env *environment) waitForOK(method, url, organisation, body string) []byte {
+	env.b.Helper()
+	for deadline := time.Now().Add(prepareLimit); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
+		if status, raw, err := env.do(method, url, organisation, body); err == nil && status == http.StatusOK {
 			return raw
 		}
 	}
-	w.b.Fatalf("%s %s: never answered well", method, url)
+	env.b.Fatalf("%s %s: no response with status 200", method, url)
 	return nil
 }
 
-// apply applies a ticket and waits until every host has it.
-func (w *world) apply(number int, change ticket.Ticket) {
-	w.b.Helper()
-	url := fmt.Sprintf("%s/v1/tickets/%d", w.entry(), number)
-	w.until(http.MethodPost, url, w.deployment.Caller, string(must(json.Marshal(change))(w.b)))
-	for end := time.Now().Add(prepareLimit); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		var seen scenario.TicketSeen
-		_, raw, err := w.do(http.MethodGet, url, w.deployment.Caller, "")
-		if err == nil && json.Unmarshal(raw, &seen) == nil && seen.Share >= 1 {
+// applyTicket applies a ticket and waits until it is in force on every host.
+func (env *environment) applyTicket(number int, change ticket.Ticket) {
+	env.b.Helper()
+	url := fmt.Sprintf("%s/v1/tickets/%d", env.entryURL(), number)
+	env.waitForOK(http.MethodPost, url, env.deployment.Caller, string(must(json.Marshal(change))(env.b)))
+	for deadline := time.Now().Add(prepareLimit); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
+		var status scenario.TicketSeen
+		_, raw, err := env.do(http.MethodGet, url, env.deployment.Caller, "")
+		if err == nil && json.Unmarshal(raw, &status) == nil && status.Share >= 1 {
 			return
 		}
 	}
-	w.b.Fatalf("ticket %d is not in force", number)
+	env.b.Fatalf("ticket %d is not in force", number)
 }
