--- a/internal/program/cmd/root.go
+++ b/internal/program/cmd/root.go
@@ -67,7 +67,7 @@
 func newRoot(out, errOut io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:            "oleandershelf",
-		Usage:           "rollout service for reinforcement learning: entries, agents and the operator's tools",
+		Usage:           "run a rollout service for reinforcement learning: entries, agents, gateways and operators' tools",
 		HideVersion:     true,
 		HideHelpCommand: true,
 		Writer:          out,
--- a/main.go
+++ b/main.go
@@ -1,4 +1,5 @@
-// Command oleandershelf is a rollout service for reinforcement learning: entries, agents and the operator's tools.
+// Command oleandershelf runs the entries, agents and gateways of a rollout service for reinforcement learning, and contains
+// its operators' tools.
 package main
 
 import (
