--- a/internal/program/bench/step_test.go
+++ b/internal/program/bench/step_test.go
@@ -133,7 +133,8 @@
 		groups = append(groups, fmt.Sprintf(`{"prompt":"step %d log %d","samples":%d}`, number, group, stepSamples))
 	}
 	url := fmt.Sprintf("%s/v1/trainerJobs/%s/steps/%d", env.entryURL(), env.deployment.Job, number)
-	env.waitForOK(http.MethodPost, url, env.deployment.Trainer, fmt.Sprintf(`{"groups":[%s],"maxTokens":%d}`, strings.Join(groups, ","), stepTokens))
+	env.waitForOK(http.MethodPost, url, env.deployment.Trainer,
+		fmt.Sprintf(`{"groups":[%s],"maxTokens":%d}`, strings.Join(groups, ","), stepTokens))
 	for index, last := 1, false; !last; index++ {
 		var received batch
 		raw := env.waitForOK(http.MethodGet, fmt.Sprintf("%s/batches/%d", url, index), env.deployment.Trainer, "")
--- a/internal/program/demo/demo.go
+++ b/internal/program/demo/demo.go
@@ -42,7 +42,7 @@
 	if err := env.startGateways(ctx, &cleanups, log); err != nil {
 		return err
 	}
-	transcript, err := newRunner(env, progress).run(ctx)
+	transcript, err := newRunner(env, progress).runPhases(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/program/demo/player.go
+++ b/internal/program/demo/player.go
@@ -61,8 +61,8 @@
 	return fault
 }
 
-// run runs all phases in order and returns the transcript, also after an error.
-func (r *runner) run(ctx context.Context) (Transcript, error) {
+// runPhases runs all phases in order and returns the transcript, also after an error.
+func (r *runner) runPhases(ctx context.Context) (Transcript, error) {
 	phases := []struct {
 		name string
 		run  func(context.Context) error
--- a/internal/program/settings/settings.go
+++ b/internal/program/settings/settings.go
@@ -139,7 +139,9 @@
 	if doc.has("peerSecret") || !s.PeerListen.IsValid() || s.PeerListen.Addr().IsLoopback() {
 		return
 	}
-	doc.addProblem("peerListen", "%s can be reached by other hosts, so peerSecret must be set to a secret of at least %d characters, the same on all hosts", s.PeerListen, minSecretLength)
+	doc.addProblem("peerListen",
+		"%s can be reached by other hosts, so peerSecret must be set to a secret of at least %d characters, the same on all hosts",
+		s.PeerListen, minSecretLength)
 }
 
 func (s *Settings) checkAddresses(doc *document) {
