--- a/internal/program/soak/check.go
+++ b/internal/program/soak/check.go
@@ -9,65 +9,66 @@
 	"github.com/oleandershelf/oleandershelf/platform/platformtest"
 )
 
-// ran counts how often each call and each item ran at a server, and checks what each server was sent.
-func (l *load) ran() map[string]int {
-	ran, jobs := map[string]int{}, map[string]*job{}
+// countRuns counts how often each call and each batch item ran on a server, and checks every request that a server received.
+func (l *loadGenerator) countRuns() map[string]int {
+	runs, jobs := map[string]int{}, map[string]*job{}
 	for _, j := range l.jobs {
 		jobs[j.id] = j
 	}
-	for _, server := range l.w.all() {
+	for _, server := range l.env.allServers() {
 		for _, request := range server.Requests() {
 			id := request.ID()
-			if item, ok := strings.CutPrefix(id, rewardPrefix); ok {
-				l.checkReward(jobs[jobOf(item)], request, server.ID)
+			if item, ok := strings.CutPrefix(id, rewardIDPrefix); ok {
+				l.checkReward(jobs[jobIDOf(item)], request, server.ID)
 				continue
 			}
-			sound := request.Organisation() == organisation && request.Key() == "" && (isJob(request) || request.Body == "body of "+id)
-			l.ledger.check(promiseServer, sound, "server %s was sent %v with the body %q", server.ID, request.Header, request.Body)
+			valid := request.Organisation() == organisation && request.Key() == "" && (isBatchItem(request) || request.Body == "body of "+id)
+			l.checker.check(guaranteeServerRequest, valid, "server %s received headers %v and body %q", server.ID, request.Header, request.Body)
 			if request.Behaviour == platformtest.Shed {
 				continue
 			}
-			ran[id]++
-			if isJob(request) {
-				l.checkStart(jobs[jobOf(id)], request, server.ID)
+			runs[id]++
+			if isBatchItem(request) {
+				l.checkStart(jobs[jobIDOf(id)], request, server.ID)
 			}
 		}
 	}
-	return ran
+	return runs
 }
 
-// checkReward checks what a server was sent as a reward call, and when.
-func (l *load) checkReward(j *job, request platformtest.Request, server string) {
-	sound := request.Organisation() == "" && request.Key() == "" && request.Body == platformtest.RewardBody
-	l.ledger.check(promiseServer, sound, "server %s was sent the reward call %v with the body %q", server, request.Header, request.Body)
+// checkReward checks the content of a reward call that a server received, and that it did not start after the end of its job.
+func (l *loadGenerator) checkReward(j *job, request platformtest.Request, server string) {
+	valid := request.Organisation() == "" && request.Key() == "" && request.Body == platformtest.RewardBody
+	l.checker.check(guaranteeServerRequest, valid,
+		"server %s received a reward call with headers %v and body %q", server, request.Header, request.Body)
 	if request.Behaviour != platformtest.Shed {
 		l.checkStart(j, request, server)
 	}
 }
 
-// isScored says whether a score is the signature of a service's answer to the item's reward call that came after an engine had sent all of the
-// item.
-func (l *load) isScored(item, score string) bool {
-	whole, ok := l.w.whole(item)
+// isScored reports whether score is the signature of a service on a reward call for the item
+// that the service received after an engine had sent all of the item.
+func (l *loadGenerator) isScored(item, score string) bool {
+	completed, ok := l.env.completedAt(item)
 	if !ok {
 		return false
 	}
-	for _, service := range l.w.services {
-		if score != platformtest.Signature(service.ID, rewardPrefix+item) {
+	for _, service := range l.env.services {
+		if score != platformtest.Signature(service.ID, rewardIDPrefix+item) {
 			continue
 		}
 		return slices.ContainsFunc(service.Requests(), func(request platformtest.Request) bool {
-			return request.ID() == rewardPrefix+item && request.Behaviour.AnswersPlainCalls() && request.ReceivedAt.After(whole)
+			return request.ID() == rewardIDPrefix+item && request.Behaviour.AnswersPlainCalls() && request.ReceivedAt.After(completed)
 		})
 	}
 	return false
 }
 
-// isJob says whether a request at a server is an item of a batch job.
-func isJob(r platformtest.Request) bool { return strings.HasPrefix(r.Target, pathJobs) }
+// isBatchItem reports whether a request that a server received is an item of a batch job.
+func isBatchItem(r platformtest.Request) bool { return strings.HasPrefix(r.Target, pathJobs) }
 
-// jobOf returns the id of an item's job.
-func jobOf(item string) string {
+// jobIDOf returns the ID of the job that the item belongs to, or "" if the item ID has no job part.
+func jobIDOf(item string) string {
 	last := strings.LastIndex(item, "-")
 	if last < 0 {
 		return ""
@@ -75,57 +76,60 @@
 	return item[:last]
 }
 
-// startsTime is how long after its acknowledged end items of a job may still start, and how long a process that could not hear of
-// it may go on once it can.
-const startsTime = 3 * time.Second
+// startGrace is how long items of a job may still start after its end was acknowledged. A process that was isolated
+// and could not learn of the end has the same time after the isolation.
+const startGrace = 3 * time.Second
 
-func (l *load) checkStart(j *job, request platformtest.Request, server string) {
+func (l *loadGenerator) checkStart(j *job, request platformtest.Request, server string) {
 	if j == nil {
-		l.ledger.check(promiseServer, false, "server %s was sent item %s, which is no trainer's", server, request.ID())
+		l.checker.check(guaranteeServerRequest, false, "server %s received item %s, which belongs to no submitted job", server, request.ID())
 		return
 	}
 	if j.ended.IsZero() {
 		return
 	}
-	late := request.ReceivedAt.Sub(j.ended)
-	l.ledger.check(promiseEnd, late <= startsTime || l.w.wasIsolated(request.ReceivedAt), "job %s was ended at %s; item %s started at %s at %s, %v later",
-		j.id, clock(j.ended), request.ID(), server, clock(request.ReceivedAt), late)
+	delay := request.ReceivedAt.Sub(j.ended)
+	l.checker.check(guaranteeEnd, delay <= startGrace || l.env.wasIsolated(request.ReceivedAt),
+		"job %s ended at %s; item %s started on %s at %s, %v later",
+		j.id, formatTime(j.ended), request.ID(), server, formatTime(request.ReceivedAt), delay)
 }
 
-// withdrawnTime is how long a withdrawn key may go on while processes are disturbed: longer than any disturbance.
-const withdrawnTime = 12 * time.Second
+// withdrawalGrace is how long a withdrawn key may still be served. It is longer than any disturbance, because a
+// disturbed process learns of the withdrawal late.
+const withdrawalGrace = 12 * time.Second
 
-func (l *load) checkCall(c call, ran int) {
+func (l *loadGenerator) checkCall(c call, runs int) {
 	status := c.reply.status
 	if status == http.StatusOK {
-		l.ledger.check(promiseWhole, strings.HasSuffix(c.reply.body, "body of "+c.id), "call %s got %q", c.id, c.reply.body)
+		l.checker.check(guaranteeComplete, strings.HasSuffix(c.reply.body, "body of "+c.id), "call %s returned body %q", c.id, c.reply.body)
 	}
-	if saysNotRun(status) || status == http.StatusUnauthorized {
-		l.ledger.check(promiseNotRun, ran == 0, "call %s %v and ran %d times", c.id, c.reply, ran)
+	if isNotRun(status) || status == http.StatusUnauthorized {
+		l.checker.check(guaranteeNotRun, runs == 0, "call %s: %v; it ran %d times", c.id, c.reply, runs)
 	}
 	if c.path == pathOnce {
-		l.ledger.check(promiseOnce, ran <= 1, "call %s %v and ran %d times", c.id, c.reply, ran)
+		l.checker.check(guaranteeOnce, runs <= 1, "call %s: %v; it ran %d times", c.id, c.reply, runs)
 	}
-	if at, withdrawn := l.w.retired[c.key]; withdrawn && status == http.StatusOK {
-		late := c.reply.sent.Sub(at)
-		l.ledger.check(promiseKey, late <= withdrawnTime, "call %s was served %v after its key was withdrawn", c.id, late)
+	if at, withdrawn := l.env.withdrawnKeys[c.key]; withdrawn && status == http.StatusOK {
+		delay := c.reply.sent.Sub(at)
+		l.checker.check(guaranteeKey, delay <= withdrawalGrace, "call %s was served %v after its key was withdrawn", c.id, delay)
 	}
 }
 
-func (l *load) checkJob(j *job, ran map[string]int) {
+func (l *loadGenerator) checkJob(j *job, runs map[string]int) {
 	j.checkItems(l.isScored)
-	j.checkDenials(l.w.whole)
-	if j.maybe {
+	j.checkDenials(l.env.completedAt)
+	if j.mayHaveRun {
 		return
 	}
 	for _, item := range j.items {
-		l.ledger.check(promiseNotRun, ran[item.ID] == 0, "item %s ran %d times; each submission of its job was refused as not run", item.ID, ran[item.ID])
+		l.checker.check(guaranteeNotRun, runs[item.ID] == 0,
+			"item %s ran %d times although every submission of its job was rejected as not run", item.ID, runs[item.ID])
 	}
 }
 
-// whole returns when a server first sent the last event of an item.
-func (w *world) whole(item string) (first time.Time, ok bool) {
-	for _, engine := range w.engines {
+// completedAt returns when an engine first sent the last event of an item.
+func (env *environment) completedAt(item string) (first time.Time, ok bool) {
+	for _, engine := range env.engines {
 		if at, sent := engine.LastEventSentAt(item); sent && (!ok || at.Before(first)) {
 			first, ok = at, true
 		}
@@ -133,35 +137,37 @@
 	return first, ok
 }
 
-// check checks what is known only when a run is over.
-func (l *load) check() {
-	ran := l.ran()
+// checkAll runs the checks that need the data of the whole run.
+func (l *loadGenerator) checkAll() {
+	runs := l.countRuns()
 	for _, c := range l.calls {
-		l.checkCall(c, ran[c.id])
+		l.checkCall(c, runs[c.id])
 	}
 	for _, j := range l.jobs {
-		l.checkJob(j, ran)
+		l.checkJob(j, runs)
 	}
 	l.checkReports()
-	for _, p := range []promise{promiseWhole, promiseItem, promiseScore, promiseReport} {
-		l.ledger.check(promiseComesRight, l.ledger.checked(p) > 0, "never checked: %s", p)
+	for _, g := range []guarantee{guaranteeComplete, guaranteeItem, guaranteeScore, guaranteeReport} {
+		l.checker.check(guaranteeRecovery, l.checker.checked(g) > 0, "never checked: %s", g)
 	}
 }
 
-// checkReports checks that a window has one set of figures and that fencing numbers never fall.
-func (l *load) checkReports() {
+// checkReports checks that each usage window was reported with one set of counts and that fencing tokens never decrease.
+func (l *loadGenerator) checkReports() {
 	windows, fence := map[int64]uint64{}, uint64(0)
-	for _, report := range l.w.duties.Reports() {
+	for _, report := range l.env.duties.Reports() {
 		known, again := windows[report.Window]
-		l.ledger.check(promiseReport, !again || known == report.Counts[organisation], "window %d was reported with %d and %d", report.Window, known, report.Counts[organisation])
+		l.checker.check(guaranteeReport, !again || known == report.Counts[organisation],
+			"usage window %d was reported as %d and then as %d", report.Window, known, report.Counts[organisation])
 		windows[report.Window] = report.Counts[organisation]
-		l.ledger.check(promiseFence, report.Fencing >= fence, "a report came under %d after %d", report.Fencing, fence)
+		l.checker.check(guaranteeFencing, report.Fencing >= fence, "a usage report with fencing token %d followed one with %d", report.Fencing, fence)
 		fence = max(fence, report.Fencing)
 	}
-	for _, engine := range l.w.engines {
+	for _, engine := range l.env.engines {
 		last := uint64(0)
 		for _, order := range engine.Orders() {
-			l.ledger.check(promiseFence, order.FenceToken >= last, "engine %s took an order under %d after %d", engine.ID, order.FenceToken, last)
+			l.checker.check(guaranteeFencing, order.FenceToken >= last,
+				"engine %s accepted an order with fencing token %d after %d", engine.ID, order.FenceToken, last)
 			last = max(last, order.FenceToken)
 		}
 	}
--- a/internal/program/soak/job.go
+++ b/internal/program/soak/job.go
@@ -12,74 +12,75 @@
 	"github.com/oleandershelf/oleandershelf/platform/platformtest"
 )
 
-// job is a batch job with all that any answer of any entry has shown of it. A request that is sent after the time of such an answer
-// must not be told otherwise, wherever it goes.
+// job is a batch job together with everything that any response from any gateway has shown of it. A request that is sent after such
+// a response must not contradict it, whichever gateway answers.
 type job struct {
 	id         string
 	minVersion int
 	items      []platformtest.Item
-	ledger     *ledger
+	checker    *checker
 
 	mu sync.Mutex
-	// shown holds the result at each position.
-	shown []shown
-	// accepted is when the first acceptance came; maybe is set once a submission was answered otherwise than as not run.
-	accepted time.Time
-	maybe    bool
+	// observed holds the first result seen at each position.
+	observed []observation
+	// accepted is when the first acceptance was received. mayHaveRun is set once a response to a submission did not promise
+	// that the job has not run.
+	accepted   time.Time
+	mayHaveRun bool
 	// endSent is when the end was first sent, ended when it was first acknowledged.
 	endSent, ended time.Time
 	denials        []bodyDenial
 }
 
-// shown is a result that an answer showed. It is unset while at is zero.
-type shown struct {
-	result platformtest.Result
-	at     time.Time
-	entry  string
+// observation is a result that a response contained. It is unset while at is zero.
+type observation struct {
+	result  platformtest.Result
+	at      time.Time
+	gateway string
 }
 
-// bodyDenial is an answer that said that an item has no body.
+// bodyDenial is a response that said that an item has no body.
 type bodyDenial struct {
 	item  string
 	reply reply
 }
 
-func newJob(id string, items, minVersion int, kept *ledger) *job {
-	j := &job{id: id, minVersion: minVersion, ledger: kept, shown: make([]shown, items)}
+func newJob(id string, items, minVersion int, checks *checker) *job {
+	j := &job{id: id, minVersion: minVersion, checker: checks, observed: make([]observation, items)}
 	for i := range items {
 		item := fmt.Sprintf("%s-%d", id, i)
 		j.items = append(j.items, platformtest.Item{
 			ID: item, Path: fmt.Sprintf("%s%d", pathJobs, i), Group: fmt.Sprint(i / groupSize),
-			Reward: &platformtest.Reward{ID: rewardPrefix + item, Host: hostName, Path: pathSafe + item},
+			Reward: &platformtest.Reward{ID: rewardIDPrefix + item, Host: hostName, Path: pathSafe + item},
 		})
 	}
 	return j
 }
 
-// rewardPrefix begins the ids of reward calls; the id of the item follows.
-const rewardPrefix = "score-"
+// rewardIDPrefix precedes the item ID in the ID of a reward call.
+const rewardIDPrefix = "score-"
 
-// groupSize is how many items make a group.
+// groupSize is the number of items in a group.
 const groupSize = 2
 
 func (j *job) submission() string {
 	return platformtest.Submission(model, j.minVersion, len(j.items)/groupSize, j.items)
 }
 
-// listed returns how many positions were shown.
-func (j *job) listed() int {
+// listedCount returns how many positions have been observed.
+func (j *job) listedCount() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	listed := 0
-	for _, each := range j.shown {
-		if !each.at.IsZero() {
+	for _, observed := range j.observed {
+		if !observed.at.IsZero() {
 			listed++
 		}
 	}
 	return listed
 }
 
-func (j *job) whole() bool { return j.listed() == len(j.shown) }
+func (j *job) isComplete() bool { return j.listedCount() == len(j.observed) }
 
 func (j *job) acceptedAt() time.Time {
 	j.mu.Lock()
@@ -89,147 +90,153 @@
 
 func (j *job) isAccepted() bool { return !j.acceptedAt().IsZero() }
 
-func (j *job) endWasSent() bool {
+func (j *job) isEndSent() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return !j.endSent.IsZero()
 }
 
-// saysNotRun says whether a status promises that the request has not run and never will.
-func saysNotRun(status int) bool {
-	return slices.Contains([]int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}, status)
+// isNotRun reports whether a status promises that the request has not run and never will.
+func isNotRun(status int) bool {
+	return slices.Contains([]int{
+		http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest,
+	}, status)
 }
 
-// saysUnknown says whether a status denies that there is such a job. A key that the entry doesn't know yet is another matter.
-func saysUnknown(status int) bool {
-	return status >= http.StatusBadRequest && status < http.StatusInternalServerError && status != http.StatusUnauthorized && !saysNotRun(status)
+// deniesJob reports whether a status says that the job does not exist. A 401 does not: the gateway may not know the key yet.
+func deniesJob(status int) bool {
+	return status >= http.StatusBadRequest && status < http.StatusInternalServerError && status != http.StatusUnauthorized && !isNotRun(status)
 }
 
-// knowsNoConfiguration says whether an entry refused since it has just started and can't tell yet what the request is. It refuses everything as
-// not run then, as the platform's rules ask.
-func knowsNoConfiguration(r reply) bool {
+// lacksConfiguration reports whether a gateway refused because it has just started and has no configuration yet. It then
+// refuses every request as not run, as the platform requires.
+func lacksConfiguration(r reply) bool {
 	return r.status == http.StatusServiceUnavailable && strings.Contains(r.body, string(verdict.ReasonIsolated))
 }
 
-// noteSubmission takes in the answer to a submission.
-func (j *job) noteSubmission(r reply) {
+// recordSubmission records and checks the response to a submission.
+func (j *job) recordSubmission(r reply) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if known := !j.accepted.IsZero() && r.sent.After(j.accepted); known {
-		j.ledger.check(promiseRepeat, !saysNotRun(r.status) || knowsNoConfiguration(r), "job %s was accepted at %s; its submission %v", j.id, clock(j.accepted), r)
-		j.ledger.check(promiseAccepted, !saysUnknown(r.status), "job %s was accepted at %s; its submission %v", j.id, clock(j.accepted), r)
+		j.checker.check(guaranteeResubmission, !isNotRun(r.status) || lacksConfiguration(r),
+			"job %s was accepted at %s; its submission %v", j.id, formatTime(j.accepted), r)
+		j.checker.check(guaranteeAccepted, !deniesJob(r.status),
+			"job %s was accepted at %s; its submission %v", j.id, formatTime(j.accepted), r)
 	}
-	j.maybe = j.maybe || !saysNotRun(r.status)
+	j.mayHaveRun = j.mayHaveRun || !isNotRun(r.status)
 	if r.status == http.StatusAccepted && j.accepted.IsZero() {
-		j.accepted = r.came
+		j.accepted = r.received
 	}
 }
 
-// noteEnd takes in the answer to the end of the job.
-func (j *job) noteEnd(r reply) {
+// recordEnd records and checks the response to the end request of the job.
+func (j *job) recordEnd(r reply) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.checkKnown(r, "its end")
+	j.checkJobKnown(r, "its end")
 	if r.status == http.StatusOK && j.ended.IsZero() {
-		j.ended = r.came
+		j.ended = r.received
 	}
 }
 
-// checkKnown checks that an answer doesn't deny the accepted job. The caller holds the lock.
-func (j *job) checkKnown(r reply, what string) {
-	j.ledger.check(promiseAccepted, !saysUnknown(r.status), "job %s was accepted at %s; %s %v", j.id, clock(j.accepted), what, r)
+// checkJobKnown checks that a response does not deny the accepted job. The caller must hold j.mu.
+func (j *job) checkJobKnown(r reply, request string) {
+	j.checker.check(guaranteeAccepted, !deniesJob(r.status), "job %s was accepted at %s; %s %v", j.id, formatTime(j.accepted), request, r)
 }
 
-// noteResults takes in the answer to a read from a position on.
-func (j *job) noteResults(from int, r reply) {
+// recordResults records and checks the response to a read that starts at position from.
+func (j *job) recordResults(from int, r reply) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.checkKnown(r, fmt.Sprintf("a read from %d", from))
+	j.checkJobKnown(r, fmt.Sprintf("a read from position %d", from))
 	if r.status != http.StatusOK {
 		return
 	}
 	got, err := platformtest.ReadResults(r.body)
-	sound := err == nil && got.Next == from+len(got.Results)
-	j.ledger.check(promiseWhole, sound, "job %s: a read from %d %v: %.100s", j.id, from, r, r.body)
-	j.ledger.check(promiseTotal, got.Total == len(j.items), "job %s: a read from %d %v with a total of %d", j.id, from, r, got.Total)
-	if !sound || got.Next > len(j.shown) {
+	valid := err == nil && got.Next == from+len(got.Results)
+	j.checker.check(guaranteeComplete, valid, "job %s: a read from position %d %v: %.100s", j.id, from, r, r.body)
+	j.checker.check(guaranteeTotal, got.Total == len(j.items), "job %s: a read from position %d %v with total %d", j.id, from, r, got.Total)
+	if !valid || got.Next > len(j.observed) {
 		return
 	}
 	if len(got.Results) == 0 {
 		j.checkEmpty(from, r)
 	}
-	for i, each := range got.Results {
-		j.show(from+i, each, r)
+	for i, result := range got.Results {
+		j.recordResult(from+i, result, r)
 	}
 }
 
-// checkEmpty checks that no position from there on was shown before the read was sent. A list with results may be short: its reader
-// asks on from its end.
+// checkEmpty checks that no position at or after from was observed before the read was sent. Only empty lists are checked: a list
+// with results may be incomplete, since its reader continues at its end.
 func (j *job) checkEmpty(from int, r reply) {
-	missing := -1
-	for position := from; position < len(j.shown) && missing < 0; position++ {
-		if known := j.shown[position]; !known.at.IsZero() && known.at.Before(r.sent) {
-			missing = position
+	lost := -1
+	for position := from; position < len(j.observed) && lost < 0; position++ {
+		if known := j.observed[position]; !known.at.IsZero() && known.at.Before(r.sent) {
+			lost = position
 		}
 	}
-	var known shown
-	if missing >= 0 {
-		known = j.shown[missing]
+	var known observation
+	if lost >= 0 {
+		known = j.observed[lost]
 	}
-	j.ledger.check(promiseEmpty, missing < 0, "job %s: %s showed position %d at %s; a read from %d %v and listed nothing",
-		j.id, known.entry, missing, clock(known.at), from, r)
+	j.checker.check(guaranteeNotEmpty, lost < 0, "job %s: %s listed position %d at %s; a later read from position %d %v with an empty list",
+		j.id, known.gateway, lost, formatTime(known.at), from, r)
 }
 
-// show takes in one result.
-func (j *job) show(position int, result platformtest.Result, r reply) {
-	known := j.shown[position]
+// recordResult records one result, or checks it against the one already observed at its position.
+func (j *job) recordResult(position int, result platformtest.Result, r reply) {
+	known := j.observed[position]
 	if known.at.IsZero() {
-		j.shown[position] = shown{result: result, at: r.came, entry: r.entry}
+		j.observed[position] = observation{result: result, at: r.received, gateway: r.gateway}
 		return
 	}
 	same := known.result.ID == result.ID && known.result.State == result.State && known.result.Text == result.Text &&
 		slices.Equal(known.result.Versions, result.Versions) && known.result.Score == result.Score
-	j.ledger.check(promisePosition, same, "job %s: position %d was %v, shown by %s at %s; a read %v with %v",
-		j.id, position, known.result, known.entry, clock(known.at), r, result)
+	j.checker.check(guaranteePosition, same, "job %s: position %d was %v, listed by %s at %s; a read %v with %v",
+		j.id, position, known.result, known.gateway, formatTime(known.at), r, result)
 }
 
-// noteBody takes in the answer to a read of an item's body. Whether the item was listed when the answer came is known at the end.
-func (j *job) noteBody(item string, r reply) {
+// recordBody records and checks the response to a read of an item's body. Only the end of the run shows whether the item had been
+// listed when the response arrived, so denials are kept until then.
+func (j *job) recordBody(item string, r reply) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if r.status == http.StatusOK {
-		j.ledger.check(promiseBody, r.body == platformtest.ItemBody, "item %s %v with the body %.80q", item, r, r.body)
+		j.checker.check(guaranteeBody, r.body == platformtest.ItemBody, "body of item %s: %v with %.80q", item, r, r.body)
 	}
-	if saysUnknown(r.status) {
+	if deniesJob(r.status) {
 		j.denials = append(j.denials, bodyDenial{item: item, reply: r})
 	}
 }
 
-// checkItems checks what the job listed in the end. Scored says whether a score is the signature of an answer to the item's reward call that came
-// after its text was whole.
+// checkItems checks the results that the job listed. scored reports whether a score is the signature on the item's reward call, made
+// after the item's text was complete.
 func (j *job) checkItems(scored func(item, score string) bool) {
 	seen := map[string]bool{}
-	for _, each := range j.shown {
-		if each.at.IsZero() {
+	for _, observed := range j.observed {
+		if observed.at.IsZero() {
 			continue
 		}
-		result := each.result
-		whole := result.State == platformtest.Completed && result.Text == platformtest.OutputText(result.ID, itemEvents)
+		result := observed.result
+		complete := result.State == platformtest.Completed && result.Text == platformtest.OutputText(result.ID, itemEvents)
 		older := func(v int) bool { return v < j.minVersion }
 		allowed := len(result.Versions) > 0 && !slices.ContainsFunc(result.Versions, older)
-		j.ledger.check(promiseItem, !seen[result.ID] && whole && allowed, "job %s, of weights %d or newer, lists %v; listed before: %v",
+		j.checker.check(guaranteeItem, !seen[result.ID] && complete && allowed, "job %s (minimum model version %d) lists %v; listed before: %v",
 			j.id, j.minVersion, result, seen[result.ID])
 		seen[result.ID] = true
-		j.ledger.check(promiseScore, scored(result.ID, result.Score), "job %s lists %s with the score %q", j.id, result.ID, result.Score)
+		j.checker.check(guaranteeScore, scored(result.ID, result.Score), "job %s lists %s with score %q", j.id, result.ID, result.Score)
 	}
 }
 
-// checkDenials checks that no item was denied its body before any server had sent all of it, as none can be listed before.
-func (j *job) checkDenials(whole func(item string) (time.Time, bool)) {
+// checkDenials checks that no item was denied its body before a server had sent all of it, since it cannot be listed before.
+func (j *job) checkDenials(completedAt func(item string) (time.Time, bool)) {
 	for _, denied := range j.denials {
-		at, ok := whole(denied.item)
-		listed := ok && at.Before(denied.reply.came)
-		ended := !j.endSent.IsZero() && j.endSent.Before(denied.reply.came)
-		j.ledger.check(promiseBody, listed || ended, "item %s of job %s, accepted at %s, %v", denied.item, j.id, clock(j.accepted), denied.reply)
+		at, ok := completedAt(denied.item)
+		listed := ok && at.Before(denied.reply.received)
+		ended := !j.endSent.IsZero() && j.endSent.Before(denied.reply.received)
+		j.checker.check(guaranteeBody, listed || ended,
+			"body of item %s (job %s, accepted at %s): %v", denied.item, j.id, formatTime(j.accepted), denied.reply)
 	}
 }
--- a/internal/program/soak/latency.go
+++ b/internal/program/soak/latency.go
@@ -9,10 +9,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// phase is a part of a run.
+// phase is a stage of a run.
 type phase string
 
-// The phases, in their order.
+// The phases in chronological order.
 const (
 	phaseBefore    phase = "before"
 	phaseDisturbed phase = "disturbed"
@@ -21,19 +21,18 @@
 
 var phases = []phase{phaseBefore, phaseDisturbed, phaseAfter}
 
-// kind is what a request is for.
-type kind string
+// requestKind is the purpose of a request.
+type requestKind string
 
-// The kinds of requests.
 const (
-	kindCall       kind = "call"
-	kindSubmission kind = "submission"
-	kindRead       kind = "read"
-	kindBody       kind = "body"
-	kindEnd        kind = "end"
+	requestCall       requestKind = "call"
+	requestSubmission requestKind = "submission"
+	requestRead       requestKind = "read"
+	requestBody       requestKind = "body"
+	requestEnd        requestKind = "end"
 )
 
-// Latencies are kept to two digits, up to a bound above what any client waits.
+// Latencies are recorded with two significant digits, up to a bound above the client timeout.
 const (
 	maxLatency    = 10 * time.Second
 	latencyDigits = 2
@@ -42,13 +41,13 @@
 	latencyUnit   = time.Microsecond
 )
 
-// latencyKey names a histogram.
+// latencyKey identifies a histogram.
 type latencyKey struct {
 	phase phase
-	kind  kind
+	kind  requestKind
 }
 
-// latencies are the times to answer of requests that were served.
+// latencies holds the response times of successful requests.
 type latencies struct {
 	mu         sync.Mutex
 	histograms map[latencyKey]*hdrhistogram.Histogram
@@ -58,25 +57,25 @@
 	return &latencies{histograms: map[latencyKey]*hdrhistogram.Histogram{}}
 }
 
-func (l *latencies) record(p phase, k kind, took time.Duration) {
+func (l *latencies) record(p phase, k requestKind, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := latencyKey{phase: p, kind: k}
 	if l.histograms[key] == nil {
 		l.histograms[key] = hdrhistogram.New(1, int64(maxLatency/latencyUnit), latencyDigits)
 	}
-	// Cut to the bound, the value is in range.
+	// The value is in range because it is cut to maxLatency, so no error can occur.
 	_ = l.histograms[key].RecordValue(int64(min(took, maxLatency) / latencyUnit))
 }
 
-// Latency sums up the times to answer of one kind of request in one phase.
+// Latency summarizes the response times of one kind of request in one phase.
 type Latency struct {
 	Phase, Kind   string
 	Answers       int64
 	P50, P99, Max time.Duration
 }
 
-// summary returns what was recorded, by phase and kind.
+// summary returns a row for each histogram, sorted by phase and kind.
 func (l *latencies) summary() []Latency {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/program/soak/link.go
+++ b/internal/program/soak/link.go
@@ -12,101 +12,101 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/ticker"
 )
 
-// way is a direction of bytes on a link.
-type way uint8
+// direction is the direction of data on a link.
+type direction uint8
 
 const (
-	// inward bytes go to the process behind the link, outward ones come from it.
-	inward way = iota
+	// inward data goes to the process behind the link, outward data comes from it.
+	inward direction = iota
 	outward
-	ways
+	directionCount
 )
 
-// harm is what is wrong with a link. Bytes that are held come later, as packets that are sent again do after a cut.
-type harm struct {
-	// delay holds back each piece that is read.
+// linkFault describes how a link misbehaves. Blocked data is delivered later, as TCP retransmissions are after a network outage.
+type linkFault struct {
+	// delay is added to each chunk.
 	delay time.Duration
-	// held says of each way that nothing passes.
-	held [ways]bool
-	// newPass lets connections that were opened after the harm began pass.
-	newPass bool
+	// blocked marks the directions in which no data passes.
+	blocked [directionCount]bool
+	// passNew exempts connections that were opened after the fault began.
+	passNew bool
 }
 
-// link carries the connections that other processes open to one process, and may do so badly.
+// link is a TCP proxy before one process. It forwards the connections of the other processes and can inject faults into them.
 type link struct {
 	listener *net.TCPListener
 	target   netip.AddrPort
 	cancel   context.CancelFunc
 	work     conc.WaitGroup
 
-	mu    sync.Mutex
-	harm  harm
-	pipes map[*pipe]struct{}
-	// changed is closed when the harm changes.
+	mu          sync.Mutex
+	fault       linkFault
+	connections map[*connection]struct{}
+	// changed is closed when the fault changes.
 	changed chan struct{}
 }
 
-// pipe is one connection through a link.
-type pipe struct {
-	near, far net.Conn
-	// old pipes were there when the present harm began.
-	old bool
+// connection is one proxied connection.
+type connection struct {
+	client, server net.Conn
+	// predatesFault says that the connection was open when the current fault began.
+	predatesFault bool
 }
 
-// newLink opens a link to the target at the address.
+// newLink listens on address and forwards connections to target until the link is closed or ctx ends.
 func newLink(ctx context.Context, address, target netip.AddrPort) (*link, error) {
 	listener, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	l := &link{listener: listener, target: target, cancel: cancel, pipes: map[*pipe]struct{}{}, changed: make(chan struct{})}
+	l := &link{listener: listener, target: target, cancel: cancel, connections: map[*connection]struct{}{}, changed: make(chan struct{})}
 	l.work.Go(func() {
 		for {
-			near, err := listener.AcceptTCP()
+			client, err := listener.AcceptTCP()
 			if err != nil {
 				return
 			}
-			l.work.Go(func() { l.carry(ctx, near) })
+			l.work.Go(func() { l.forward(ctx, client) })
 		}
 	})
 	return l, nil
 }
 
-// close ends the link with all its connections.
+// close closes the link and all its connections.
 func (l *link) close() {
 	l.cancel()
 	_ = l.listener.Close()
 	l.work.Wait()
 }
 
-// hurt sets what is wrong with the link from now on.
-func (l *link) hurt(h harm) {
+// setFault replaces the fault of the link.
+func (l *link) setFault(fault linkFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.harm = h
-	for p := range l.pipes {
-		p.old = true
+	l.fault = fault
+	for c := range l.connections {
+		c.predatesFault = true
 	}
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// heal ends what is wrong with the link.
-func (l *link) heal() { l.hurt(harm{}) }
+// clearFault removes the fault of the link.
+func (l *link) clearFault() { l.setFault(linkFault{}) }
 
-// reset breaks all connections of the link.
+// reset resets all connections of the link.
 func (l *link) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pipes {
-		p.reset()
+	for c := range l.connections {
+		c.reset()
 	}
 }
 
-// reset closes both ends so that neither sees an orderly end.
-func (p *pipe) reset() {
-	for _, conn := range []net.Conn{p.near, p.far} {
+// reset closes both ends with a TCP reset, so that neither side sees an orderly close.
+func (c *connection) reset() {
+	for _, conn := range []net.Conn{c.client, c.server} {
 		if tcp, ok := conn.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -114,60 +114,60 @@
 	}
 }
 
-// carry carries one connection until either side ends it.
-func (l *link) carry(ctx context.Context, near *net.TCPConn) {
+// forward dials the target and copies data in both directions until either side closes the connection.
+func (l *link) forward(ctx context.Context, client *net.TCPConn) {
 	var dialer net.Dialer
-	far, err := dialer.DialContext(ctx, "tcp", l.target.String())
+	server, err := dialer.DialContext(ctx, "tcp", l.target.String())
 	if err != nil {
-		// The process behind the link is gone. Its own address would refuse the connection.
-		_ = near.SetLinger(0)
-		_ = near.Close()
+		// The process behind the link is not running. Reset the connection, as its own address would refuse it.
+		_ = client.SetLinger(0)
+		_ = client.Close()
 		return
 	}
-	p := &pipe{near: near, far: far}
-	stop := context.AfterFunc(ctx, p.reset)
+	c := &connection{client: client, server: server}
+	stop := context.AfterFunc(ctx, c.reset)
 	defer stop()
 	l.mu.Lock()
-	l.pipes[p] = struct{}{}
+	l.connections[c] = struct{}{}
 	l.mu.Unlock()
 	var both conc.WaitGroup
-	both.Go(func() { l.pump(ctx, p, inward, near, far) })
-	both.Go(func() { l.pump(ctx, p, outward, far, near) })
+	both.Go(func() { l.copyBytes(ctx, c, inward, client, server) })
+	both.Go(func() { l.copyBytes(ctx, c, outward, server, client) })
 	both.Wait()
 	l.mu.Lock()
-	delete(l.pipes, p)
+	delete(l.connections, c)
 	l.mu.Unlock()
 }
 
-// pieceBytes is how much is read at once, and so how much may wait on a link beside what the system buffers.
-const pieceBytes = 16 << 10
+// chunkBytes is the size of a read, and thus the most data that a link buffers in each direction beside the kernel.
+const chunkBytes = 16 << 10
 
-// pump carries the bytes of one way.
-func (l *link) pump(ctx context.Context, p *pipe, to way, from, into net.Conn) {
+// copyBytes copies data in one direction.
+func (l *link) copyBytes(ctx context.Context, c *connection, to direction, from, into net.Conn) {
 	defer func() {
 		_ = from.Close()
 		_ = into.Close()
 	}()
-	piece := make([]byte, pieceBytes)
+	chunk := make([]byte, chunkBytes)
 	for {
-		n, err := from.Read(piece)
-		if !l.pass(ctx, p, to) {
+		n, err := from.Read(chunk)
+		if !l.waitToPass(ctx, c, to) {
 			return
 		}
-		if _, failed := into.Write(piece[:n]); err != nil || failed != nil {
+		if _, failed := into.Write(chunk[:n]); err != nil || failed != nil {
 			return
 		}
 	}
 }
 
-// pass waits until a piece may go on. It returns false if the link was closed.
-func (l *link) pass(ctx context.Context, p *pipe, to way) bool {
+// waitToPass waits until the fault lets a chunk pass. It returns false if the link was closed.
+func (l *link) waitToPass(ctx context.Context, c *connection, to direction) bool {
 	for {
 		l.mu.Lock()
-		spared := l.harm.newPass && !p.old
-		held, delay, changed := l.harm.held[to] && !spared, l.harm.delay, l.changed
+		exempt := l.fault.passNew && !c.predatesFault
+		blocked, delay, changed := l.fault.blocked[to] && !exempt, l.fault.delay, l.changed
 		l.mu.Unlock()
-		if !held {
+		if !blocked {
 			return delay == 0 || ticker.Sleep(ctx, delay)
 		}
 		select {
--- a/internal/program/soak/harm_test.go
+++ b/internal/program/soak/link_test.go
@@ -9,10 +9,10 @@
 	"github.com/oleandershelf/oleandershelf/platform/platformtest"
 )
 
-// A check that a harmed link finds nothing says little if the link did no harm: bytes must be held on the ways that are cut, come
-// whole after that, and new connections must pass where that is asked for.
-func TestLinkHoldsWhatItIsToldTo(t *testing.T) {
-	const held = 100 * time.Millisecond
+// A run with link faults proves nothing if the links inject none: data must be blocked in the chosen directions and arrive complete
+// afterwards, and new connections must pass where the fault exempts them.
+func TestLinkBlocksAndDeliversLater(t *testing.T) {
+	const timeout = 100 * time.Millisecond
 	target := platformtest.UnusedAddress()
 	echo, err := net.Listen("tcp", target.String())
 	if err != nil {
@@ -38,7 +38,7 @@
 		t.Cleanup(func() { _ = conn.Close() })
 		return conn
 	}
-	// passes says whether a byte goes there and back within the time.
+	// passes reports whether a byte is echoed within the time.
 	passes := func(conn net.Conn, within time.Duration) bool {
 		_, _ = conn.Write([]byte{7})
 		_ = conn.SetReadDeadline(time.Now().Add(within))
@@ -47,28 +47,28 @@
 	}
 	old := dial()
 	if !passes(old, time.Second) {
-		t.Fatal("nothing passes a sound link")
+		t.Fatal("no byte passed a link without a fault")
 	}
-	for name, h := range map[string]harm{
-		"inward":  {held: [ways]bool{inward: true}},
-		"outward": {held: [ways]bool{outward: true}, newPass: true},
-		"silence": {held: [ways]bool{inward: true, outward: true}, newPass: true},
+	for name, fault := range map[string]linkFault{
+		"inward":  {blocked: [directionCount]bool{inward: true}},
+		"outward": {blocked: [directionCount]bool{outward: true}, passNew: true},
+		"silence": {blocked: [directionCount]bool{inward: true, outward: true}, passNew: true},
 	} {
-		l.hurt(h)
-		if passes(old, held) {
-			t.Errorf("%s: a byte passed", name)
+		l.setFault(fault)
+		if passes(old, timeout) {
+			t.Errorf("%s: a byte passed on an old connection", name)
 		}
-		if got := passes(dial(), held); got != h.newPass {
-			t.Errorf("%s: new connections pass: %v", name, got)
+		if got := passes(dial(), timeout); got != fault.passNew {
+			t.Errorf("%s: a byte passed on a new connection: %v", name, got)
 		}
-		l.heal()
+		l.clearFault()
 		_ = old.SetReadDeadline(time.Now().Add(time.Second))
 		if n, err := old.Read(make([]byte, 1)); n != 1 {
-			t.Errorf("%s: what was held never came: %v", name, err)
+			t.Errorf("%s: the blocked byte was never delivered: %v", name, err)
 		}
 	}
 	l.reset()
-	if passes(old, held) {
+	if passes(old, timeout) {
 		t.Error("a byte passed after a reset")
 	}
 }
--- a/internal/program/soak/linktrouble.go
+++ b/internal/program/soak/linktrouble.go
@@ -6,35 +6,35 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/ticker"
 )
 
-// maxLinkDelay is the longest delay of a piece on a harmed link.
+// maxLinkDelay is the longest delay of a chunk.
 const maxLinkDelay = 400 * time.Millisecond
 
-// harmOf draws what is wrong with a link, within the kind of the disturbance.
-func harmOf(e entry) harm {
-	// The draw picks a way and whether new connections work.
-	variant := int(e.draw * 4)
-	h := harm{newPass: variant%2 == 1}
-	switch e.what {
-	case troubleLinkDelay:
-		h.delay = time.Duration(e.draw * float64(maxLinkDelay))
-	case troubleLinkOneWay:
-		h.held[variant/2] = true
-	case troubleLinkSilence:
-		h.held = [ways]bool{inward: true, outward: true}
+// linkFaultOf returns the link fault that the disturbance selects.
+func linkFaultOf(d disturbance) linkFault {
+	// The draw selects a direction and whether new connections pass.
+	variant := int(d.draw * 4)
+	fault := linkFault{passNew: variant%2 == 1}
+	switch d.kind {
+	case disturbanceLinkDelay:
+		fault.delay = time.Duration(d.draw * float64(maxLinkDelay))
+	case disturbanceLinkOneWay:
+		fault.blocked[variant/2] = true
+	case disturbanceLinkBlocked:
+		fault.blocked = [directionCount]bool{inward: true, outward: true}
 	default:
-		// The others do no lasting harm.
+		// The other kinds have no lasting link fault.
 	}
-	return h
+	return fault
 }
 
-// disturbLink carries out a disturbance of the connections that other processes have to one.
-func (w *world) disturbLink(e entry) {
-	l := w.processes[e.target%len(w.processes)].link
-	if e.what == troubleLinkReset {
+// disturbLink disturbs the connections that other processes open to one process.
+func (env *environment) disturbLink(d disturbance) {
+	l := env.processes[d.target%len(env.processes)].link
+	if d.kind == disturbanceLinkReset {
 		l.reset()
 		return
 	}
-	l.hurt(harmOf(e))
-	ticker.Sleep(w.ctx, e.lasts)
-	l.heal()
+	l.setFault(linkFaultOf(d))
+	ticker.Sleep(env.ctx, d.duration)
+	l.clearFault()
 }
--- a/internal/program/soak/load.go
+++ b/internal/program/soak/load.go
@@ -18,144 +18,146 @@
 )
 
 const (
-	// patience is how long callers and trainers wait for an answer, as they tell the entry.
-	patience = 3 * time.Second
-	// callPause is the pause between two calls of one caller.
-	callPause = 10 * time.Millisecond
+	// requestTimeout is the time limit that callers and trainers send with each request.
+	requestTimeout = 3 * time.Second
+	// callInterval is the pause between two calls of one caller.
+	callInterval = 10 * time.Millisecond
 )
 
-// load is what callers and trainers do.
-type load struct {
+// loadGenerator sends the requests of callers, trainers and readers, and records the responses.
+type loadGenerator struct {
 	ctx context.Context
-	w   *world
-	// phase is what goes on around the load.
+	env *environment
+	// phase is the current phase of the run.
 	phase     atomic.Pointer[phase]
 	latencies *latencies
-	// kept uses its connections until the process is gone, fresh opens one for each request.
-	kept, fresh *http.Client
-	ledger      *ledger
-	readers     conc.WaitGroup
+	// persistent reuses its connections, oneShot opens a new one for each request.
+	persistent, oneShot *http.Client
+	checker             *checker
+	readers             conc.WaitGroup
 
 	mu    sync.Mutex
 	calls []call
 	jobs  []*job
 }
 
-func newLoad(ctx context.Context, w *world) *load {
-	l := &load{
-		ctx:       ctx,
-		w:         w,
-		kept:      &http.Client{Timeout: givenUp, Transport: &http.Transport{MaxIdleConnsPerHost: keptConnections}},
-		fresh:     &http.Client{Timeout: givenUp, Transport: &http.Transport{DisableKeepAlives: true}},
-		ledger:    w.ledger,
-		latencies: newLatencies(),
+func newLoadGenerator(ctx context.Context, env *environment) *loadGenerator {
+	l := &loadGenerator{
+		ctx:        ctx,
+		env:        env,
+		persistent: &http.Client{Timeout: clientTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}},
+		oneShot:    &http.Client{Timeout: clientTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		checker:    env.checker,
+		latencies:  newLatencies(),
 	}
-	l.enter(phaseBefore)
+	l.setPhase(phaseBefore)
 	return l
 }
 
-// enter says that another phase of the run begins.
-func (l *load) enter(p phase) { l.phase.Store(&p) }
+// setPhase sets the phase under which latencies are recorded from now on.
+func (l *loadGenerator) setPhase(p phase) { l.phase.Store(&p) }
 
 const (
-	// givenUp is when a client gives up by itself.
-	givenUp = patience + time.Second
-	// keptConnections is how many idle connections to an entry are kept.
-	keptConnections = 32
+	// clientTimeout is when the client itself gives up, if the gateway has not answered in time.
+	clientTimeout = requestTimeout + time.Second
+	// maxIdleConnections is the number of idle connections that are kept open to each gateway.
+	maxIdleConnections = 32
 )
 
-// question is a request to an entry.
-type question struct {
-	kind                        kind
+// clientRequest is a request to a gateway.
+type clientRequest struct {
+	kind                        requestKind
 	method, path, key, id, body string
-	// wait is how long the entry may hold a read back.
+	// wait is how long the gateway may delay the response to a read until there are results; 0 is no wait.
 	wait time.Duration
-	// fresh wants a new connection.
-	fresh bool
+	// newConnection sends the request on a new connection.
+	newConnection bool
 }
 
-// reply is what came of a question.
+// reply is the outcome of a request.
 type reply struct {
-	// status is 0 if no answer came.
-	status     int
-	body       string
-	entry      string
-	sent, came time.Time
+	// status is the HTTP status, or 0 if no complete response arrived.
+	status         int
+	body           string
+	gateway        string
+	sent, received time.Time
 }
 
-// String describes the answer but for its body.
+// String describes the response without its body.
 func (r reply) String() string {
-	return fmt.Sprintf("sent to %s at %s was answered %d at %s", r.entry, clock(r.sent), r.status, clock(r.came))
+	return fmt.Sprintf("sent to %s at %s returned status %d at %s", r.gateway, formatTime(r.sent), r.status, formatTime(r.received))
 }
 
-// clock writes a time as the logs of the processes do.
-func clock(t time.Time) string { return t.UTC().Format("15:04:05.000") }
+// formatTime formats a time in the format of the process logs.
+func formatTime(t time.Time) string { return t.UTC().Format("15:04:05.000") }
 
-// ask sends one request to a process.
-func (l *load) ask(p *process, q question) reply {
-	r := reply{entry: p.name, sent: time.Now()}
-	r.status, r.body = l.send(p, q)
-	r.came = time.Now()
-	if q.wait == 0 && r.status >= http.StatusOK && r.status < http.StatusMultipleChoices {
-		l.latencies.record(*l.phase.Load(), q.kind, r.came.Sub(r.sent))
+// do sends a request to a process. It records the latency of a successful response to a request that did not ask to wait.
+func (l *loadGenerator) do(p *process, req clientRequest) reply {
+	r := reply{gateway: p.name, sent: time.Now()}
+	r.status, r.body = l.send(p, req)
+	r.received = time.Now()
+	if req.wait == 0 && r.status >= http.StatusOK && r.status < http.StatusMultipleChoices {
+		l.latencies.record(*l.phase.Load(), req.kind, r.received.Sub(r.sent))
 	}
 	return r
 }
 
-func (l *load) send(p *process, q question) (int, string) {
-	request, err := http.NewRequestWithContext(l.ctx, q.method, p.callers+q.path, strings.NewReader(q.body))
+func (l *loadGenerator) send(p *process, req clientRequest) (int, string) {
+	request, err := http.NewRequestWithContext(l.ctx, req.method, p.callerURL+req.path, strings.NewReader(req.body))
 	if err != nil {
 		return 0, ""
 	}
 	request.Host = hostName
-	platformtest.SetCallerHeaders(request, q.id, q.key, patience)
-	platformtest.SetMaxWait(request, q.wait)
-	client := l.kept
-	if q.fresh {
-		client = l.fresh
+	platformtest.SetCallerHeaders(request, req.id, req.key, requestTimeout)
+	platformtest.SetMaxWait(request, req.wait)
+	client := l.persistent
+	if req.newConnection {
+		client = l.oneShot
 	}
 	response, err := client.Do(request)
 	if err != nil {
 		return 0, ""
 	}
 	defer func() { _ = response.Body.Close() }()
-	read, err := io.ReadAll(response.Body)
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, ""
 	}
-	return response.StatusCode, string(read)
+	return response.StatusCode, string(body)
 }
 
-// call is a caller's request with what became of it.
+// call is a request of a caller and its outcome.
 type call struct {
 	id, path, key string
 	reply         reply
 }
 
-// The paths of calls that may not be repeated, of those that may, and of jobs with their items.
+// The paths of non-idempotent calls, of idempotent calls, and of jobs with their items.
 const (
 	pathOnce = "/once/x"
 	pathSafe = "/safe/x"
 	pathJobs = "/job/"
 )
 
-// otherKeys: one of so many calls brings a key that may be withdrawn, or not be there yet.
-const otherKeys = 10
+// otherKeyInterval: every n-th call uses one of the first n keys, which may be withdrawn or not issued yet.
+const otherKeyInterval = 10
 
-// keepCalling sends calls until ctx ends.
-func (l *load) keepCalling(ctx context.Context, number int) {
+// runCaller sends calls until ctx ends.
+func (l *loadGenerator) runCaller(ctx context.Context, number int) {
 	for n := 0; ctx.Err() == nil; n++ {
-		c := call{id: fmt.Sprintf("c%d-%d", number, n), path: []string{pathOnce, pathSafe}[n%2], key: l.w.currentKey()}
-		if n%otherKeys == 0 {
-			c.key = fmt.Sprintf("key-%d", 1+rand.IntN(otherKeys))
+		c := call{id: fmt.Sprintf("c%d-%d", number, n), path: []string{pathOnce, pathSafe}[n%2], key: l.env.currentKey()}
+		if n%otherKeyInterval == 0 {
+			c.key = fmt.Sprintf("key-%d", 1+rand.IntN(otherKeyInterval))
 		}
-		c.reply = l.ask(l.w.any(), question{kind: kindCall, method: http.MethodPost, path: c.path, key: c.key, id: c.id, body: "body of " + c.id})
+		c.reply = l.do(l.env.randomProcess(), clientRequest{
+			kind: requestCall, method: http.MethodPost, path: c.path, key: c.key, id: c.id, body: "body of " + c.id,
+		})
 		l.mu.Lock()
 		l.calls = append(l.calls, c)
 		l.mu.Unlock()
-		ticker.Sleep(ctx, callPause)
+		ticker.Sleep(ctx, callInterval)
 	}
 }
 
-// any returns one of the processes.
-func (w *world) any() *process { return w.processes[rand.IntN(len(w.processes))] }
+// randomProcess returns one of the processes.
+func (env *environment) randomProcess() *process { return env.processes[rand.IntN(len(env.processes))] }
--- a/internal/program/soak/process.go
+++ b/internal/program/soak/process.go
@@ -11,78 +11,78 @@
 	"github.com/oleandershelf/oleandershelf/platform/platformtest"
 )
 
-// process is one gateway as a process of its own; it starts again at the same addresses.
+// process is a gateway that runs as an operating system process. It can be restarted on the same addresses.
 type process struct {
-	name, program, callers, ready, settings string
-	// door is its way to the store, link where the other processes reach it.
-	door *platformtest.Endpoint
-	link *link
-	log  *os.File
+	name, program, callerURL, readyURL, settings string
+	// storeEndpoint is where the process reaches the store, link where the other processes reach the process.
+	storeEndpoint *platformtest.Endpoint
+	link          *link
+	log           *os.File
 
 	mu      sync.Mutex
 	command *exec.Cmd
-	ended   chan struct{}
+	exited  chan struct{}
 }
 
-// start starts the process if it doesn't run.
+// start starts the process unless it is running.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.runs() {
+	if p.isRunning() {
 		return nil
 	}
-	command := exec.Command(p.program, "gateway", "--settings", p.settings) //nolint:noctx // close ends it, also when it is paused
+	command := exec.Command(p.program, "gateway", "--settings", p.settings) //nolint:noctx // close kills it, also when it is paused
 	command.Stdout, command.Stderr = p.log, p.log
 	if err := command.Start(); err != nil {
 		return errors.Wrap(err, p.name)
 	}
-	ended := make(chan struct{})
-	p.command, p.ended = command, ended
+	exited := make(chan struct{})
+	p.command, p.exited = command, exited
 	go func() {
-		// A process that was killed ends with an error, as it must.
+		// A killed process returns an error, which is expected.
 		_ = command.Wait()
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
 
-// runs says whether the process runs. The caller holds the lock.
-func (p *process) runs() bool {
-	if p.ended == nil {
+// isRunning reports whether the process is running. The caller must hold p.mu.
+func (p *process) isRunning() bool {
+	if p.exited == nil {
 		return false
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
 	}
 }
 
-// signal sends a signal to the process if it runs; only processes that this run started are ever signalled.
+// signal sends a signal to the process if it is running. Only processes that this run started are ever signalled.
 func (p *process) signal(signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.runs() {
-		// It may end at this very moment, and then needs no signal.
+	if p.isRunning() {
+		// The process may exit at this moment and needs no signal then.
 		_ = p.command.Process.Signal(signal)
 	}
 }
 
-// wait waits until the process has ended.
-func (p *process) wait() {
+// waitForExit waits until the process has exited.
+func (p *process) waitForExit() {
 	p.mu.Lock()
-	ended := p.ended
+	exited := p.exited
 	p.mu.Unlock()
-	if ended != nil {
-		<-ended
+	if exited != nil {
+		<-exited
 	}
 }
 
-// close ends the process for good.
+// close kills the process and releases its link and log.
 func (p *process) close() {
 	p.signal(syscall.SIGKILL)
-	p.wait()
+	p.waitForExit()
 	p.link.close()
 	_ = p.log.Close()
 }
--- a/internal/program/soak/promise.go
+++ b/internal/program/soak/promise.go
@@ -7,83 +7,83 @@
 	"sync"
 )
 
-// promise is what callers, trainers, servers or the platform may count on.
-type promise string
+// guarantee is a property that callers, trainers, servers or the platform may rely on.
+type guarantee string
 
-// The promises that are checked.
+// The guarantees that are checked.
 const (
-	promiseWhole      promise = "an answer is whole and the caller's own"
-	promiseNotRun     promise = "what was refused as not run never runs"
-	promiseOnce       promise = "a call that may not be repeated runs at most once"
-	promiseServer     promise = "servers see the right organisation, the right body and no key"
-	promiseKey        promise = "a withdrawn key is not served"
-	promiseAccepted   promise = "an accepted job is never unknown"
-	promiseRepeat     promise = "the repeat of an accepted submission is not refused as not run by an entry that knows a configuration"
-	promisePosition   promise = "a position that was shown never changes"
-	promiseEmpty      promise = "no list is empty at a position that was shown"
-	promiseTotal      promise = "a job has one total"
-	promiseBody       promise = "the body of an item that isn't listed can be read"
-	promiseItem       promise = "each item is listed once, whole, by weights that are allowed"
-	promiseScore      promise = "a score is the signature of an answer to the item's reward call, sent after its text was whole"
-	promiseEnd        promise = "no item and no reward call of a job starts after its end"
-	promiseReport     promise = "a usage window has one set of figures"
-	promiseFence      promise = "fencing numbers never fall"
-	promiseComesRight promise = "all is well again after the last disturbance"
+	guaranteeComplete      guarantee = "a response is complete and belongs to its request"
+	guaranteeNotRun        guarantee = "a request that was rejected as not run never runs"
+	guaranteeOnce          guarantee = "a non-idempotent call runs at most once"
+	guaranteeServerRequest guarantee = "servers receive the right organisation, the right body and no API key"
+	guaranteeKey           guarantee = "a withdrawn API key is rejected"
+	guaranteeAccepted      guarantee = "an accepted job is never reported as unknown"
+	guaranteeResubmission  guarantee = "a repeated submission of an accepted job is not rejected as not run by a gateway that has a configuration"
+	guaranteePosition      guarantee = "the result at a listed position never changes"
+	guaranteeNotEmpty      guarantee = "a list from an already listed position is not empty"
+	guaranteeTotal         guarantee = "the total of a job never changes"
+	guaranteeBody          guarantee = "the body of an item that is not listed yet can be read"
+	guaranteeItem          guarantee = "each item is listed once, complete, from allowed model versions"
+	guaranteeScore         guarantee = "a score is the signature on the item's reward call, made after its text was complete"
+	guaranteeEnd           guarantee = "no item or reward call of a job starts after the job has ended"
+	guaranteeReport        guarantee = "a usage window is always reported with the same counts"
+	guaranteeFencing       guarantee = "fencing tokens never decrease"
+	guaranteeRecovery      guarantee = "the system recovers after the last disturbance"
 )
 
-// tally counts how often a promise was checked and broken.
+// tally counts the checks and violations of a guarantee.
 type tally struct {
 	checks, violations int
 	// found describes the first violations.
 	found []string
 }
 
-// ledger holds what was checked.
-type ledger struct {
+// checker counts the checks and violations of all guarantees.
+type checker struct {
 	mu      sync.Mutex
-	tallies map[promise]*tally
+	tallies map[guarantee]*tally
 }
 
-func newLedger() *ledger { return &ledger{tallies: map[promise]*tally{}} }
+func newChecker() *checker { return &checker{tallies: map[guarantee]*tally{}} }
 
-// told is how many violations of one promise are described; the others are counted.
-const told = 12
+// maxDescribed is how many violations of one guarantee are described; further ones are only counted.
+const maxDescribed = 12
 
-// check counts a check of the promise; the violation is described if it doesn't hold.
-func (l *ledger) check(p promise, holds bool, format string, args ...any) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.tallies[p] == nil {
-		l.tallies[p] = &tally{}
+// check counts a check of the guarantee. If it does not hold, the format and its arguments describe the violation.
+func (c *checker) check(g guarantee, holds bool, format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.tallies[g] == nil {
+		c.tallies[g] = &tally{}
 	}
-	l.tallies[p].checks++
+	c.tallies[g].checks++
 	if holds {
 		return
 	}
-	l.tallies[p].violations++
-	if l.tallies[p].violations <= told {
-		l.tallies[p].found = append(l.tallies[p].found, fmt.Sprintf(format, args...))
+	c.tallies[g].violations++
+	if c.tallies[g].violations <= maxDescribed {
+		c.tallies[g].found = append(c.tallies[g].found, fmt.Sprintf(format, args...))
 	}
 }
 
-// sums returns the promises that were checked, by name.
-func (l *ledger) sums() []Tally {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	var sums []Tally
-	for p, each := range l.tallies {
-		sums = append(sums, Tally{Promise: string(p), Checks: each.checks, Violations: each.violations, Found: each.found})
+// summaries returns the tallies of all checked guarantees, sorted by guarantee.
+func (c *checker) summaries() []Tally {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var summaries []Tally
+	for g, t := range c.tallies {
+		summaries = append(summaries, Tally{Guarantee: string(g), Checks: t.checks, Violations: t.violations, Found: t.found})
 	}
-	slices.SortFunc(sums, func(a, b Tally) int { return cmp.Compare(a.Promise, b.Promise) })
-	return sums
+	slices.SortFunc(summaries, func(a, b Tally) int { return cmp.Compare(a.Guarantee, b.Guarantee) })
+	return summaries
 }
 
-// checked returns how often a promise was checked.
-func (l *ledger) checked(p promise) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.tallies[p] == nil {
+// checked returns how often a guarantee was checked.
+func (c *checker) checked(g guarantee) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.tallies[g] == nil {
 		return 0
 	}
-	return l.tallies[p].checks
+	return c.tallies[g].checks
 }
--- a/internal/program/soak/reader.go
+++ b/internal/program/soak/reader.go
@@ -11,36 +11,37 @@
 )
 
 const (
-	// readersPerJob read a job beside its trainer.
-	readersPerJob = 3
-	// laggards read jobs that others have left.
-	laggards = 2
+	// extraReadersPerJob is the number of readers of a job besides its trainer.
+	extraReadersPerJob = 3
+	// lateReaderCount is the number of readers that read random jobs of the whole run, also abandoned ones.
+	lateReaderCount = 2
 	// maxReadPause is the longest pause between two requests of one reader.
 	maxReadPause = 120 * time.Millisecond
-	// repeatTime is how long after its acceptance a submission may be repeated.
-	repeatTime = 5 * time.Second
+	// resubmitTime is how long after its acceptance a job may be submitted again.
+	resubmitTime = 5 * time.Second
 )
 
-// keepReading reads a job at all entries with a view of its own, as consumers of the same organisation do that work together.
-func (l *load) keepReading(ctx context.Context, j *job) {
+// runReader reads a job from random gateways and keeps its own position, like one of several consumers of an organisation that share
+// a job.
+func (l *loadGenerator) runReader(ctx context.Context, j *job) {
 	next := 0
 	for ctx.Err() == nil {
-		next = l.look(ctx, j, next)
+		next = l.runRandomRequest(ctx, j, next)
 		ticker.Sleep(ctx, time.Duration(rand.Int64N(int64(maxReadPause))))
 	}
 }
 
-// keepLooking reads jobs that were accepted at any time of the run.
-func (l *load) keepLooking(ctx context.Context) {
+// runLateReader reads jobs that were accepted at any time of the run.
+func (l *loadGenerator) runLateReader(ctx context.Context) {
 	for ctx.Err() == nil {
-		if j, ok := l.anyJob(); ok {
-			l.look(ctx, j, 0)
+		if j, ok := l.randomJob(); ok {
+			l.runRandomRequest(ctx, j, 0)
 		}
 		ticker.Sleep(ctx, time.Duration(rand.Int64N(int64(maxReadPause))))
 	}
 }
 
-func (l *load) anyJob() (*job, bool) {
+func (l *loadGenerator) randomJob() (*job, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.jobs) == 0 {
@@ -50,29 +51,32 @@
 	return j, j.isAccepted()
 }
 
-// look asks one thing about a job of which the reader has read the results before next, and returns where it stands then.
-func (l *load) look(ctx context.Context, j *job, next int) int {
+// runRandomRequest sends one random request about a job whose results before next the reader has read. It returns the reader's new
+// position.
+func (l *loadGenerator) runRandomRequest(ctx context.Context, j *job, next int) int {
 	const kinds = 16
 	switch draw := rand.IntN(kinds); {
-	case draw == 0 && j.endWasSent():
+	case draw == 0 && j.isEndSent():
 		l.end(j)
-	case draw <= 2 && time.Since(j.acceptedAt()) < repeatTime:
+	case draw <= 2 && time.Since(j.acceptedAt()) < resubmitTime:
 		l.submit(j)
 	case draw <= 4:
 		item := j.items[rand.IntN(len(j.items))].ID
-		j.noteBody(item, l.ask(l.w.any(), question{
-			kind: kindBody, method: http.MethodGet, path: platformtest.ItemTarget(j.id, item), key: l.w.currentKey(), fresh: rand.IntN(2) == 0,
+		j.recordBody(item, l.do(l.env.randomProcess(), clientRequest{
+			kind: requestBody, method: http.MethodGet, path: platformtest.ItemTarget(j.id, item), key: l.env.currentKey(),
+			newConnection: rand.IntN(2) == 0,
 		}))
 	case draw <= 7:
-		return l.read(ctx, j, next, readWait)
+		return l.read(ctx, j, next, longPollTime)
 	default:
-		l.read(ctx, j, l.position(j), 0)
+		l.read(ctx, j, l.randomPosition(j), 0)
 	}
 	return next
 }
 
-// position draws where a read begins: at the start, in between, at the last position that anybody was shown, after it, or at the end.
-func (l *load) position(j *job) int {
-	listed := j.listed()
+// randomPosition returns where a read begins: at the start, at a random listed position, at the last listed position, after it, or at
+// the end.
+func (l *loadGenerator) randomPosition(j *job) int {
+	listed := j.listedCount()
 	return []int{0, rand.IntN(listed + 1), max(0, listed-1), listed, len(j.items)}[rand.IntN(5)]
 }
--- a/internal/program/soak/schedule.go
+++ b/internal/program/soak/schedule.go
@@ -7,89 +7,92 @@
 	"time"
 )
 
-// trouble is one kind of disturbance.
-type trouble string
+// disturbanceKind is a kind of disturbance.
+type disturbanceKind string
 
-// The disturbances; they come from outside of the processes, in series and overlapping.
+// The kinds of disturbances. They act on the processes from outside and may overlap.
 const (
-	troubleKill      trouble = "kill"
-	troublePause     trouble = "pause"
-	troubleTerminate trouble = "terminate"
-	troubleHangUp    trouble = "hangUp"
-	// The store turns one process away, or lets its calls hang.
-	troubleTurnAway trouble = "turnAway"
-	troubleSilence  trouble = "silence"
-	// The store is down for all, loses answers, or forgets its history.
-	troubleOutage  trouble = "outage"
-	troubleLose    trouble = "lose"
-	troubleCompact trouble = "compact"
-	// The connections from the other processes are delayed, reset, pass one way only, or fall silent.
-	troubleLinkDelay   trouble = "linkDelay"
-	troubleLinkReset   trouble = "linkReset"
-	troubleLinkOneWay  trouble = "linkOneWay"
-	troubleLinkSilence trouble = "linkSilence"
-	// A server refuses, breaks off, fails, or answers for another request.
-	troubleServer trouble = "server"
-	troubleDrain  trouble = "drain"
-	// The operator withdraws a key, a trainer names a weight version.
-	troubleKey     trouble = "key"
-	troubleVersion trouble = "version"
+	disturbanceKill      disturbanceKind = "kill"
+	disturbancePause     disturbanceKind = "pause"
+	disturbanceTerminate disturbanceKind = "terminate"
+	disturbanceReload    disturbanceKind = "hangUp"
+	// The store rejects the requests of one process, or leaves them without a response.
+	disturbanceStoreReject disturbanceKind = "turnAway"
+	disturbanceStoreHang   disturbanceKind = "silence"
+	// The store rejects all requests, loses responses, or compacts its event history.
+	disturbanceStoreOutage      disturbanceKind = "outage"
+	disturbanceStoreLoseAnswers disturbanceKind = "lose"
+	disturbanceStoreCompact     disturbanceKind = "compact"
+	// The connections from the other processes are delayed, reset, or blocked in one or both directions.
+	disturbanceLinkDelay   disturbanceKind = "linkDelay"
+	disturbanceLinkReset   disturbanceKind = "linkReset"
+	disturbanceLinkOneWay  disturbanceKind = "linkOneWay"
+	disturbanceLinkBlocked disturbanceKind = "linkSilence"
+	// A server refuses, cuts off or fails requests, or answers with the response to another one; or it is listed as draining.
+	disturbanceServerFault disturbanceKind = "server"
+	disturbanceServerDrain disturbanceKind = "drain"
+	// The operator withdraws a key, or a trainer announces a model version.
+	disturbanceKeyRotation  disturbanceKind = "key"
+	disturbanceModelVersion disturbanceKind = "version"
 )
 
-var troubles = []trouble{
-	troubleKill, troublePause, troubleTerminate, troubleHangUp, troubleTurnAway, troubleSilence, troubleOutage, troubleLose,
-	troubleCompact, troubleLinkDelay, troubleLinkReset, troubleLinkOneWay, troubleLinkSilence, troubleServer, troubleDrain, troubleKey, troubleVersion,
+var disturbanceKinds = []disturbanceKind{
+	disturbanceKill, disturbancePause, disturbanceTerminate, disturbanceReload, disturbanceStoreReject, disturbanceStoreHang,
+	disturbanceStoreOutage, disturbanceStoreLoseAnswers, disturbanceStoreCompact, disturbanceLinkDelay, disturbanceLinkReset,
+	disturbanceLinkOneWay, disturbanceLinkBlocked, disturbanceServerFault, disturbanceServerDrain, disturbanceKeyRotation,
+	disturbanceModelVersion,
 }
 
-// entry is one disturbance of a schedule.
-type entry struct {
-	at, lasts time.Duration
-	what      trouble
-	// target picks the process or server among those that there are.
+// disturbance is a scheduled disturbance.
+type disturbance struct {
+	// at is the offset from the start of the schedule.
+	at, duration time.Duration
+	kind         disturbanceKind
+	// target selects the process or server, modulo the number of candidates.
 	target int
-	// draw picks a variant.
+	// draw is a random number in [0, 1) that selects a variant.
 	draw float64
 }
 
-// newSchedule draws the disturbances of a run; the same plan gives the same ones.
-func newSchedule(p Plan) []entry {
+// newSchedule generates the disturbances of a run. The same plan always gives the same schedule.
+func newSchedule(p Plan) []disturbance {
 	kinds := p.kinds
 	if len(kinds) == 0 {
-		kinds = troubles
+		kinds = disturbanceKinds
 	}
 	random := rand.New(rand.NewPCG(p.Seed, p.Seed))
-	var entries []entry
+	var disturbances []disturbance
 	for at := time.Second; at < p.Length; at += time.Duration(200+random.IntN(1400)) * time.Millisecond {
-		entries = append(entries, entry{
-			at:     at,
-			lasts:  time.Duration(300+random.IntN(4000)) * time.Millisecond,
-			what:   kinds[random.IntN(len(kinds))],
-			target: random.IntN(1 << 16),
-			draw:   random.Float64(),
+		disturbances = append(disturbances, disturbance{
+			at:       at,
+			duration: time.Duration(300+random.IntN(4000)) * time.Millisecond,
+			kind:     kinds[random.IntN(len(kinds))],
+			target:   random.IntN(1 << 16),
+			draw:     random.Float64(),
 		})
 	}
-	slices.SortStableFunc(entries, func(a, b entry) int { return int(a.at - b.at) })
-	return entries
+	slices.SortStableFunc(disturbances, func(a, b disturbance) int { return int(a.at - b.at) })
+	return disturbances
 }
 
-// String describes a disturbance.
-func (e entry) String() string {
-	return fmt.Sprintf("%v: %s of %s for %v, draw %.3f", e.at, e.what, e.aim(), e.lasts, e.draw)
+// String describes the disturbance.
+func (d disturbance) String() string {
+	return fmt.Sprintf("%v: %s of %s for %v, draw %.3f", d.at, d.kind, d.targetName(), d.duration, d.draw)
 }
 
-// aim names what is disturbed.
-func (e entry) aim() string {
-	switch e.what {
-	case troubleOutage, troubleLose, troubleCompact:
+// targetName names what is disturbed.
+func (d disturbance) targetName() string {
+	switch d.kind {
+	case disturbanceStoreOutage, disturbanceStoreLoseAnswers, disturbanceStoreCompact:
 		return "the store"
-	case troubleKey, troubleVersion:
+	case disturbanceKeyRotation, disturbanceModelVersion:
 		return "the configuration"
-	case troubleServer, troubleDrain:
-		if n := e.target % (servers + servers); n >= servers {
-			return engineName(n - servers)
+	case disturbanceServerFault, disturbanceServerDrain:
+		if n := d.target % (serversPerPool + serversPerPool); n >= serversPerPool {
+			return engineName(n - serversPerPool)
 		}
-		return serviceName(e.target % (servers + servers))
+		return serviceName(d.target % (serversPerPool + serversPerPool))
 	default:
-		return entryName(e.target % processes)
+		return gatewayName(d.target % processCount)
 	}
 }
--- a/internal/program/soak/schedule_golden_test.go
+++ b/internal/program/soak/schedule_golden_test.go
@@ -10,12 +10,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// A seed that found a fault is kept to find it again. It would play other disturbances, and find nothing, if a change of the draw or a new
-// kind of disturbance changed its schedule.
-func TestKeptPlansKeepTheirSchedules(t *testing.T) {
-	for _, p := range keptPlans {
+// Guards against a change of the generator, or a new kind of disturbance, that gives the seed of a regression plan another schedule. The
+// plan would then no longer reproduce the fault for which it is kept.
+func TestRegressionPlanSchedulesAreStable(t *testing.T) {
+	for _, p := range regressionPlans {
 		var lines strings.Builder
 		for _, e := range newSchedule(p) {
 			lines.WriteString(e.String() + "\n")
--- a/internal/program/soak/soak.go
+++ b/internal/program/soak/soak.go
@@ -1,5 +1,5 @@
-// Package soak runs the real program as separate processes over loopback, disturbs them from outside on a schedule drawn from a seed,
-// and checks the promises by what callers, servers and the platform's stand-ins see.
+// Package soak runs several gateways as separate processes over loopback and disturbs them from outside on a schedule generated
+// from a seed. It checks the guarantees of the gateway by what callers, servers and the platform stand-ins observe.
 package soak
 
 import (
@@ -13,87 +13,87 @@
 	"github.com/oleandershelf/oleandershelf/platform/platformtest"
 )
 
-// Plan is what a run plays: the disturbances that it draws by its seed.
+// Plan determines the disturbances of a run.
 type Plan struct {
 	Seed uint64
-	// Length is how long disturbances begin.
+	// Length is the time during which disturbances begin.
 	Length time.Duration
-	// kinds are the disturbances that are drawn; none stands for all.
-	kinds []trouble
+	// kinds are the kinds of disturbances to choose from; empty means all.
+	kinds []disturbanceKind
 }
 
-// Options say what is played, and where.
+// Options configure a run.
 type Options struct {
 	Plan
-	// Program is the path of the program that is run, Folder where the settings and logs of its processes go.
+	// Program is the path of the gateway program. Folder holds the settings and logs of its processes.
 	Program, Folder string
-	// Tell is told of each disturbance as it begins.
+	// Tell is called with a description of each disturbance as it begins.
 	Tell func(line string)
 }
 
 const (
-	callers  = 3
-	trainers = 3
-	// calmTime is how long the load goes on after the last disturbance.
-	calmTime = 2 * time.Second
+	callerCount  = 3
+	trainerCount = 3
+	// recoveryLoadTime is how long the load goes on after the last disturbance.
+	recoveryLoadTime = 2 * time.Second
 )
 
-// Run plays a plan and returns what it found.
+// Run carries out a plan and returns its report. It returns an error only if the run could not be set up.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	var ends platformtest.Cleanups
-	defer ends.Run()
+	var cleanups platformtest.Cleanups
+	defer cleanups.Run()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w, err := newWorld(ctx, o, &ends)
+	env, err := newEnvironment(ctx, o, &cleanups)
 	if err != nil {
 		return nil, err
 	}
-	l := newLoad(ctx, w)
-	var following conc.WaitGroup
-	following.Go(func() { w.followEngines(ctx) })
+	l := newLoadGenerator(ctx, env)
+	var registrations conc.WaitGroup
+	registrations.Go(func() { env.registerLoadedWeights(ctx) })
 	schedule := newSchedule(o.Plan)
-	l.play(schedule, o.Tell)
-	l.finish()
+	l.run(schedule, o.Tell)
+	l.readAllJobs()
 	cancel()
-	following.Wait()
-	l.check()
+	registrations.Wait()
+	l.checkAll()
 	return l.report(o.Plan, schedule), nil
 }
 
-// play loads the processes while they are disturbed, and some time after that.
-func (l *load) play(schedule []entry, tell func(line string)) {
+// run loads the processes while they are disturbed, and for recoveryLoadTime after that.
+func (l *loadGenerator) run(schedule []disturbance, onDisturbance func(line string)) {
 	ctx, stop := context.WithCancel(l.ctx)
 	defer stop()
-	var work, disturbances conc.WaitGroup
-	for i := range callers {
-		work.Go(func() { l.keepCalling(ctx, i) })
+	var work, pending conc.WaitGroup
+	for i := range callerCount {
+		work.Go(func() { l.runCaller(ctx, i) })
 	}
-	for i := range trainers {
-		work.Go(func() { l.keepTraining(ctx, i) })
+	for i := range trainerCount {
+		work.Go(func() { l.runTrainer(ctx, i) })
 	}
-	for range laggards {
-		work.Go(func() { l.keepLooking(ctx) })
+	for range lateReaderCount {
+		work.Go(func() { l.runLateReader(ctx) })
 	}
 	started := time.Now()
-	for _, e := range schedule {
-		if !ticker.Sleep(ctx, time.Until(started.Add(e.at))) {
+	for _, d := range schedule {
+		if !ticker.Sleep(ctx, time.Until(started.Add(d.at))) {
 			break
 		}
-		l.enter(phaseDisturbed)
-		tell(e.String())
-		disturbances.Go(func() { l.w.disturb(e) })
+		l.setPhase(phaseDisturbed)
+		onDisturbance(d.String())
+		pending.Go(func() { l.env.disturb(d) })
 	}
-	disturbances.Wait()
-	l.w.mend()
-	l.enter(phaseAfter)
-	ticker.Sleep(ctx, calmTime)
+	pending.Wait()
+	l.env.restore()
+	l.setPhase(phaseAfter)
+	ticker.Sleep(ctx, recoveryLoadTime)
 	stop()
 	work.Wait()
 	l.readers.Wait()
 }
 
-// finish reads every accepted job once more at every process, and to its end if nobody ended it.
-func (l *load) finish() {
+// readAllJobs waits until every accepted job can be read from every process, and is complete unless a trainer ended it.
+func (l *loadGenerator) readAllJobs() {
 	var reads conc.WaitGroup
 	for _, j := range l.jobs {
 		if !j.isAccepted() {
@@ -101,24 +101,24 @@
 		}
 		reads.Go(func() {
 			read := map[string]bool{}
-			l.w.until("job "+j.id+" is whole, and read everywhere", func() bool {
-				for _, p := range l.w.processes {
-					if status, _ := l.readAt(p, j, 0, readWait); status == http.StatusOK {
+			l.env.waitUntil("job "+j.id+" is complete and readable from every gateway", func() bool {
+				for _, p := range l.env.processes {
+					if status, _ := l.readAt(p, j, 0, longPollTime); status == http.StatusOK {
 						read[p.name] = true
 					}
 				}
-				return (j.whole() || j.endWasSent()) && len(read) == len(l.w.processes)
+				return (j.isComplete() || j.isEndSent()) && len(read) == len(l.env.processes)
 			})
 		})
 	}
 	reads.Wait()
 }
 
-// report sums up what was found.
-func (l *load) report(p Plan, schedule []entry) *Report {
-	r := &Report{Seed: p.Seed, Length: p.Length, Promises: l.ledger.sums(), Latencies: l.latencies.summary()}
-	for _, e := range schedule {
-		r.Schedule = append(r.Schedule, e.String())
+// report returns the report of the run.
+func (l *loadGenerator) report(p Plan, schedule []disturbance) *Report {
+	r := &Report{Seed: p.Seed, Length: p.Length, Guarantees: l.checker.summaries(), Latencies: l.latencies.summary()}
+	for _, d := range schedule {
+		r.Schedule = append(r.Schedule, d.String())
 	}
 	return r
 }
--- a/internal/program/soak/soak_test.go
+++ b/internal/program/soak/soak_test.go
@@ -14,53 +14,56 @@
 
 var (
 	firstSeed = flag.Uint64("soak.seed", 1, "first seed")
-	seeds     = flag.Int("soak.seeds", 2, "how many seeds")
-	length    = flag.Duration("soak.for", 8*time.Second, "how long a seed's disturbances last")
+	seeds     = flag.Int("soak.seeds", 2, "number of seeds")
+	length    = flag.Duration("soak.for", 8*time.Second, "how long disturbances begin for each seed")
 )
 
-// The disturbances that there were when a kept seed failed: before links were disturbed, and since.
+// The kinds of disturbances that existed when a seed failed: before link disturbances were added, and after. They are frozen,
+// since another set would change the schedule of the seed.
 var (
-	kindsBeforeLinks = []trouble{
-		troubleKill, troublePause, troubleTerminate, troubleHangUp, troubleTurnAway, troubleSilence, troubleOutage, troubleLose,
-		troubleCompact, troubleServer, troubleDrain, troubleKey, troubleVersion,
+	kindsBeforeLinks = []disturbanceKind{
+		disturbanceKill, disturbancePause, disturbanceTerminate, disturbanceReload, disturbanceStoreReject, disturbanceStoreHang,
+		disturbanceStoreOutage, disturbanceStoreLoseAnswers, disturbanceStoreCompact, disturbanceServerFault, disturbanceServerDrain,
+		disturbanceKeyRotation, disturbanceModelVersion,
 	}
-	kindsWithLinks = []trouble{
-		troubleKill, troublePause, troubleTerminate, troubleHangUp, troubleTurnAway, troubleSilence, troubleOutage, troubleLose,
-		troubleCompact, troubleLinkDelay, troubleLinkReset, troubleLinkOneWay, troubleLinkSilence, troubleServer, troubleDrain, troubleKey,
-		troubleVersion,
+	kindsWithLinks = []disturbanceKind{
+		disturbanceKill, disturbancePause, disturbanceTerminate, disturbanceReload, disturbanceStoreReject, disturbanceStoreHang,
+		disturbanceStoreOutage, disturbanceStoreLoseAnswers, disturbanceStoreCompact, disturbanceLinkDelay, disturbanceLinkReset,
+		disturbanceLinkOneWay, disturbanceLinkBlocked, disturbanceServerFault, disturbanceServerDrain, disturbanceKeyRotation,
+		disturbanceModelVersion,
 	}
 )
 
-// keptPlans failed once and are played for ever.
-var keptPlans = []Plan{
-	// The only entry that ran a job lost the answer to the write of its first page, and showed an empty list from memory at a position
-	// that another entry had read in the store and shown.
+// regressionPlans are plans that revealed a fault once. They run in every test.
+var regressionPlans = []Plan{
+	// The only gateway that ran a job lost the response to the write of its first page. It then listed nothing from memory at a
+	// position that another gateway had read from the store and listed.
 	{Seed: 342, Length: 10 * time.Second, kinds: kindsBeforeLinks},
-	// An entry asked a job's home to run it, lost the answer, and ran it as well: it took itself for the only one, and showed an empty
-	// list at positions that the home had listed and shown.
+	// A gateway asked the gateway that owns a job to run it, lost the response, and ran the job too. It took itself for the only
+	// one and listed nothing at positions that the owner had listed.
 	{Seed: 420, Length: 10 * time.Second, kinds: kindsWithLinks},
-	// As 342, where links are reset while answers of the store are lost.
+	// Like 342, but links are reset while responses of the store are lost.
 	{Seed: 421, Length: 10 * time.Second, kinds: kindsWithLinks},
 }
 
 func TestSoak(t *testing.T) {
-	for _, p := range keptPlans {
+	for _, p := range regressionPlans {
 		t.Run(fmt.Sprintf("kept-%d", p.Seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, p)
+			runPlan(t, p)
 		})
 	}
 	for i := range *seeds {
 		p := Plan{Seed: *firstSeed + uint64(i), Length: *length}
 		t.Run(fmt.Sprintf("seed-%d", p.Seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, p)
+			runPlan(t, p)
 		})
 	}
 }
 
-// play plays a plan, has a subtest for each promise, and keeps the logs of the processes if one fails.
-func play(t *testing.T, p Plan) {
+// runPlan carries out a plan with a subtest for each guarantee, and keeps the logs of the processes if one fails.
+func runPlan(t *testing.T, p Plan) {
 	program, err := binary.Path()
 	if err != nil {
 		t.Fatal(err)
@@ -70,10 +73,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, each := range report.Promises {
-		t.Run(each.Promise, func(t *testing.T) {
-			t.Logf("checked: %6d times %s, %d violations", each.Checks, each.Promise, each.Violations)
-			for _, found := range each.Found {
+	for _, tally := range report.Guarantees {
+		t.Run(tally.Guarantee, func(t *testing.T) {
+			t.Logf("checked: %6d times %s, %d violations", tally.Checks, tally.Guarantee, tally.Violations)
+			for _, found := range tally.Found {
 				t.Error(found)
 			}
 		})
@@ -83,14 +86,14 @@
 	}
 }
 
-// keepLogs copies the logs of a failed run, and its page, to where they outlive the test.
+// keepLogs copies the logs and the report of a failed run to the system's temporary folder, where they outlive the test.
 func keepLogs(t *testing.T, folder string, report *Report) {
-	kept := filepath.Join(os.TempDir(), "soak-"+filepath.Base(t.Name())+"-")
-	var page strings.Builder
-	if err := report.Write(&page); err != nil {
+	prefix := filepath.Join(os.TempDir(), "soak-"+filepath.Base(t.Name())+"-")
+	var text strings.Builder
+	if err := report.Write(&text); err != nil {
 		t.Error(err)
 	}
-	t.Logf("page: %spage.txt (%v)", kept, os.WriteFile(kept+"page.txt", []byte(page.String()), 0o600))
+	t.Logf("report: %spage.txt (%v)", prefix, os.WriteFile(prefix+"page.txt", []byte(text.String()), 0o600))
 	logs, err := filepath.Glob(filepath.Join(folder, "*.log"))
 	if err != nil {
 		t.Error(err)
@@ -101,6 +104,6 @@
 			t.Error(err)
 			continue
 		}
-		t.Logf("log: %s (%v)", kept+filepath.Base(log), os.WriteFile(kept+filepath.Base(log), content, 0o600))
+		t.Logf("log: %s (%v)", prefix+filepath.Base(log), os.WriteFile(prefix+filepath.Base(log), content, 0o600))
 	}
 }
--- a/internal/program/soak/trainer.go
+++ b/internal/program/soak/trainer.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// readsOn is how long a trainer reads a job at most, readsAfter how long the readers beside it go on after that.
-	readsOn    = 4 * time.Second
-	readsAfter = 2 * time.Second
-	// readWait is how long an entry may hold back a read.
-	readWait = 300 * time.Millisecond
-	// retryPause is the pause after an answer that brought nothing.
+	// trainerReadTime is how long a trainer reads a job at most. The other readers of the job go on for extraReadTime after that.
+	trainerReadTime = 4 * time.Second
+	extraReadTime   = 2 * time.Second
+	// longPollTime is how long a gateway may delay the response to a read until there are results.
+	longPollTime = 300 * time.Millisecond
+	// retryPause is the pause after an unsuccessful request.
 	retryPause = 100 * time.Millisecond
 )
 
-// ending is when a trainer ends its job.
-type ending uint8
+// endPolicy says when a trainer ends its job.
+type endPolicy uint8
 
 const (
-	endsNever ending = iota
-	// endsEarly ends the job while its items run or wait.
-	endsEarly
-	endsWhole
-	endings
+	endNever endPolicy = iota
+	// endEarly ends the job while its items are running or queued.
+	endEarly
+	endComplete
+	endPolicies
 )
 
-// jobSizes are how many items jobs have; the great ones wait for places at the engines.
+// jobSizes are the possible numbers of items of a job. Items of the large ones have to wait for slots at the engines.
 var jobSizes = []int{8, 24, 64}
 
-// keepTraining hands jobs in, one after the other, and reads each until it is whole or for some seconds.
-func (l *load) keepTraining(ctx context.Context, number int) {
+// runTrainer submits jobs one after the other. It reads each until it is complete or trainerReadTime has passed.
+func (l *loadGenerator) runTrainer(ctx context.Context, number int) {
 	for n := 0; ctx.Err() == nil; n++ {
-		l.w.mu.Lock()
-		minVersion := max(1, l.w.weights-n%2)
-		l.w.mu.Unlock()
-		j := newJob(fmt.Sprintf("j%d-%d", number, n), jobSizes[rand.IntN(len(jobSizes))], minVersion, l.ledger)
+		l.env.mu.Lock()
+		minVersion := max(1, l.env.modelVersion-n%2)
+		l.env.mu.Unlock()
+		j := newJob(fmt.Sprintf("j%d-%d", number, n), jobSizes[rand.IntN(len(jobSizes))], minVersion, l.checker)
 		l.mu.Lock()
 		l.jobs = append(l.jobs, j)
 		l.mu.Unlock()
@@ -50,66 +50,73 @@
 			ticker.Sleep(ctx, retryPause)
 		}
 		if j.isAccepted() {
-			l.train(ctx, j, ending(n%int(endings)))
+			l.train(ctx, j, endPolicy(n%int(endPolicies)))
 		}
 	}
 }
 
-// train reads a job, while others read it too, and ends it.
-func (l *load) train(ctx context.Context, j *job, ends ending) {
-	for range readersPerJob {
+// train reads a job together with other readers, and ends it according to the policy.
+func (l *loadGenerator) train(ctx context.Context, j *job, end endPolicy) {
+	for range extraReadersPerJob {
 		l.readers.Go(func() {
-			reading, stop := context.WithTimeout(ctx, readsOn+readsAfter)
+			reading, stop := context.WithTimeout(ctx, trainerReadTime+extraReadTime)
 			defer stop()
-			l.keepReading(reading, j)
+			l.runReader(reading, j)
 		})
 	}
 	early := rand.IntN(len(j.items))
-	for until := time.Now().Add(readsOn); time.Now().Before(until) && ctx.Err() == nil && !j.whole(); {
-		if ends == endsEarly && j.listed() >= early/2 {
+	for deadline := time.Now().Add(trainerReadTime); time.Now().Before(deadline) && ctx.Err() == nil && !j.isComplete(); {
+		if end == endEarly && j.listedCount() >= early/2 {
 			break
 		}
-		l.read(ctx, j, j.listed(), readWait)
+		l.read(ctx, j, j.listedCount(), longPollTime)
 	}
-	if ends == endsNever {
+	if end == endNever {
 		return
 	}
-	for until := time.Now().Add(readsOn); time.Now().Before(until) && ctx.Err() == nil && !l.end(j); {
+	for deadline := time.Now().Add(trainerReadTime); time.Now().Before(deadline) && ctx.Err() == nil && !l.end(j); {
 		ticker.Sleep(ctx, retryPause)
 	}
 }
 
-// submit hands the job in, perhaps not for the first time.
-func (l *load) submit(j *job) {
-	j.noteSubmission(l.ask(l.w.any(), question{
-		kind: kindSubmission, method: http.MethodPost, path: "/job/" + j.id, key: l.w.currentKey(), id: j.id, body: j.submission(), fresh: rand.IntN(2) == 0,
+// submit submits the job, possibly again.
+func (l *loadGenerator) submit(j *job) {
+	j.recordSubmission(l.do(l.env.randomProcess(), clientRequest{
+		kind: requestSubmission, method: http.MethodPost, path: "/job/" + j.id, key: l.env.currentKey(), id: j.id,
+		body: j.submission(), newConnection: rand.IntN(2) == 0,
 	}))
 }
 
-// end ends the job, perhaps not for the first time, and says whether that was acknowledged.
-func (l *load) end(j *job) bool {
+// end sends the end request of the job, possibly again, and reports whether it was acknowledged.
+func (l *loadGenerator) end(j *job) bool {
 	j.mu.Lock()
 	if j.endSent.IsZero() {
 		j.endSent = time.Now()
 	}
 	j.mu.Unlock()
-	r := l.ask(l.w.any(), question{kind: kindEnd, method: http.MethodDelete, path: platformtest.JobTarget(j.id, 0), key: l.w.currentKey(), fresh: rand.IntN(2) == 0})
-	j.noteEnd(r)
+	r := l.do(l.env.randomProcess(), clientRequest{
+		kind: requestEnd, method: http.MethodDelete, path: platformtest.JobTarget(j.id, 0), key: l.env.currentKey(),
+		newConnection: rand.IntN(2) == 0,
+	})
+	j.recordEnd(r)
 	return r.status == http.StatusOK
 }
 
-// read reads results at any entry from a position on, and returns the position after the last of them.
-func (l *load) read(ctx context.Context, j *job, from int, wait time.Duration) int {
-	status, next := l.readAt(l.w.any(), j, from, wait)
+// read reads results from a random gateway, starting at position from. It returns the position after the last result.
+func (l *loadGenerator) read(ctx context.Context, j *job, from int, wait time.Duration) int {
+	status, next := l.readAt(l.env.randomProcess(), j, from, wait)
 	if status != http.StatusOK {
 		ticker.Sleep(ctx, retryPause)
 	}
 	return next
 }
 
-func (l *load) readAt(p *process, j *job, from int, wait time.Duration) (status, next int) {
-	r := l.ask(p, question{kind: kindRead, method: http.MethodGet, path: platformtest.JobTarget(j.id, from), key: l.w.currentKey(), wait: wait, fresh: rand.IntN(2) == 0})
-	j.noteResults(from, r)
+func (l *loadGenerator) readAt(p *process, j *job, from int, wait time.Duration) (status, next int) {
+	r := l.do(p, clientRequest{
+		kind: requestRead, method: http.MethodGet, path: platformtest.JobTarget(j.id, from), key: l.env.currentKey(), wait: wait,
+		newConnection: rand.IntN(2) == 0,
+	})
+	j.recordResults(from, r)
 	got, err := platformtest.ReadResults(r.body)
 	if r.status != http.StatusOK || err != nil {
 		return r.status, from
--- a/internal/program/soak/trouble.go
+++ b/internal/program/soak/trouble.go
@@ -11,145 +11,148 @@
 	"github.com/oleandershelf/oleandershelf/platform/platformtest"
 )
 
-// serverBehaviours are what disturbed servers do with part of their requests.
-var serverBehaviours = []platformtest.Behaviour{
-	platformtest.Shed, platformtest.CutConnection, platformtest.CutMidEvent, platformtest.CutAtEnd, platformtest.WrongRequest, platformtest.Unsigned, platformtest.Hang,
-	platformtest.RepeatLastEvent,
+// faultyBehaviours are the faults that a disturbed server may show in part of its requests.
+var faultyBehaviours = []platformtest.Behaviour{
+	platformtest.Shed, platformtest.CutConnection, platformtest.CutMidEvent, platformtest.CutAtEnd, platformtest.WrongRequest, platformtest.Unsigned,
+	platformtest.Hang, platformtest.RepeatLastEvent,
 }
 
-// isolating are the disturbances during which a process can't hear what the others or the store say.
-var isolating = []trouble{troublePause, troubleTurnAway, troubleSilence, troubleLinkDelay, troubleLinkOneWay, troubleLinkSilence}
+// isolatingKinds are the disturbances during which a process may miss messages from the other processes or the store.
+var isolatingKinds = []disturbanceKind{
+	disturbancePause, disturbanceStoreReject, disturbanceStoreHang, disturbanceLinkDelay, disturbanceLinkOneWay, disturbanceLinkBlocked,
+}
 
-// span is the time of a disturbance.
-type span struct{ from, to time.Time }
+// interval is the time during which a disturbance lasted.
+type interval struct{ from, to time.Time }
 
-// isolate notes that a process is isolated from now on, until the function that it returns is called.
-func (w *world) isolate() (end func()) {
+// beginIsolation records that a process is isolated until the returned function is called.
+func (env *environment) beginIsolation() (end func()) {
 	from := time.Now()
 	return func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.isolated = append(w.isolated, span{from: from, to: time.Now()})
+		env.mu.Lock()
+		defer env.mu.Unlock()
+		env.isolations = append(env.isolations, interval{from: from, to: time.Now()})
 	}
 }
 
-// wasIsolated says whether a process was isolated at the time, or a short time before.
-func (w *world) wasIsolated(at time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.ContainsFunc(w.isolated, func(s span) bool { return !at.Before(s.from) && at.Before(s.to.Add(startsTime)) })
+// wasIsolated reports whether a process was isolated at the time, or at most startGrace before it.
+func (env *environment) wasIsolated(at time.Time) bool {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return slices.ContainsFunc(env.isolations, func(i interval) bool { return !at.Before(i.from) && at.Before(i.to.Add(startGrace)) })
 }
 
-// disturb carries out one disturbance and mends it.
-func (w *world) disturb(e entry) {
-	if slices.Contains(isolating, e.what) {
-		defer w.isolate()()
+// disturb carries out one disturbance and reverts it after its duration.
+func (env *environment) disturb(d disturbance) {
+	if slices.Contains(isolatingKinds, d.kind) {
+		defer env.beginIsolation()()
 	}
-	p := w.processes[e.target%len(w.processes)]
-	switch e.what {
-	case troubleKill:
+	p := env.processes[d.target%len(env.processes)]
+	switch d.kind {
+	case disturbanceKill:
 		p.signal(syscall.SIGKILL)
-		p.wait()
-		ticker.Sleep(w.ctx, e.lasts/4)
-		w.start(p)
-	case troublePause:
+		p.waitForExit()
+		ticker.Sleep(env.ctx, d.duration/4)
+		env.start(p)
+	case disturbancePause:
 		p.signal(syscall.SIGSTOP)
-		ticker.Sleep(w.ctx, e.lasts+time.Second)
+		ticker.Sleep(env.ctx, d.duration+time.Second)
 		p.signal(syscall.SIGCONT)
-	case troubleTerminate:
+	case disturbanceTerminate:
 		p.signal(syscall.SIGTERM)
-		p.wait()
-		w.start(p)
-	case troubleHangUp:
+		p.waitForExit()
+		env.start(p)
+	case disturbanceReload:
 		p.signal(syscall.SIGHUP)
-	case troubleTurnAway:
-		p.door.RefuseCalls()
-		ticker.Sleep(w.ctx, e.lasts)
-		p.door.ServeCalls()
-	case troubleSilence:
-		p.door.HangCalls()
-		ticker.Sleep(w.ctx, e.lasts)
-		p.door.ServeCalls()
-	case troubleLinkDelay, troubleLinkReset, troubleLinkOneWay, troubleLinkSilence:
-		w.disturbLink(e)
+	case disturbanceStoreReject:
+		p.storeEndpoint.RefuseCalls()
+		ticker.Sleep(env.ctx, d.duration)
+		p.storeEndpoint.ServeCalls()
+	case disturbanceStoreHang:
+		p.storeEndpoint.HangCalls()
+		ticker.Sleep(env.ctx, d.duration)
+		p.storeEndpoint.ServeCalls()
+	case disturbanceLinkDelay, disturbanceLinkReset, disturbanceLinkOneWay, disturbanceLinkBlocked:
+		env.disturbLink(d)
 	default:
-		w.disturbOutside(e)
+		env.disturbPlatform(d)
 	}
 }
 
-// disturbOutside carries out the disturbances of the store, the servers and the operator.
-func (w *world) disturbOutside(e entry) {
-	switch e.what {
-	case troubleOutage:
-		w.store.SetFault(func(string, string) platformtest.Fault { return platformtest.Refuse })
-		ticker.Sleep(w.ctx, e.lasts)
-		w.store.SetFault(nil)
-	case troubleLose:
+// disturbPlatform carries out the disturbances that come from the store, the servers, the operator or a trainer.
+func (env *environment) disturbPlatform(d disturbance) {
+	switch d.kind {
+	case disturbanceStoreOutage:
+		env.store.SetFault(func(string, string) platformtest.Fault { return platformtest.Refuse })
+		ticker.Sleep(env.ctx, d.duration)
+		env.store.SetFault(nil)
+	case disturbanceStoreLoseAnswers:
 		calls := 0
-		w.store.SetFault(func(method, _ string) platformtest.Fault {
+		env.store.SetFault(func(method, _ string) platformtest.Fault {
 			calls++
 			if method != http.MethodGet && calls%3 == 0 {
 				return platformtest.LoseAnswer
 			}
 			return platformtest.Serve
 		})
-		ticker.Sleep(w.ctx, e.lasts)
-		w.store.SetFault(nil)
-	case troubleCompact:
-		w.store.Compact()
-	case troubleServer:
-		w.disturbServer(e)
-	case troubleDrain:
-		server := w.all()[e.target%len(w.all())]
-		w.store.Register(server, true)
-		ticker.Sleep(w.ctx, e.lasts)
-		w.store.Register(server, false)
-	case troubleKey:
-		w.newKey()
-	case troubleVersion:
-		w.nameVersion()
+		ticker.Sleep(env.ctx, d.duration)
+		env.store.SetFault(nil)
+	case disturbanceStoreCompact:
+		env.store.Compact()
+	case disturbanceServerFault:
+		env.disturbServer(d)
+	case disturbanceServerDrain:
+		server := env.allServers()[d.target%len(env.allServers())]
+		env.store.Register(server, true)
+		ticker.Sleep(env.ctx, d.duration)
+		env.store.Register(server, false)
+	case disturbanceKeyRotation:
+		env.rotateKey()
+	case disturbanceModelVersion:
+		env.announceVersion()
 	default:
-		w.ledger.check(promiseComesRight, false, "unknown disturbance %q", e.what)
+		env.checker.check(guaranteeRecovery, false, "unknown disturbance %q", d.kind)
 	}
 }
 
-func (w *world) disturbServer(e entry) {
-	server := w.all()[e.target%len(w.all())]
-	behaviour := serverBehaviours[int(e.draw*float64(len(serverBehaviours)))]
+func (env *environment) disturbServer(d disturbance) {
+	server := env.allServers()[d.target%len(env.allServers())]
+	behaviour := faultyBehaviours[int(d.draw*float64(len(faultyBehaviours)))]
 	server.SetBehaviour(func(n int, _ platformtest.Request) platformtest.Behaviour {
-		if n%disturbedPart == 0 {
+		if n%faultInterval == 0 {
 			return behaviour
 		}
 		return platformtest.Answer
 	})
-	ticker.Sleep(w.ctx, e.lasts)
-	w.calm(server)
+	ticker.Sleep(env.ctx, d.duration)
+	env.setDefaultBehaviour(server)
 }
 
-// What servers do wrong though nobody disturbs them: an engine breaks off one of so many streams, and repeats an event in one of so many
-// that go on there; a service answers for another request in one of so many, and carries out another one and breaks off. An entry leaves a
-// stream with a repeated event, so that no item would ever end where every stream has one.
+// Faults that servers show even without a disturbance. Every n-th stream of an engine is cut, and every n-th stream that an
+// engine resumes repeats an event. Of every n requests to a service, one gets the response to another request, and one is carried
+// out but its connection is cut. A gateway abandons a stream with a repeated event, so no item could ever finish if every
+// resumed stream repeated one.
 const (
-	cutPart    = 15
-	repeatPart = 2
-	faultPart  = 40
+	engineCutInterval    = 15
+	engineRepeatInterval = 2
+	serviceFaultInterval = 40
 )
 
-// calm has a server behave as it does when nobody disturbs it.
+// setDefaultBehaviour makes a server behave as it does without a disturbance.
 //
-// Few streams go on, and few answers come from a disturbed server, so the disturbances alone would seldom find an entry that takes in an
-// event twice, passes on the answer to another request, or sends a call again that may have run.
-func (w *world) calm(server *platformtest.Server) {
-	engine := slices.Contains(w.engines, server)
+// Disturbed servers resume few streams and send few responses. Their disturbances alone would rarely reveal a gateway that
+// accepts an event twice, passes on the response to another request, or resends a call that may have run.
+func (env *environment) setDefaultBehaviour(server *platformtest.Server) {
+	engine := slices.Contains(env.engines, server)
 	server.SetBehaviour(func(n int, r platformtest.Request) platformtest.Behaviour {
 		switch {
-		case engine && r.Resumed() && n%repeatPart == 0:
+		case engine && r.Resumed() && n%engineRepeatInterval == 0:
 			return platformtest.RepeatLastEvent
-		case engine && n%cutPart == 0:
+		case engine && n%engineCutInterval == 0:
 			return platformtest.CutConnection
-		case !engine && n%faultPart == 0:
+		case !engine && n%serviceFaultInterval == 0:
 			return platformtest.WrongRequest
-		case !engine && n%faultPart == 1:
+		case !engine && n%serviceFaultInterval == 1:
 			return platformtest.CutConnection
 		default:
 			return platformtest.Answer
@@ -157,46 +160,46 @@
 	})
 }
 
-// disturbedPart: a disturbed server does what it does wrong to one of so many requests.
-const disturbedPart = 3
-
-func (w *world) nameVersion() {
-	w.mu.Lock()
-	w.weights++
-	version := w.weights
-	w.mu.Unlock()
-	w.store.PutModelVersion(model, version)
-	// The list says of one engine that it has the weights, and the engine has not: it was started again with those from before.
-	w.store.RegisterWithVersion(w.engines[version%len(w.engines)], model, version)
+// faultInterval: a disturbed server shows its fault in every n-th request.
+const faultInterval = 3
+
+func (env *environment) announceVersion() {
+	env.mu.Lock()
+	env.modelVersion++
+	version := env.modelVersion
+	env.mu.Unlock()
+	env.store.PutModelVersion(model, version)
+	// Register the new version for one engine that has not loaded it, as if that engine had been restarted with older weights.
+	env.store.RegisterWithVersion(env.engines[version%len(env.engines)], model, version)
 }
 
-// followEngines registers the weights that engines have loaded, as they do themselves.
-func (w *world) followEngines(ctx context.Context) {
+// registerLoadedWeights registers the model versions that engines have loaded, as real engines do themselves.
+func (env *environment) registerLoadedWeights(ctx context.Context) {
 	known := map[string]int{}
-	for ticker.Sleep(ctx, poll) {
-		for _, engine := range w.engines {
+	for ticker.Sleep(ctx, pollInterval) {
+		for _, engine := range env.engines {
 			if orders := len(engine.Orders()); orders != known[engine.ID] {
 				known[engine.ID] = orders
-				w.store.Register(engine, false)
+				env.store.Register(engine, false)
 			}
 		}
 	}
 }
 
-// mend ends every disturbance and waits until all processes serve.
-func (w *world) mend() {
-	w.store.SetFault(nil)
-	for _, server := range w.all() {
-		w.calm(server)
-		w.store.Register(server, false)
+// restore ends all disturbances and waits until all processes are ready.
+func (env *environment) restore() {
+	env.store.SetFault(nil)
+	for _, server := range env.allServers() {
+		env.setDefaultBehaviour(server)
+		env.store.Register(server, false)
 	}
-	for _, p := range w.processes {
-		p.door.ServeCalls()
-		p.link.heal()
+	for _, p := range env.processes {
+		p.storeEndpoint.ServeCalls()
+		p.link.clearFault()
 		p.signal(syscall.SIGCONT)
-		w.start(p)
+		env.start(p)
 	}
-	for _, p := range w.processes {
-		w.until(p.name+" is ready after the last disturbance", func() bool { return w.isReady(p) })
+	for _, p := range env.processes {
+		env.waitUntil(p.name+" is ready after the last disturbance", func() bool { return env.isReady(p) })
 	}
 }
--- a/internal/program/soak/world.go
+++ b/internal/program/soak/world.go
@@ -18,146 +18,148 @@
 )
 
 const (
-	hostName     = "desk.example"
-	organisation = "north"
-	model        = "m"
-	processes    = 3
-	servers      = 3
-	// routeTimeout is the longest time to answer of a route.
+	hostName       = "desk.example"
+	organisation   = "north"
+	model          = "m"
+	processCount   = 3
+	serversPerPool = 3
+	// routeTimeout is the response time limit of each route.
 	routeTimeout = 3 * time.Second
-	// mendTime is how long a run may take until all is well again after its last disturbance.
-	mendTime = 40 * time.Second
-	poll     = 50 * time.Millisecond
-	// itemEvents is how many events the output of an item has, eventPause the time between two of them.
+	// recoveryTimeout is how long a condition may take to become true, such as a process being ready again.
+	recoveryTimeout = 40 * time.Second
+	pollInterval    = 50 * time.Millisecond
+	// itemEvents is the number of events in the output of an item, eventPause the time between two of them.
 	itemEvents = 12
 	eventPause = 15 * time.Millisecond
 )
 
-func entryName(n int) string   { return fmt.Sprintf("entry-%d", n) }
+func gatewayName(n int) string { return fmt.Sprintf("entry-%d", n) }
 func serviceName(n int) string { return fmt.Sprintf("desk-%d", n) }
 func engineName(n int) string  { return fmt.Sprintf("engine-%d", n) }
 
-// world is the platform's stand-ins with the processes before them.
-type world struct {
+// environment holds the platform stand-ins, the servers, and the gateway processes under test.
+type environment struct {
 	ctx       context.Context
-	ledger    *ledger
+	checker   *checker
 	store     *platformtest.Store
 	duties    *platformtest.UsageReceiver
 	services  []*platformtest.Server
 	engines   []*platformtest.Server
 	processes []*process
 
-	mu      sync.Mutex
-	version int
-	weights int
-	// key is the one in force for the organisation, retired holds the former ones with the time of their withdrawal.
-	key     string
-	retired map[string]time.Time
-	// isolated are the times at which a process could not hear the others or the store.
-	isolated []span
+	mu                   sync.Mutex
+	configurationVersion int
+	modelVersion         int
+	// key is the current API key of the organisation. withdrawnKeys holds the former ones with the time of their withdrawal.
+	key           string
+	withdrawnKeys map[string]time.Time
+	// isolations are the times during which a process could not hear the other processes or the store.
+	isolations []interval
 }
 
-// newWorld starts the stand-ins and the processes, which end by the cleaner.
-func newWorld(ctx context.Context, o Options, c platformtest.Cleaner) (*world, error) {
-	w := &world{
-		ctx: ctx, ledger: newLedger(), store: platformtest.NewStore(c), duties: platformtest.NewUsageReceiver(c), weights: 1, retired: map[string]time.Time{},
+// newEnvironment starts the stand-ins and the processes, and waits until the processes are ready. The cleaner stops them.
+func newEnvironment(ctx context.Context, o Options, c platformtest.Cleaner) (*environment, error) {
+	env := &environment{
+		ctx: ctx, checker: newChecker(), store: platformtest.NewStore(c), duties: platformtest.NewUsageReceiver(c),
+		modelVersion: 1, withdrawnKeys: map[string]time.Time{},
 	}
-	for i := range servers {
-		w.services = append(w.services, platformtest.NewServer(c, serviceName(i), "desk", nil))
-		w.engines = append(w.engines, platformtest.NewServer(c, engineName(i), "engines", map[string]int{model: 1}))
-		w.engines[i].SetStream(itemEvents, eventPause)
+	for i := range serversPerPool {
+		env.services = append(env.services, platformtest.NewServer(c, serviceName(i), "desk", nil))
+		env.engines = append(env.engines, platformtest.NewServer(c, engineName(i), "engines", map[string]int{model: 1}))
+		env.engines[i].SetStream(itemEvents, eventPause)
 	}
-	w.newKey()
-	for _, server := range w.all() {
-		w.calm(server)
-		w.store.Register(server, false)
+	env.rotateKey()
+	for _, server := range env.allServers() {
+		env.setDefaultBehaviour(server)
+		env.store.Register(server, false)
 	}
 	seed := platformtest.UnusedAddress()
-	for i := range processes {
+	for i := range processCount {
 		advertised := seed
 		if i > 0 {
 			advertised = platformtest.UnusedAddress()
 		}
-		p, err := w.newProcess(entryName(i), o, seed, advertised, c)
+		p, err := env.newProcess(gatewayName(i), o, seed, advertised, c)
 		if err != nil {
 			return nil, err
 		}
-		w.processes = append(w.processes, p)
+		env.processes = append(env.processes, p)
 	}
-	for _, p := range w.processes {
-		w.start(p)
+	for _, p := range env.processes {
+		env.start(p)
 	}
-	for _, p := range w.processes {
-		w.until(p.name+" is ready", func() bool { return w.isReady(p) })
+	for _, p := range env.processes {
+		env.waitUntil(p.name+" is ready", func() bool { return env.isReady(p) })
 	}
-	return w, nil
+	return env, nil
 }
 
-func (w *world) all() []*platformtest.Server {
-	return append(append([]*platformtest.Server{}, w.services...), w.engines...)
+func (env *environment) allServers() []*platformtest.Server {
+	return append(append([]*platformtest.Server{}, env.services...), env.engines...)
 }
 
-// newKey gives the organisation another key and withdraws the former one.
-func (w *world) newKey() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
-	former := w.key
-	w.key = fmt.Sprintf("key-%d", w.version)
-	w.store.Configure(w.version, hostName, model, []platformtest.Route{
+// rotateKey issues a new key to the organisation and withdraws the former one.
+func (env *environment) rotateKey() {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.configurationVersion++
+	former := env.key
+	env.key = fmt.Sprintf("key-%d", env.configurationVersion)
+	env.store.Configure(env.configurationVersion, hostName, model, []platformtest.Route{
 		{Name: "safe", Kind: platformtest.Idempotent, Pool: "desk", Timeout: routeTimeout},
 		{Name: "once", Kind: platformtest.Once, Pool: "desk", Timeout: routeTimeout},
 		{Name: "job", Kind: platformtest.BatchJobs, Pool: "engines", Timeout: routeTimeout},
-	}, map[string][]string{organisation: {w.key}})
+	}, map[string][]string{organisation: {env.key}})
 	if former != "" {
-		w.retired[former] = time.Now()
+		env.withdrawnKeys[former] = time.Now()
 	}
 }
 
-func (w *world) currentKey() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.key
+func (env *environment) currentKey() string {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.key
 }
 
-// newProcess prepares a process that others reach at the advertised address, through its link.
-func (w *world) newProcess(name string, o Options, seed, advertised netip.AddrPort, c platformtest.Cleaner) (*process, error) {
-	callers, peers, admin := platformtest.UnusedAddress(), platformtest.UnusedAddress(), platformtest.UnusedAddress()
+// newProcess prepares a process without starting it. Other processes reach it at the advertised address, through its link.
+func (env *environment) newProcess(name string, o Options, seed, advertised netip.AddrPort, c platformtest.Cleaner) (*process, error) {
+	callerAddress, peerAddress, adminAddress := platformtest.UnusedAddress(), platformtest.UnusedAddress(), platformtest.UnusedAddress()
 	p := &process{
-		name: name, program: o.Program, callers: "http://" + callers.String(), ready: "http://" + admin.String() + "/readyz",
-		door: w.store.NewEndpoint(c), settings: filepath.Join(o.Folder, name+".json"),
+		name: name, program: o.Program, callerURL: "http://" + callerAddress.String(), readyURL: "http://" + adminAddress.String() + "/readyz",
+		storeEndpoint: env.store.NewEndpoint(c), settings: filepath.Join(o.Folder, name+".json"),
 	}
 	settings, err := json.Marshal(map[string]any{
-		"hostId": name, "availabilityZone": "north-a", "listen": callers, "peerListen": peers, "peerAdvertise": advertised, "adminListen": admin,
-		"platformUrl": p.door.URL(), "reportsUrl": w.duties.URL(), "seeds": []netip.AddrPort{seed}, "usageWindow": "1s",
+		"hostId": name, "availabilityZone": "north-a", "listen": callerAddress, "peerListen": peerAddress, "peerAdvertise": advertised,
+		"adminListen": adminAddress,
+		"platformUrl": p.storeEndpoint.URL(), "reportsUrl": env.duties.URL(), "seeds": []netip.AddrPort{seed}, "usageWindow": "1s",
 		"leaveDelay": "500ms", "drainTime": "6s", "peerSecret": "the secret of the soak",
 	})
 	if err != nil {
-		return nil, errors.Wrap(err, "settings")
+		return nil, errors.Wrap(err, "encode settings")
 	}
 	if err := os.WriteFile(p.settings, settings, 0o600); err != nil {
-		return nil, errors.Wrap(err, "settings")
+		return nil, errors.Wrap(err, "write settings")
 	}
 	if p.log, err = os.Create(filepath.Join(o.Folder, name+".log")); err != nil {
-		return nil, errors.Wrap(err, "log")
+		return nil, errors.Wrap(err, "create log")
 	}
-	if p.link, err = newLink(w.ctx, advertised, peers); err != nil {
-		return nil, errors.Wrap(err, "link")
+	if p.link, err = newLink(env.ctx, advertised, peerAddress); err != nil {
+		return nil, errors.Wrap(err, "open link")
 	}
 	c.Cleanup(p.close)
 	return p, nil
 }
 
-// start starts a process that doesn't run.
-func (w *world) start(p *process) {
+// start starts the process unless it is running.
+func (env *environment) start(p *process) {
 	err := p.start()
-	w.ledger.check(promiseComesRight, err == nil, "%s starts: %v", p.name, err)
+	env.checker.check(guaranteeRecovery, err == nil, "%s did not start: %v", p.name, err)
 }
 
-func (w *world) isReady(p *process) bool {
-	ctx, cancel := context.WithTimeout(w.ctx, time.Second)
+func (env *environment) isReady(p *process) bool {
+	ctx, cancel := context.WithTimeout(env.ctx, time.Second)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.ready, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.readyURL, nil)
 	if err != nil {
 		return false
 	}
@@ -169,13 +171,13 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// until waits until something holds that must come true.
-func (w *world) until(what string, holds func() bool) {
-	ctx, cancel := context.WithTimeout(w.ctx, mendTime)
+// waitUntil waits until the condition holds, and counts a violation if it does not within recoveryTimeout.
+func (env *environment) waitUntil(description string, condition func() bool) {
+	ctx, cancel := context.WithTimeout(env.ctx, recoveryTimeout)
 	defer cancel()
-	held := holds()
-	for !held && ticker.Sleep(ctx, poll) {
-		held = holds()
+	satisfied := condition()
+	for !satisfied && ticker.Sleep(ctx, pollInterval) {
+		satisfied = condition()
 	}
-	w.ledger.check(promiseComesRight, held || w.ctx.Err() != nil, "not within %v: %s", mendTime, what)
+	env.checker.check(guaranteeRecovery, satisfied || env.ctx.Err() != nil, "not reached within %v: %s", recoveryTimeout, description)
 }
