--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -2,53 +2,53 @@
 
 import "slices"
 
-// ticket is one request's place in the batch or its queue.
-type ticket struct {
+// queueEntry is the place of a request in the batch or its queue.
+type queueEntry struct {
 	priority int
 	running  bool
 	started  chan struct{}
 }
 
-// batch runs a limited number of requests together; the others wait by priority and arrival.
+// batch runs up to slots requests at once. Further requests wait in a queue, sorted by priority and then by arrival.
 type batch struct {
-	slots   int
-	limit   int
-	running int
-	waiting []*ticket
+	slots      int
+	queueLimit int
+	running    int
+	waiting    []*queueEntry
 }
 
 func newBatch(slots, queue int) *batch {
-	return &batch{slots: slots, limit: queue}
+	return &batch{slots: slots, queueLimit: queue}
 }
 
-// enter returns false if slots and queue are full.
-func (b *batch) enter(priority int) (*ticket, bool) {
-	if b.running >= b.slots && len(b.waiting) >= b.limit {
+// admit adds a request to the queue and starts it if a slot is free. It returns false if slots and queue are full.
+func (b *batch) admit(priority int) (*queueEntry, bool) {
+	if b.running >= b.slots && len(b.waiting) >= b.queueLimit {
 		return nil, false
 	}
-	entered := &ticket{priority: priority, started: make(chan struct{})}
-	b.waiting = append(b.waiting, entered)
-	b.fill()
-	return entered, true
+	entry := &queueEntry{priority: priority, started: make(chan struct{})}
+	b.waiting = append(b.waiting, entry)
+	b.startWaiting()
+	return entry, true
 }
 
-func (b *batch) leave(left *ticket) {
-	if left.running {
+func (b *batch) leave(entry *queueEntry) {
+	if entry.running {
 		b.running--
 	} else {
-		b.waiting = slices.DeleteFunc(b.waiting, func(t *ticket) bool { return t == left })
+		b.waiting = slices.DeleteFunc(b.waiting, func(e *queueEntry) bool { return e == entry })
 	}
-	b.fill()
+	b.startWaiting()
 }
 
-// fill starts waiting requests while slots are free.
-func (b *batch) fill() {
-	slices.SortStableFunc(b.waiting, func(x, y *ticket) int { return x.priority - y.priority })
+// startWaiting starts waiting requests while slots are free.
+func (b *batch) startWaiting() {
+	slices.SortStableFunc(b.waiting, func(x, y *queueEntry) int { return x.priority - y.priority })
 	for b.running < b.slots && len(b.waiting) > 0 {
-		first := b.waiting[0]
+		next := b.waiting[0]
 		b.waiting = b.waiting[1:]
-		first.running = true
+		next.running = true
 		b.running++
-		close(first.started)
+		close(next.started)
 	}
 }
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -7,19 +7,20 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/backendserver"
 )
 
-// maxCacheEvents is how many events are kept for readers that are behind.
+// maxCacheEvents is how many events are kept for readers that lag behind.
 const maxCacheEvents = 1024
 
-// cacheEvent is an event with the time from which it is published.
+// cacheEvent is a cache event with the time of its publication.
 type cacheEvent struct {
 	backendserver.CacheEvent
-	publish time.Time
+	publishAt time.Time
 }
 
-// cache holds prompt prefixes, the least recently used one first.
+// cache is an LRU cache of prompt prefixes. It publishes its changes as events after a lag.
 type cache struct {
-	size     int
-	lag      time.Duration
+	size int
+	lag  time.Duration
+	// prefixes are sorted by last use, the least recently used one first.
 	prefixes []uint64
 	events   []cacheEvent
 	sequence uint64
@@ -38,29 +39,29 @@
 		return true
 	}
 	c.prefixes = append(c.prefixes, prefix)
-	c.note(backendserver.CacheStored, prefix, now)
+	c.addEvent(backendserver.CacheStored, prefix, now)
 	if len(c.prefixes) > c.size {
-		c.note(backendserver.CacheEvicted, c.prefixes[0], now)
+		c.addEvent(backendserver.CacheEvicted, c.prefixes[0], now)
 		c.prefixes = c.prefixes[1:]
 	}
 	return false
 }
 
-func (c *cache) note(kind backendserver.CacheEventKind, prefix uint64, now time.Time) {
+func (c *cache) addEvent(kind backendserver.CacheEventKind, prefix uint64, now time.Time) {
 	c.sequence++
 	event := backendserver.CacheEvent{Sequence: c.sequence, Kind: kind, Prefix: prefix}
-	c.events = append(c.events, cacheEvent{CacheEvent: event, publish: now.Add(c.lag)})
+	c.events = append(c.events, cacheEvent{CacheEvent: event, publishAt: now.Add(c.lag)})
 	if len(c.events) > maxCacheEvents {
 		c.events = c.events[1:]
 	}
 }
 
-// published returns the events after the sequence number whose time has come, less the lost ones.
-func (c *cache) published(now time.Time, after uint64, lose int) []backendserver.CacheEvent {
+// published returns the events after the sequence number that are due by now. Every loseEvery-th event is left out; 0 is none.
+func (c *cache) published(now time.Time, after uint64, loseEvery int) []backendserver.CacheEvent {
 	events := make([]backendserver.CacheEvent, 0)
 	for _, event := range c.events {
-		lost := lose > 0 && event.Sequence%uint64(lose) == 0
-		if event.Sequence > after && !event.publish.After(now) && !lost {
+		lost := loseEvery > 0 && event.Sequence%uint64(loseEvery) == 0
+		if event.Sequence > after && !event.publishAt.After(now) && !lost {
 			events = append(events, event.CacheEvent)
 		}
 	}
--- a/internal/standin/engine/samples.go
+++ b/internal/standin/engine/samples.go
@@ -5,7 +5,7 @@
 	"maps"
 )
 
-// samples knows the generations under way by sample, and how often each was started.
+// samples tracks the running generations of each sample, and how often one was started.
 type samples struct {
 	next    int
 	running map[string]map[int]context.CancelFunc
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -1,6 +1,6 @@
-// Package engine is a small stand-in for a model engine: it streams deterministic tokens marked
-// with the weight version, batches continuously in limited slots, caches prompt prefixes, reports
-// its load and its cache late, takes weight orders, and fails by switches.
+// Package engine is a small stand-in for a model engine. It streams deterministic tokens marked
+// with the model version, batches requests in a limited number of slots, caches prompt prefixes,
+// reports its load and cache with a lag, accepts weight orders, and injects faults on demand.
 package engine
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/standin/web"
 )
 
-// Defaults of an engine. They are small, so that tests and the demo end soon.
+// Defaults of an engine. They are small, so that tests and the demo finish quickly.
 const (
 	DefaultSlots       = 8
 	DefaultQueue       = 32
@@ -33,25 +33,25 @@
 	DefaultVersion     = 1
 )
 
-// Faults are the switches of the stand-in; the zero value is a healthy engine.
+// Faults are the injected faults; the zero value is a healthy engine.
 type Faults struct {
-	// Crashed cuts all streams when it is set and every call while it stays set.
+	// Crashed cuts all streams when it is set, and every call while it is set.
 	Crashed bool `json:"crashed"`
 	// Stalled stops all streams without closing them.
 	Stalled bool `json:"stalled"`
-	// CutAfterTokens cuts each answer after so many tokens; 0 is never.
+	// CutAfterTokens cuts each answer after this many tokens; 0 is never.
 	CutAfterTokens int `json:"cutAfterTokens"`
-	// SlowFactor multiplies the time of a token; 0 is 1.
+	// SlowFactor multiplies the time per token; 0 is 1.
 	SlowFactor float64 `json:"slowFactor"`
-	// FailSwaps fails switches and leaves the weights in use.
+	// FailSwaps fails orders to switch the weights, and leaves the current ones in use.
 	FailSwaps bool `json:"failSwaps"`
-	// IgnoreFencing takes orders with an old fencing number.
+	// IgnoreFencing accepts orders with an outdated fencing token.
 	IgnoreFencing bool `json:"ignoreFencing"`
-	// LoseCacheEvents loses every so many-th cache event; 0 is none.
+	// LoseCacheEvents loses every n-th cache event; 0 is none.
 	LoseCacheEvents int `json:"loseCacheEvents"`
 }
 
-// State is the content of the stand-in, for tests and dumps.
+// State is a snapshot of the engine for tests and debugging.
 type State struct {
 	Version    int                         `json:"version"`
 	Prefetched []int                       `json:"prefetched"`
@@ -70,36 +70,36 @@
 type Server struct {
 	*web.Server
 	tokenTime   time.Duration
-	growth      float64
+	batchGrowth float64
 	prefillTime time.Duration
 	loadTime    time.Duration
 	store       *backendserver.WeightStore
 
-	mutex     sync.Mutex
-	faults    Faults
-	resumed   chan struct{}
-	batch     *batch
-	cache     *cache
-	load      *history
-	weights   weights
-	samples   samples
-	generated int
+	mutex         sync.Mutex
+	faults        Faults
+	faultsChanged chan struct{}
+	batch         *batch
+	cache         *cache
+	loads         *loadHistory
+	weights       weights
+	samples       samples
+	generated     int
 }
 
-// Option changes an engine under construction.
+// Option configures an engine.
 type Option func(*Server)
 
-// WithSlots sets how many requests run and how many wait.
+// WithSlots sets how many requests can run at once, and how many can wait.
 func WithSlots(slots, queue int) Option {
 	return func(s *Server) { s.batch = newBatch(slots, queue) }
 }
 
-// WithTokenTime sets the time of one token, and by which part it grows with each further request in the batch.
-func WithTokenTime(base time.Duration, growth float64) Option {
-	return func(s *Server) { s.tokenTime, s.growth = base, growth }
+// WithTokenTime sets the time per token, and the fraction by which it grows with each further request in the batch.
+func WithTokenTime(base time.Duration, batchGrowth float64) Option {
+	return func(s *Server) { s.tokenTime, s.batchGrowth = base, batchGrowth }
 }
 
-// WithPrefillTime sets the time that a prompt takes whose prefix is not cached.
+// WithPrefillTime sets the processing time of a prompt whose prefix is not cached.
 func WithPrefillTime(prefill time.Duration) Option {
 	return func(s *Server) { s.prefillTime = prefill }
 }
@@ -111,47 +111,47 @@
 
 // WithLoadLag sets the lag of the load report.
 func WithLoadLag(lag time.Duration) Option {
-	return func(s *Server) { s.load = newHistory(lag) }
+	return func(s *Server) { s.loads = newLoadHistory(lag) }
 }
 
-// WithVersion sets the weight version at the start.
+// WithVersion sets the model version at the start.
 func WithVersion(version int) Option {
 	return func(s *Server) { s.weights = newWeights(version) }
 }
 
-// WithWeightStore fetches weights from the store at the URL; without it loading takes loadTime.
+// WithWeightStore fetches weights from the store at the URL. Without it, loading weights only takes the load time.
 func WithWeightStore(url string) Option {
 	return func(s *Server) { s.store = backendserver.NewWeightStore(url) }
 }
 
-// WithLoadTime sets the time that loading weights takes beside the fetch.
+// WithLoadTime sets the time that loading weights takes in addition to the fetch.
 func WithLoadTime(loadTime time.Duration) Option {
 	return func(s *Server) { s.loadTime = loadTime }
 }
 
-// New serves an engine on the listener until the context ends.
+// New serves an engine on the listener until ctx ends.
 func New(ctx context.Context, listener net.Listener, opts ...Option) (*Server, error) {
 	server := &Server{
-		Server:      web.NewServer(ctx, listener),
-		tokenTime:   DefaultTokenTime,
-		growth:      DefaultBatchGrowth,
-		prefillTime: DefaultPrefillTime,
-		loadTime:    DefaultLoadTime,
-		resumed:     make(chan struct{}),
-		batch:       newBatch(DefaultSlots, DefaultQueue),
-		cache:       newCache(DefaultCacheSize, DefaultLag),
-		load:        newHistory(DefaultLag),
-		weights:     newWeights(DefaultVersion),
-		samples:     newSamples(),
+		Server:        web.NewServer(ctx, listener),
+		tokenTime:     DefaultTokenTime,
+		batchGrowth:   DefaultBatchGrowth,
+		prefillTime:   DefaultPrefillTime,
+		loadTime:      DefaultLoadTime,
+		faultsChanged: make(chan struct{}),
+		batch:         newBatch(DefaultSlots, DefaultQueue),
+		cache:         newCache(DefaultCacheSize, DefaultLag),
+		loads:         newLoadHistory(DefaultLag),
+		weights:       newWeights(DefaultVersion),
+		samples:       newSamples(),
 	}
 	for _, opt := range opts {
 		opt(server)
 	}
-	server.record()
+	server.recordLoad()
 	app := web.NewApp()
-	web.HandleFaults(app, server.currentFaults, server.SetFaults, server.crash)
+	web.HandleFaults(app, server.currentFaults, server.SetFaults, server.cutOnCrash)
 	web.HandleState(app, server.State)
-	app.Use(server.crashed)
+	app.Use(server.cutWhileCrashed)
 	app.Post(backendserver.PathGenerate, server.generate)
 	app.Get(backendserver.PathLoad, server.reportLoad)
 	app.Post(backendserver.PathOrders, server.order)
@@ -161,7 +161,7 @@
 	return server, nil
 }
 
-// Close ends the engine and waits for it.
+// Close stops the engine and waits until it has stopped.
 func (s *Server) Close() {
 	s.Server.Close()
 	if s.store != nil {
@@ -169,22 +169,22 @@
 	}
 }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all faults.
 func (s *Server) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
-	close(s.resumed)
-	s.resumed = make(chan struct{})
+	close(s.faultsChanged)
+	s.faultsChanged = make(chan struct{})
 }
 
-// State returns the content of the stand-in.
+// State returns a snapshot of the engine.
 func (s *Server) State() State {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return State{
 		Version:    s.weights.version,
-		Prefetched: s.weights.loaded(),
+		Prefetched: s.weights.prefetchedVersions(),
 		Fencing:    s.weights.fencing,
 		Orders:     s.weights.orders,
 		Refused:    s.weights.refused,
@@ -203,15 +203,15 @@
 	return s.faults
 }
 
-// crash cuts all streams when the switch is set; the answer to the switch itself still goes out.
-func (s *Server) crash(c fiber.Ctx, faults Faults) {
+// cutOnCrash cuts all other connections if the new faults include a crash. The request that set the faults is still answered.
+func (s *Server) cutOnCrash(c fiber.Ctx, faults Faults) {
 	if faults.Crashed {
 		s.CutOthers(c)
 	}
 }
 
-// crashed cuts every call while the switch is on.
-func (s *Server) crashed(c fiber.Ctx) error {
+// cutWhileCrashed cuts every call while the crash fault is set.
+func (s *Server) cutWhileCrashed(c fiber.Ctx) error {
 	if s.currentFaults().Crashed {
 		return web.CutAnswer(c)
 	}
@@ -221,17 +221,17 @@
 func (s *Server) reportLoad(c fiber.Ctx) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return c.JSON(s.load.at(time.Now()))
+	return c.JSON(s.loads.delayed(time.Now()))
 }
 
 func (s *Server) cancel(c fiber.Ctx) error {
-	var ask backendserver.CancelRequest
-	if !web.Decode(c, &ask) {
+	var req backendserver.CancelRequest
+	if !web.Decode(c, &req) {
 		return nil
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.samples.cancel(ask.SampleID)
+	s.samples.cancel(req.SampleID)
 	return c.JSON(struct{}{})
 }
 
@@ -246,7 +246,7 @@
 	return c.JSON(backendserver.CacheEventList{Events: events})
 }
 
-// order takes a weight order and answers when it has taken effect.
+// order carries out a weight order and responds when it has taken effect.
 func (s *Server) order(c fiber.Ctx) error {
 	var order backendserver.WeightOrder
 	if !web.Decode(c, &order) {
@@ -270,7 +270,7 @@
 		return c.SendStatus(http.StatusFailedDependency)
 	}
 	s.weights.apply(order)
-	s.recordLocked()
+	s.recordLoadLocked()
 	return c.JSON(struct{}{})
 }
 
@@ -280,28 +280,28 @@
 			return err
 		}
 	}
-	return pause(s.Context(), s.loadTime)
+	return sleep(s.Context(), s.loadTime)
 }
 
 func (s *Server) generate(c fiber.Ctx) error {
-	var ask backendserver.GenerateRequest
-	if !web.Decode(c, &ask) {
+	var req backendserver.GenerateRequest
+	if !web.Decode(c, &req) {
 		return nil
 	}
 	s.mutex.Lock()
-	ticket, ok := s.batch.enter(ask.Priority)
-	s.recordLocked()
+	entry, ok := s.batch.admit(req.Priority)
+	s.recordLoadLocked()
 	s.mutex.Unlock()
 	if !ok {
 		c.Set(fiber.HeaderRetryAfter, "1")
 		return c.SendStatus(http.StatusServiceUnavailable)
 	}
 	c.Set(fiber.HeaderContentType, "text/event-stream")
-	return c.SendStream(newStream(s, ask, ticket), -1)
+	return c.SendStream(newStream(s, req, entry), -1)
 }
 
-// pause returns the context's error if it ended first.
-func pause(ctx context.Context, wait time.Duration) error {
+// sleep waits for the duration. It returns the error of ctx if that ends first.
+func sleep(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -12,43 +12,43 @@
 )
 
 var (
-	errCut       = errors.New("stream cut by a switch")
+	errCut       = errors.New("stream cut by an injected fault")
 	errCancelled = errors.New("generation cancelled")
 )
 
-// stream is the body of one answer; each Read takes the time of what it returns. An error of Read
-// makes the library cut the connection after what was sent before, as a failing engine does.
+// stream is the body of one answer. Each Read takes the time that generating its content takes. If Read returns an error,
+// the HTTP library cuts the connection after the data already sent, as a failing engine does.
 type stream struct {
-	engine *Server
-	ask    backendserver.GenerateRequest
-	ticket *ticket
-	ctx    context.Context
-	end    func()
-	length int
-	// index is the next token of the whole answer, sent counts those of this one.
+	engine  *Server
+	req     backendserver.GenerateRequest
+	entry   *queueEntry
+	ctx     context.Context
+	release func()
+	length  int
+	// index is the next token of the whole answer. sent counts the tokens sent in this stream, which may resume an answer.
 	index   int
 	sent    int
-	ready   bool
-	closed  bool
+	started bool
+	done    bool
 	pending []byte
 }
 
 var _ io.ReadCloser = (*stream)(nil)
 
-func newStream(engine *Server, ask backendserver.GenerateRequest, ticket *ticket) *stream {
+func newStream(engine *Server, req backendserver.GenerateRequest, entry *queueEntry) *stream {
 	ctx, cancel := context.WithCancel(engine.Context())
-	forget := engine.register(ask.SampleID, cancel)
+	unregister := engine.registerSample(req.SampleID, cancel)
 	return &stream{
 		engine: engine,
-		ask:    ask,
-		ticket: ticket,
+		req:    req,
+		entry:  entry,
 		ctx:    ctx,
-		length: lengthOf(ask),
-		index:  len(ask.Resume),
-		end: func() {
-			forget()
+		length: answerLength(req),
+		index:  len(req.Resume),
+		release: func() {
+			unregister()
 			cancel()
-			engine.leave(ticket)
+			engine.leave(entry)
 		},
 	}
 }
@@ -71,54 +71,54 @@
 	return n, nil
 }
 
-// Close implements io.Closer; the library calls it when the answer is over or its caller is gone.
+// Close implements io.Closer. The HTTP library calls it when the answer is complete or its caller has disconnected.
 func (s *stream) Close() error {
-	s.end()
+	s.release()
 	return nil
 }
 
-// next waits for the slot and for the next event; it returns io.EOF after the closing event.
+// next waits for a slot and returns the next event. It returns io.EOF after the final event.
 func (s *stream) next() (backendserver.Event, error) {
-	if s.closed {
+	if s.done {
 		return backendserver.Event{}, io.EOF
 	}
 	if err := s.start(); err != nil {
 		return backendserver.Event{}, err
 	}
 	if s.index >= s.length {
-		s.closed = true
+		s.done = true
 		return backendserver.Event{Done: true, Tokens: s.sent}, nil
 	}
-	version, err := s.engine.token(s.ctx, s.sent)
+	version, err := s.engine.generateToken(s.ctx, s.sent)
 	if err != nil {
 		return backendserver.Event{}, err
 	}
-	event := backendserver.Event{Text: tokenText(s.ask, s.index), Version: version}
+	event := backendserver.Event{Text: tokenText(s.req, s.index), Version: version}
 	s.index++
 	s.sent++
 	return event, nil
 }
 
-// start waits for a slot and prefills the prompt, once.
+// start waits for a slot and prefills the prompt. Only the first call does anything.
 func (s *stream) start() error {
-	if s.ready {
+	if s.started {
 		return nil
 	}
-	s.ready = true
+	s.started = true
 	select {
 	case <-s.ctx.Done():
 		return errCancelled
-	case <-s.ticket.started:
+	case <-s.entry.started:
 	}
-	return s.engine.prefill(s.ctx, s.ask)
+	return s.engine.prefill(s.ctx, s.req)
 }
 
-// token takes the time of one token and returns the version that produced it.
-func (s *Server) token(ctx context.Context, sent int) (int, error) {
-	if err := pause(ctx, s.currentTokenTime()); err != nil {
+// generateToken waits for the time of one token and returns the model version that produced it.
+func (s *Server) generateToken(ctx context.Context, sent int) (int, error) {
+	if err := sleep(ctx, s.currentTokenTime()); err != nil {
 		return 0, errCancelled
 	}
-	if err := s.unstalled(ctx); err != nil {
+	if err := s.waitWhileStalled(ctx); err != nil {
 		return 0, err
 	}
 	s.mutex.Lock()
@@ -130,11 +130,11 @@
 	return s.weights.version, nil
 }
 
-// unstalled waits while the engine is stalled.
-func (s *Server) unstalled(ctx context.Context) error {
+// waitWhileStalled waits while the stall fault is set.
+func (s *Server) waitWhileStalled(ctx context.Context) error {
 	for {
 		s.mutex.Lock()
-		stalled, resumed := s.faults.Stalled, s.resumed
+		stalled, changed := s.faults.Stalled, s.faultsChanged
 		s.mutex.Unlock()
 		if !stalled {
 			return nil
@@ -142,22 +142,22 @@
 		select {
 		case <-ctx.Done():
 			return errCancelled
-		case <-resumed:
+		case <-changed:
 		}
 	}
 }
 
-func (s *Server) prefill(ctx context.Context, ask backendserver.GenerateRequest) error {
+func (s *Server) prefill(ctx context.Context, req backendserver.GenerateRequest) error {
 	s.mutex.Lock()
-	cached := s.cache.use(backendserver.PrefixHash(ask.Prompt), time.Now())
+	cached := s.cache.use(backendserver.PrefixHash(req.Prompt), time.Now())
 	s.mutex.Unlock()
 	if cached {
 		return nil
 	}
-	return pause(ctx, s.prefillTime)
+	return sleep(ctx, s.prefillTime)
 }
 
-// currentTokenTime grows with the batch.
+// currentTokenTime returns the time per token, which grows with the batch.
 func (s *Server) currentTokenTime() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -165,15 +165,15 @@
 }
 
 func (s *Server) tokenTimeLocked() time.Duration {
-	factor := 1 + s.growth*float64(max(s.batch.running-1, 0))
+	factor := 1 + s.batchGrowth*float64(max(s.batch.running-1, 0))
 	if s.faults.SlowFactor > 0 {
 		factor *= s.faults.SlowFactor
 	}
 	return time.Duration(float64(s.tokenTime) * factor)
 }
 
-// register lets the sample be cancelled; the returned function ends that.
-func (s *Server) register(sampleID string, cancel context.CancelFunc) func() {
+// registerSample makes a generation cancellable by its sample. The returned function removes it again.
+func (s *Server) registerSample(sampleID string, cancel context.CancelFunc) func() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	id := s.samples.add(sampleID, cancel)
@@ -184,27 +184,27 @@
 	}
 }
 
-func (s *Server) leave(ticket *ticket) {
+func (s *Server) leave(entry *queueEntry) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.batch.leave(ticket)
-	s.recordLocked()
+	s.batch.leave(entry)
+	s.recordLoadLocked()
 }
 
-func (s *Server) record() {
+func (s *Server) recordLoad() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.recordLocked()
+	s.recordLoadLocked()
 }
 
-// recordLocked notes the present load for the lagging report.
-func (s *Server) recordLocked() {
-	s.load.add(backendserver.EngineLoad{
+// recordLoadLocked adds the current load to the history. The caller must hold s.mutex.
+func (s *Server) recordLoadLocked() {
+	s.loads.add(backendserver.EngineLoad{
 		Running:    s.batch.running,
 		Queued:     len(s.batch.waiting),
 		Slots:      s.batch.slots,
 		Version:    s.weights.version,
-		Prefetched: s.weights.loaded(),
+		Prefetched: s.weights.prefetchedVersions(),
 		TokenTime:  s.tokenTimeLocked(),
 		MeasuredAt: time.Now(),
 	})
--- a/internal/standin/engine/token.go
+++ b/internal/standin/engine/token.go
@@ -8,31 +8,31 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/backendserver"
 )
 
-// DefaultMaxTokens is the length bound of a request that names none.
+// DefaultMaxTokens is the token limit of a request that sets none.
 const DefaultMaxTokens = 32
 
-// words are what the engine writes.
+// words are the possible tokens.
 var words = []string{
 	"landing", "parking", "fee", "tower", "log", "line", "stand", "gate",
 	"pony", "lesson", "ride", "groom", "saddle", "trail", "stable", "booking",
 }
 
-// hash depends on what has to give the same tokens wherever the request runs.
-func hash(ask backendserver.GenerateRequest, index int) uint64 {
-	return xxhash.Sum64String(fmt.Sprintf("%s\x00%s\x00%d\x00%d", ask.SampleID, ask.Prompt, ask.Seed, index))
+// tokenHash hashes the inputs that must yield the same tokens on every engine.
+func tokenHash(req backendserver.GenerateRequest, index int) uint64 {
+	return xxhash.Sum64String(fmt.Sprintf("%s\x00%s\x00%d\x00%d", req.SampleID, req.Prompt, req.Seed, index))
 }
 
 // tokenText returns the token at the index of the whole answer.
-func tokenText(ask backendserver.GenerateRequest, index int) string {
-	return words[hash(ask, index)%uint64(len(words))] + " "
+func tokenText(req backendserver.GenerateRequest, index int) string {
+	return words[tokenHash(req, index)%uint64(len(words))] + " "
 }
 
-// lengthOf returns the length of the whole answer, between a half and the whole of the bound.
-func lengthOf(ask backendserver.GenerateRequest) int {
-	bound := ask.MaxTokens
-	if bound <= 0 {
-		bound = DefaultMaxTokens
+// answerLength returns the number of tokens of the whole answer, between half the limit and the limit.
+func answerLength(req backendserver.GenerateRequest) int {
+	limit := req.MaxTokens
+	if limit <= 0 {
+		limit = DefaultMaxTokens
 	}
-	half := bound / 2
-	return max(1, bound-int(hash(ask, -1)%uint64(half+1)))
+	half := limit / 2
+	return max(1, limit-int(tokenHash(req, -1)%uint64(half+1)))
 }
--- a/internal/standin/engine/weights.go
+++ b/internal/standin/engine/weights.go
@@ -8,10 +8,10 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// maxPrefetched is how many versions the memory holds beside the one in use.
+// maxPrefetched is how many versions are kept in memory besides the one in use.
 const maxPrefetched = 2
 
-// weights are the versions in memory and the orders about them.
+// weights holds the model versions in memory and the orders received about them.
 type weights struct {
 	version    int
 	prefetched map[int]bool
@@ -24,7 +24,8 @@
 	return weights{version: version, prefetched: make(map[int]bool)}
 }
 
-// accept returns false for an order whose fencing number is older than one already seen.
+// accept records the order. It returns false for an order whose fencing token is older than
+// one already seen, unless fencing is ignored.
 func (w *weights) accept(order backendserver.WeightOrder, ignoreFencing bool) bool {
 	if order.Fencing < w.fencing && !ignoreFencing {
 		w.refused++
@@ -39,7 +40,7 @@
 	return version == w.version || w.prefetched[version]
 }
 
-// apply puts the loaded version into memory, or into use.
+// apply puts a loaded version into use, or keeps it in memory as prefetched.
 func (w *weights) apply(order backendserver.WeightOrder) {
 	if order.Version == w.version {
 		return
@@ -51,11 +52,11 @@
 	}
 	w.prefetched[order.Version] = true
 	if len(w.prefetched) > maxPrefetched {
-		delete(w.prefetched, w.loaded()[0])
+		delete(w.prefetched, w.prefetchedVersions()[0])
 	}
 }
 
-// loaded returns the versions beside the one in use, sorted.
-func (w *weights) loaded() []int {
+// prefetchedVersions returns the prefetched versions, sorted.
+func (w *weights) prefetchedVersions() []int {
 	return slices.Sorted(maps.Keys(w.prefetched))
 }
