--- a/internal/standin/scorer/server.go
+++ b/internal/standin/scorer/server.go
@@ -1,5 +1,5 @@
-// Package scorer is a small stand-in for a scoring service. The score of a sample depends on
-// nothing but the sample, so that a repeated question has the same answer.
+// Package scorer is a small stand-in for a scoring service. The score of a sample is a hash of the request, so that a repeated
+// request gets the same score.
 package scorer
 
 import (
@@ -16,20 +16,20 @@
 	"github.com/oleandershelf/oleandershelf/internal/standin/web"
 )
 
-// scoreSteps is the number of different scores between 0 and 1.
+// scoreSteps is the number of steps between the scores 0 and 1.
 const scoreSteps = 1000
 
-// Faults are the switches of the stand-in; the zero value is a healthy service.
+// Faults are the injected faults; the zero value is a healthy service.
 type Faults struct {
-	// DelayMilliseconds passes before an answer.
+	// DelayMilliseconds delays each response.
 	DelayMilliseconds int `json:"delayMilliseconds"`
-	// CutAnswers is the number of answers that are lost.
+	// CutAnswers is the number of calls whose connection is cut instead of a response.
 	CutAnswers int `json:"cutAnswers"`
-	// Failing answers 500.
+	// Failing responds with status 500.
 	Failing bool `json:"failing"`
 }
 
-// State is the content of the stand-in, for tests and dumps.
+// State is a snapshot of the service for tests and debugging.
 type State struct {
 	Scored int    `json:"scored"`
 	Faults Faults `json:"faults"`
@@ -43,7 +43,7 @@
 	scored atomic.Int64
 }
 
-// New serves a scoring service on the listener until the context ends.
+// New serves a scoring service on the listener until ctx ends.
 func New(ctx context.Context, listener net.Listener) (*Server, error) {
 	server := &Server{Server: web.NewServer(ctx, listener)}
 	app := web.NewApp()
@@ -55,22 +55,22 @@
 }
 
 // ScoreOf returns the score of a sample, between 0 and 1.
-func ScoreOf(ask backendserver.ScoreRequest) float64 {
-	sum := xxhash.Sum64String(ask.SampleID + "\x00" + ask.Prompt + "\x00" + ask.Text)
+func ScoreOf(request backendserver.ScoreRequest) float64 {
+	sum := xxhash.Sum64String(request.SampleID + "\x00" + request.Prompt + "\x00" + request.Text)
 	return float64(sum%(scoreSteps+1)) / scoreSteps
 }
 
-// State returns the content of the stand-in.
+// State returns a snapshot of the service.
 func (s *Server) State() State {
 	return State{Scored: int(s.scored.Load()), Faults: s.CurrentFaults()}
 }
 
 func (s *Server) score(c fiber.Ctx) error {
-	var asks []backendserver.ScoreRequest
-	if !web.Decode(c, &asks) {
+	var requests []backendserver.ScoreRequest
+	if !web.Decode(c, &requests) {
 		return nil
 	}
-	s.scored.Add(int64(len(asks)))
+	s.scored.Add(int64(len(requests)))
 	faults := s.CurrentFaults()
 	cut := s.Spend(func(f *Faults) *int { return &f.CutAnswers })
 	timer := time.NewTimer(time.Duration(faults.DelayMilliseconds) * time.Millisecond)
@@ -86,9 +86,9 @@
 	if faults.Failing {
 		return c.SendStatus(http.StatusInternalServerError)
 	}
-	scores := make([]backendserver.Score, 0, len(asks))
-	for _, ask := range asks {
-		scores = append(scores, backendserver.Score{SampleID: ask.SampleID, Value: ScoreOf(ask)})
+	scores := make([]backendserver.Score, 0, len(requests))
+	for _, request := range requests {
+		scores = append(scores, backendserver.Score{SampleID: request.SampleID, Value: ScoreOf(request)})
 	}
 	return c.JSON(scores)
 }
