--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -1,5 +1,5 @@
-// Package service is a small stand-in for a plain service: an echo, and bookings that count each
-// run by the id in their body, so that a test sees a call that ran twice. It records what it receives.
+// Package service is a small stand-in for an HTTP service. It echoes requests, and counts the runs of each booking by the ID in
+// its body, so that tests detect a call that ran twice. It records the calls that it receives.
 package service
 
 import (
@@ -18,27 +18,27 @@
 	"github.com/oleandershelf/oleandershelf/internal/standin/web"
 )
 
-// PathBookings takes bookings; every other path is echoed.
+// PathBookings is the path for bookings; requests to other paths are echoed.
 const PathBookings = "/bookings"
 
-// maxReceived bounds the record of received calls.
+// maxReceived is the maximum number of recorded calls.
 const maxReceived = 10_000
 
-// Faults are the switches of the stand-in; the zero value is a healthy service.
+// Faults are the injected faults; the zero value is a healthy service.
 type Faults struct {
-	// Hold keeps calls from running until it is switched off.
+	// Hold delays calls until it is turned off.
 	Hold bool `json:"hold"`
-	// DelayMilliseconds passes before a call runs; a call that was held waits for it after that.
+	// DelayMilliseconds delays each call before it runs, for held calls after the hold.
 	DelayMilliseconds int `json:"delayMilliseconds"`
 	// CutAfterRun is the number of calls that run and whose connection is then cut.
 	CutAfterRun int `json:"cutAfterRun"`
-	// CutBeforeRun is the number of calls that are cut without running.
+	// CutBeforeRun is the number of calls whose connection is cut before they run.
 	CutBeforeRun int `json:"cutBeforeRun"`
-	// FailStatus answers all calls with the status and runs none; 0 is off.
+	// FailStatus is the status with which all calls are rejected without running; 0 is off.
 	FailStatus int `json:"failStatus"`
 }
 
-// Received is one call as it came.
+// Received is a call as the service received it.
 type Received struct {
 	Method string                `json:"method"`
 	Path   string                `json:"path"`
@@ -47,26 +47,26 @@
 	Body   string                `json:"body"`
 }
 
-// Booking is the body of a booking; other fields are kept out.
+// Booking is the body of a booking request; other fields are ignored.
 type Booking struct {
 	ID string `json:"id"`
 }
 
-// Booked answers a booking.
-type Booked struct {
+// BookingResult is the response to a booking.
+type BookingResult struct {
 	ID   string `json:"id"`
 	Runs int    `json:"runs"`
 }
 
-// State is the content of the stand-in, for tests and dumps.
+// State is a snapshot of the service for tests and debugging.
 type State struct {
-	// Runs counts bookings by id; a count above 1 is a double run.
+	// Runs counts the runs of each booking by ID; a count above 1 means that a booking ran twice.
 	Runs     map[string]int `json:"runs"`
 	Received []Received     `json:"received"`
 	Faults   Faults         `json:"faults"`
 }
 
-// Server is one plain service.
+// Server is one service.
 type Server struct {
 	*web.Server
 	web.Switches[Faults]
@@ -76,29 +76,29 @@
 	received []Received
 }
 
-// New serves a plain service on the listener until the context ends.
+// New serves a service on the listener until ctx ends.
 func New(ctx context.Context, listener net.Listener) (*Server, error) {
 	server := &Server{Server: web.NewServer(ctx, listener), runs: make(map[string]int)}
 	app := web.NewApp()
 	web.HandleFaults(app, server.CurrentFaults, server.SetFaults, nil)
 	web.HandleState(app, server.State)
-	app.Use(server.enter)
+	app.Use(server.applyFaults)
 	app.Post(PathBookings, server.book)
 	app.Use(server.echo)
 	server.Serve(app)
 	return server, nil
 }
 
-// State returns the content of the stand-in.
+// State returns a snapshot of the service.
 func (s *Server) State() State {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return State{Runs: maps.Clone(s.runs), Received: slices.Clone(s.received), Faults: s.CurrentFaults()}
 }
 
-// enter records the call and applies the switches that come before a run.
-func (s *Server) enter(c fiber.Ctx) error {
-	s.record(received(c))
+// applyFaults records the call and applies the faults that precede a run.
+func (s *Server) applyFaults(c fiber.Ctx) error {
+	s.record(newReceived(c))
 	if s.Spend(func(f *Faults) *int { return &f.CutBeforeRun }) {
 		return web.CutAnswer(c)
 	}
@@ -111,16 +111,15 @@
 	return c.Next()
 }
 
-// wait returns once the call may run: when no calls are held and then the delay has passed. It returns false if the
-// service ended first.
+// wait waits until the call may run: until no calls are held, and then for the delay. It returns false if the service ends first.
 func (s *Server) wait() bool {
-	faults, switched := s.Watch()
+	faults, changed := s.Watch()
 	for faults.Hold {
 		select {
 		case <-s.Context().Done():
 			return false
-		case <-switched:
-			faults, switched = s.Watch()
+		case <-changed:
+			faults, changed = s.Watch()
 		}
 	}
 	timer := time.NewTimer(time.Duration(faults.DelayMilliseconds) * time.Millisecond)
@@ -141,7 +140,7 @@
 	}
 }
 
-// book runs a booking, which must not run twice.
+// book runs a booking and responds with the number of its runs.
 func (s *Server) book(c fiber.Ctx) error {
 	var booking Booking
 	if !web.Decode(c, &booking) {
@@ -151,10 +150,10 @@
 	if cut {
 		return web.CutAnswer(c)
 	}
-	return c.Status(http.StatusCreated).JSON(Booked{ID: booking.ID, Runs: runs})
+	return c.Status(http.StatusCreated).JSON(BookingResult{ID: booking.ID, Runs: runs})
 }
 
-// run counts a run, and reports whether its answer is to be cut.
+// run counts a run and reports whether its connection is to be cut.
 func (s *Server) run(id string) (int, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -166,7 +165,7 @@
 	if _, cut := s.run(c.Method() + " " + c.OriginalURL()); cut {
 		return web.CutAnswer(c)
 	}
-	raw, err := json.Marshal(received(c))
+	raw, err := json.Marshal(newReceived(c))
 	if err != nil {
 		return c.Status(http.StatusInternalServerError).SendString(err.Error())
 	}
@@ -174,7 +173,7 @@
 	return c.Send(raw)
 }
 
-func received(c fiber.Ctx) Received {
+func newReceived(c fiber.Ctx) Received {
 	call := Received{
 		Method: c.Method(),
 		Path:   c.Path(),
