--- a/internal/standin/web/faults.go
+++ b/internal/standin/web/faults.go
@@ -2,8 +2,8 @@
 
 import "github.com/gofiber/fiber/v3"
 
-// HandleFaults serves the fault switches of a stand-in. Only the switches that a body names change;
-// changed, which may be nil, runs after that.
+// HandleFaults serves changes of the injected faults of a stand-in. Faults that the body omits keep their values.
+// changed, which may be nil, runs after the change.
 func HandleFaults[T any](app *fiber.App, current func() T, set func(T), changed func(fiber.Ctx, T)) {
 	app.Post(PathFaults, func(c fiber.Ctx) error {
 		faults := current()
@@ -18,7 +18,7 @@
 	})
 }
 
-// HandleState serves the content of a stand-in.
+// HandleState serves a snapshot of a stand-in.
 func HandleState[T any](app *fiber.App, state func() T) {
 	app.Get(PathState, func(c fiber.Ctx) error { return c.JSON(state()) })
 }
--- a/internal/standin/web/server.go
+++ b/internal/standin/web/server.go
@@ -1,5 +1,5 @@
-// Package web serves the HTTP side of the stand-ins: it ends with its context, and can cut all
-// connections or withhold an answer as a failing server would.
+// Package web is the HTTP server of the stand-ins. It stops with its context, and can cut connections
+// or drop responses, as a failing server does.
 package web
 
 import (
@@ -15,17 +15,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// PathFaults and PathState are common to all stand-ins.
+// PathFaults and PathState are served by all stand-ins.
 const (
 	PathFaults = "/standin/faults"
 	PathState  = "/standin/state"
 )
 
 const (
-	// maxBody is above the platform's megabyte of a value.
-	maxBody = 16 << 20
-	// idleWorker is how long the library's workers outlive the server's end; tests look for leaks.
-	idleWorker = 50 * time.Millisecond
+	// maxBodyBytes is the size limit of a request body. It exceeds the platform's limit of one megabyte per value.
+	maxBodyBytes = 16 << 20
+	// workerIdleTime is how long workers of the HTTP library may outlive the server. It is short because tests check for
+	// leaked goroutines.
+	workerIdleTime = 50 * time.Millisecond
 )
 
 // Server serves an app on a listener until its context ends.
@@ -36,12 +37,12 @@
 	group    conc.WaitGroup
 }
 
-// NewApp returns an app whose strings and bytes may be kept by handlers.
+// NewApp returns an app whose handlers may keep strings and bytes of a request.
 func NewApp() *fiber.App {
-	return fiber.New(fiber.Config{Immutable: true, BodyLimit: maxBody})
+	return fiber.New(fiber.Config{Immutable: true, BodyLimit: maxBodyBytes})
 }
 
-// NewServer returns a server that ends with the context and is still to be started by Serve.
+// NewServer returns a server that Serve starts. It stops when ctx ends.
 func NewServer(ctx context.Context, listener net.Listener) *Server {
 	ctx, cancel := context.WithCancel(ctx)
 	server := &Server{
@@ -57,22 +58,22 @@
 	return server
 }
 
-// Serve starts to answer; it returns at once.
+// Serve starts serving the app and returns immediately.
 func (s *Server) Serve(app *fiber.App) {
-	engine := &fasthttp.Server{
+	httpServer := &fasthttp.Server{
 		Handler:               app.Handler(),
-		MaxRequestBodySize:    maxBody,
+		MaxRequestBodySize:    maxBodyBytes,
 		NoDefaultServerHeader: true,
-		MaxIdleWorkerDuration: idleWorker,
+		MaxIdleWorkerDuration: workerIdleTime,
 		Logger:                silentLogger{},
 	}
 	s.group.Go(func() {
-		// The listener's end is the only way out, and is no error.
-		_ = engine.Serve(s.listener)
+		// Serve returns only when the listener is closed, which is expected.
+		_ = httpServer.Serve(s.listener)
 	})
 }
 
-// Context ends with the server.
+// Context returns the context that ends with the server.
 func (s *Server) Context() context.Context {
 	return s.ctx
 }
@@ -87,14 +88,14 @@
 	return "http://" + s.listener.Addr().String()
 }
 
-// CutConnections closes all open connections at once, as a crash does.
+// CutConnections closes all open connections, as a crash does.
 func (s *Server) CutConnections() {
 	for _, conn := range s.listener.connections() {
 		_ = conn.Close()
 	}
 }
 
-// CutOthers closes all connections but that of the request, which can still be answered.
+// CutOthers closes all connections except that of the request, which can still be answered.
 func (s *Server) CutOthers(c fiber.Ctx) {
 	own := c.RequestCtx().Conn()
 	for _, conn := range s.listener.connections() {
@@ -104,13 +105,13 @@
 	}
 }
 
-// Close ends the server and waits for it.
+// Close stops the server and waits until it has stopped.
 func (s *Server) Close() {
 	s.cancel()
 	s.group.Wait()
 }
 
-// CutAnswer closes the connection of the request without an answer.
+// CutAnswer closes the connection of the request without a response.
 func CutAnswer(c fiber.Ctx) error {
 	request := c.RequestCtx()
 	request.HijackSetNoResponse(true)
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// Decode reads the JSON body of the request; on failure it has answered 400 and returns false.
+// Decode reads the JSON body of the request. On failure it responds with status 400 and returns false.
 func Decode(c fiber.Ctx, into any) bool {
 	if err := json.Unmarshal(c.Body(), into); err != nil {
 		c.Status(http.StatusBadRequest)
@@ -128,7 +129,7 @@
 	return true
 }
 
-// trackingListener knows its open connections.
+// trackingListener keeps track of its open connections.
 type trackingListener struct {
 	net.Listener
 	mutex  sync.Mutex
@@ -154,7 +155,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.closed {
-		// The connection came between the listener's end and the cut of the open connections.
+		// The connection was accepted after the listener was closed and may have missed CutConnections.
 		_ = conn.Close()
 		return nil, net.ErrClosed
 	}
@@ -172,7 +173,7 @@
 	return open
 }
 
-// trackedConn leaves its listener's set when it is closed.
+// trackedConn removes itself from its listener when it is closed.
 type trackedConn struct {
 	net.Conn
 	listener *trackingListener
@@ -186,7 +187,7 @@
 	return c.Conn.Close()
 }
 
-// silentLogger drops what the HTTP library says about connections that faults cut on purpose.
+// silentLogger discards the messages of the HTTP library about connections that were cut on purpose.
 type silentLogger struct{}
 
 // Printf implements fasthttp.Logger.
--- a/internal/standin/web/switches.go
+++ b/internal/standin/web/switches.go
@@ -2,50 +2,49 @@
 
 import "sync"
 
-// Switches holds the faults of a stand-in, which can be replaced at any time. The zero value is a healthy server. It
-// is safe for concurrent use.
+// Switches holds the injected faults of a stand-in. The zero value has no faults. It is safe for concurrent use.
 type Switches[F any] struct {
-	mutex    sync.Mutex
-	faults   F
-	replaced chan struct{}
+	mutex   sync.Mutex
+	faults  F
+	changed chan struct{}
 }
 
-// SetFaults replaces all switches.
+// SetFaults replaces all faults.
 func (s *Switches[F]) SetFaults(faults F) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
-	if s.replaced != nil {
-		close(s.replaced)
-		s.replaced = nil
+	if s.changed != nil {
+		close(s.changed)
+		s.changed = nil
 	}
 }
 
-// CurrentFaults returns the switches.
+// CurrentFaults returns the current faults.
 func (s *Switches[F]) CurrentFaults() F {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults
 }
 
-// Watch returns the switches and a channel that is closed when they are replaced.
+// Watch returns the current faults and a channel that is closed when they are replaced.
 func (s *Switches[F]) Watch() (F, <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.replaced == nil {
-		s.replaced = make(chan struct{})
+	if s.changed == nil {
+		s.changed = make(chan struct{})
 	}
-	return s.faults, s.replaced
+	return s.faults, s.changed
 }
 
-// Spend counts one down of the faults that come a number of times, and reports whether one was left.
+// Spend decrements the counter of a fault that applies a limited number of times. It returns false if the counter was already 0.
 func (s *Switches[F]) Spend(count func(*F) *int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	left := count(&s.faults)
-	if *left <= 0 {
+	remaining := count(&s.faults)
+	if *remaining <= 0 {
 		return false
 	}
-	*left--
+	*remaining--
 	return true
 }
