--- a/internal/standin/weightstore/server.go
+++ b/internal/standin/weightstore/server.go
@@ -23,17 +23,17 @@
 	DefaultRequestsPerSecond = 20
 )
 
-// Faults are the switches of the stand-in; the zero value is a healthy store.
+// Faults are the injected faults; the zero value is a healthy store.
 type Faults struct {
 	// Outage refuses every read.
 	Outage bool `json:"outage"`
-	// CutAnswers is the number of answers whose connection is cut.
+	// CutAnswers is the number of reads whose connection is cut.
 	CutAnswers int `json:"cutAnswers"`
 }
 
-// State is the content of the stand-in, for tests and dumps.
+// State is a snapshot of the store for tests and debugging.
 type State struct {
-	// Served counts reads by name of the weights.
+	// Served counts the successful reads by weights name, Limited the refused ones.
 	Served  map[string]int `json:"served"`
 	Limited int            `json:"limited"`
 	Faults  Faults         `json:"faults"`
@@ -51,22 +51,22 @@
 	limited int
 }
 
-// Option changes a weight store under construction.
+// Option configures a weight store.
 type Option func(*Server)
 
-// WithRate sets the reads a second; as many may come at once.
+// WithRate sets the number of reads per second, which is also the burst size.
 func WithRate(requestsPerSecond int) Option {
 	return func(s *Server) {
 		s.limiter = rate.NewLimiter(rate.Limit(requestsPerSecond), requestsPerSecond)
 	}
 }
 
-// WithWeightBytes sets the length of all weights.
+// WithWeightBytes sets the size of all weights.
 func WithWeightBytes(size int) Option {
 	return func(s *Server) { s.size = size }
 }
 
-// New serves a weight store on the listener until the context ends.
+// New serves a weight store on the listener until ctx ends.
 func New(ctx context.Context, listener net.Listener, opts ...Option) (*Server, error) {
 	server := &Server{
 		Server:  web.NewServer(ctx, listener),
@@ -85,7 +85,7 @@
 	return server, nil
 }
 
-// State returns the content of the stand-in.
+// State returns a snapshot of the store.
 func (s *Server) State() State {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -108,7 +108,7 @@
 	}
 }
 
-// admission is what becomes of a read.
+// admission is the outcome of a read.
 type admission int
 
 const (
