--- a/internal/program/cmd/soak.go
+++ b/internal/program/cmd/soak.go
@@ -53,7 +53,7 @@
 		return errors.Wrap(err, "soak")
 	}
 	printProgress := func(line string) { _, _ = fmt.Fprintln(c.Root().ErrWriter, line) }
-	report, err := soak.Run(ctx, soak.Options{Plan: p, Program: executable, Folder: folder, Tell: printProgress})
+	report, err := soak.Run(ctx, soak.Options{Plan: p, Program: executable, Folder: folder, OnDisturbance: printProgress})
 	if err != nil {
 		return err
 	}
--- a/internal/program/soak/soak.go
+++ b/internal/program/soak/soak.go
@@ -27,8 +27,8 @@
 	Plan
 	// Program is the path of the gateway program. Folder holds the settings and logs of its processes.
 	Program, Folder string
-	// Tell is called with a description of each disturbance as it begins.
-	Tell func(line string)
+	// OnDisturbance is called with a description of each disturbance as it begins.
+	OnDisturbance func(line string)
 }
 
 const (
@@ -52,7 +52,7 @@
 	var registrations conc.WaitGroup
 	registrations.Go(func() { env.registerLoadedWeights(ctx) })
 	schedule := newSchedule(o.Plan)
-	l.run(schedule, o.Tell)
+	l.run(schedule, o.OnDisturbance)
 	l.readAllJobs()
 	cancel()
 	registrations.Wait()
--- a/internal/program/soak/soak_test.go
+++ b/internal/program/soak/soak_test.go
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	folder := t.TempDir()
-	report, err := Run(t.Context(), Options{Plan: p, Program: program, Folder: folder, Tell: func(line string) { t.Log(line) }})
+	report, err := Run(t.Context(), Options{Plan: p, Program: program, Folder: folder, OnDisturbance: func(line string) { t.Log(line) }})
 	if err != nil {
 		t.Fatal(err)
 	}
