--- a/internal/program/cmd/soak.go
+++ b/internal/program/cmd/soak.go
@@ -60,7 +60,7 @@
 	if err := report.Write(c.Root().Writer); err != nil {
 		return err
 	}
-	if report.Broken() {
+	if report.HasViolations() {
 		return errors.Wrapf(errGuaranteeViolated, "logs in %s", folder)
 	}
 	return errors.Wrap(os.RemoveAll(folder), "soak")
--- a/internal/program/soak/report.go
+++ b/internal/program/soak/report.go
@@ -26,8 +26,8 @@
 	Latencies  []Latency
 }
 
-// Broken reports whether any guarantee was violated.
-func (r *Report) Broken() bool {
+// HasViolations reports whether any guarantee was violated.
+func (r *Report) HasViolations() bool {
 	return slices.ContainsFunc(r.Guarantees, func(t Tally) bool { return t.Violations > 0 })
 }
 
@@ -51,7 +51,7 @@
 	for _, each := range r.Latencies {
 		line("%s\t%s\t%d\t%v\t%v\t%v", each.Phase, each.Kind, each.Answers, each.P50, each.P99, each.Max)
 	}
-	if r.Broken() {
+	if r.HasViolations() {
 		line("\nFirst violations of each guarantee\n")
 	}
 	for _, each := range r.Guarantees {
--- a/internal/program/soak/report_test.go
+++ b/internal/program/soak/report_test.go
@@ -25,8 +25,8 @@
 		Guarantees: checks.summaries(), Latencies: l.summary(),
 	}
 	var text strings.Builder
-	if err := report.Write(&text); err != nil || !report.Broken() {
-		t.Fatal(err, report.Broken())
+	if err := report.Write(&text); err != nil || !report.HasViolations() {
+		t.Fatal(err, report.HasViolations())
 	}
 	const golden = "testdata/report.golden"
 	if *update {
