--- a/internal/standin/scorer/server.go
+++ b/internal/standin/scorer/server.go
@@ -72,7 +72,7 @@
 	}
 	s.scored.Add(int64(len(requests)))
 	faults := s.CurrentFaults()
-	cut := s.Spend(func(f *Faults) *int { return &f.CutAnswers })
+	cut := s.Consume(func(f *Faults) *int { return &f.CutAnswers })
 	timer := time.NewTimer(time.Duration(faults.DelayMilliseconds) * time.Millisecond)
 	defer timer.Stop()
 	select {
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -99,7 +99,7 @@
 // applyFaults records the call and applies the faults that precede a run.
 func (s *Server) applyFaults(c fiber.Ctx) error {
 	s.record(newReceived(c))
-	if s.Spend(func(f *Faults) *int { return &f.CutBeforeRun }) {
+	if s.Consume(func(f *Faults) *int { return &f.CutBeforeRun }) {
 		return web.CutAnswer(c)
 	}
 	if status := s.CurrentFaults().FailStatus; status != 0 {
@@ -158,7 +158,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.runs[id]++
-	return s.runs[id], s.Spend(func(f *Faults) *int { return &f.CutAfterRun })
+	return s.runs[id], s.Consume(func(f *Faults) *int { return &f.CutAfterRun })
 }
 
 func (s *Server) echo(c fiber.Ctx) error {
--- a/internal/standin/web/switches.go
+++ b/internal/standin/web/switches.go
@@ -37,8 +37,8 @@
 	return s.faults, s.changed
 }
 
-// Spend decrements the counter of a fault that applies a limited number of times. It returns false if the counter was already 0.
-func (s *Switches[F]) Spend(count func(*F) *int) bool {
+// Consume decrements the counter of a fault that applies a limited number of times. It returns false if the counter was already 0.
+func (s *Switches[F]) Consume(count func(*F) *int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	remaining := count(&s.faults)
--- a/internal/standin/weightstore/server.go
+++ b/internal/standin/weightstore/server.go
@@ -124,7 +124,7 @@
 		s.limited++
 		return refused
 	}
-	if s.Spend(func(f *Faults) *int { return &f.CutAnswers }) {
+	if s.Consume(func(f *Faults) *int { return &f.CutAnswers }) {
 		return cut
 	}
 	s.served[name]++
