--- a/internal/standin/scorer/server.go
+++ b/internal/standin/scorer/server.go
@@ -38,7 +38,7 @@
 // Server is one scoring service.
 type Server struct {
 	*web.Server
-	web.Switches[Faults]
+	web.FaultInjector[Faults]
 
 	scored atomic.Int64
 }
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -69,7 +69,7 @@
 // Server is one service.
 type Server struct {
 	*web.Server
-	web.Switches[Faults]
+	web.FaultInjector[Faults]
 
 	mutex    sync.Mutex
 	runs     map[string]int
--- a/internal/standin/web/switches.go
+++ b/internal/standin/web/switches.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// Switches holds the injected faults of a stand-in. The zero value has no faults. It is safe for concurrent use.
-type Switches[F any] struct {
+// FaultInjector holds the injected faults of a stand-in. The zero value has no faults. It is safe for concurrent use.
+type FaultInjector[F any] struct {
 	mutex   sync.Mutex
 	faults  F
 	changed chan struct{}
 }
 
 // SetFaults replaces all faults.
-func (s *Switches[F]) SetFaults(faults F) {
+func (s *FaultInjector[F]) SetFaults(faults F) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
@@ -21,14 +21,14 @@
 }
 
 // CurrentFaults returns the current faults.
-func (s *Switches[F]) CurrentFaults() F {
+func (s *FaultInjector[F]) CurrentFaults() F {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults
 }
 
 // Watch returns the current faults and a channel that is closed when they are replaced.
-func (s *Switches[F]) Watch() (F, <-chan struct{}) {
+func (s *FaultInjector[F]) Watch() (F, <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.changed == nil {
@@ -38,7 +38,7 @@
 }
 
 // Consume decrements the counter of a fault that applies a limited number of times. It returns false if the counter was already 0.
-func (s *Switches[F]) Consume(count func(*F) *int) bool {
+func (s *FaultInjector[F]) Consume(count func(*F) *int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	remaining := count(&s.faults)
--- a/internal/standin/weightstore/server.go
+++ b/internal/standin/weightstore/server.go
@@ -42,7 +42,7 @@
 // Server is one weight store.
 type Server struct {
 	*web.Server
-	web.Switches[Faults]
+	web.FaultInjector[Faults]
 	limiter *rate.Limiter
 	size    int
 
