--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -206,7 +206,7 @@
 // cutOnCrash cuts all other connections if the new faults include a crash. The request that set the faults is still answered.
 func (s *Server) cutOnCrash(c fiber.Ctx, faults Faults) {
 	if faults.Crashed {
-		s.CutOthers(c)
+		s.CutOtherConnections(c)
 	}
 }
 
--- a/internal/standin/web/server.go
+++ b/internal/standin/web/server.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// CutOthers closes all connections except that of the request, which can still be answered.
-func (s *Server) CutOthers(c fiber.Ctx) {
+// CutOtherConnections closes all connections except that of the request, which can still be answered.
+func (s *Server) CutOtherConnections(c fiber.Ctx) {
 	own := c.RequestCtx().Conn()
 	for _, conn := range s.listener.connections() {
 		if conn != own {
