--- a/internal/edge/backendserver/service_test.go
+++ b/internal/edge/backendserver/service_test.go
@@ -64,7 +64,7 @@
 		}
 	}
 	got.Header = kept
-	want := service.Received{Method: http.MethodPatch, Path: "/a%2Fb/../c", Query: "q=1&q=2", Header: header, Body: "body"}
+	want := service.ReceivedCall{Method: http.MethodPatch, Path: "/a%2Fb/../c", Query: "q=1&q=2", Header: header, Body: "body"}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -38,8 +38,8 @@
 	FailStatus int `json:"failStatus"`
 }
 
-// Received is a call as the service received it.
-type Received struct {
+// ReceivedCall is a call as the service received it.
+type ReceivedCall struct {
 	Method string                `json:"method"`
 	Path   string                `json:"path"`
 	Query  string                `json:"query"`
@@ -62,7 +62,7 @@
 type State struct {
 	// Runs counts the runs of each booking by ID; a count above 1 means that a booking ran twice.
 	Runs     map[string]int `json:"runs"`
-	Received []Received     `json:"received"`
+	Received []ReceivedCall `json:"received"`
 	Faults   Faults         `json:"faults"`
 }
 
@@ -73,7 +73,7 @@
 
 	mutex    sync.Mutex
 	runs     map[string]int
-	received []Received
+	received []ReceivedCall
 }
 
 // New serves a service on the listener until ctx ends.
@@ -132,7 +132,7 @@
 	}
 }
 
-func (s *Server) record(call Received) {
+func (s *Server) record(call ReceivedCall) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.received) < maxReceived {
@@ -173,8 +173,8 @@
 	return c.Send(raw)
 }
 
-func newReceived(c fiber.Ctx) Received {
-	call := Received{
+func newReceived(c fiber.Ctx) ReceivedCall {
+	call := ReceivedCall{
 		Method: c.Method(),
 		Path:   c.Path(),
 		Query:  string(c.RequestCtx().QueryArgs().QueryString()),
