--- a/internal/program/soak/world.go
+++ b/internal/program/soak/world.go
@@ -144,7 +144,7 @@
 		return nil, errors.Wrap(err, "create log")
 	}
 	if p.link, err = newLink(env.ctx, advertised, peerAddress); err != nil {
-		return nil, errors.Wrap(err, "open link")
+		return nil, errors.Wrap(err, "link")
 	}
 	c.Cleanup(p.close)
 	return p, nil
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -80,7 +80,7 @@
 	faultsChanged chan struct{}
 	batch         *batch
 	cache         *cache
-	loads         *loadHistory
+	loadHistory   *loadHistory
 	weights       weights
 	samples       samples
 	generated     int
@@ -111,7 +111,7 @@
 
 // WithLoadLag sets the lag of the load report.
 func WithLoadLag(lag time.Duration) Option {
-	return func(s *Server) { s.loads = newLoadHistory(lag) }
+	return func(s *Server) { s.loadHistory = newLoadHistory(lag) }
 }
 
 // WithVersion sets the model version at the start.
@@ -140,7 +140,7 @@
 		faultsChanged: make(chan struct{}),
 		batch:         newBatch(DefaultSlots, DefaultQueue),
 		cache:         newCache(DefaultCacheSize, DefaultLag),
-		loads:         newLoadHistory(DefaultLag),
+		loadHistory:   newLoadHistory(DefaultLag),
 		weights:       newWeights(DefaultVersion),
 		samples:       newSamples(),
 	}
@@ -221,7 +221,7 @@
 func (s *Server) reportLoad(c fiber.Ctx) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return c.JSON(s.loads.delayed(time.Now()))
+	return c.JSON(s.loadHistory.delayed(time.Now()))
 }
 
 func (s *Server) cancel(c fiber.Ctx) error {
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -26,11 +26,11 @@
 	release func()
 	length  int
 	// index is the next token of the whole answer. sent counts the tokens sent in this stream, which may resume an answer.
-	index   int
-	sent    int
-	started bool
-	done    bool
-	pending []byte
+	index      int
+	sent       int
+	hasStarted bool
+	done       bool
+	pending    []byte
 }
 
 var _ io.ReadCloser = (*stream)(nil)
@@ -101,10 +101,10 @@
 
 // start waits for a slot and prefills the prompt. Only the first call does anything.
 func (s *stream) start() error {
-	if s.started {
+	if s.hasStarted {
 		return nil
 	}
-	s.started = true
+	s.hasStarted = true
 	select {
 	case <-s.ctx.Done():
 		return errCancelled
@@ -199,7 +199,7 @@
 
 // recordLoadLocked adds the current load to the history. The caller must hold s.mutex.
 func (s *Server) recordLoadLocked() {
-	s.loads.add(backendserver.EngineLoad{
+	s.loadHistory.add(backendserver.EngineLoad{
 		Running:    s.batch.running,
 		Queued:     len(s.batch.waiting),
 		Slots:      s.batch.slots,
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -98,7 +98,7 @@
 
 // applyFaults records the call and applies the faults that precede a run.
 func (s *Server) applyFaults(c fiber.Ctx) error {
-	s.record(newReceived(c))
+	s.record(newReceivedCall(c))
 	if s.Consume(func(f *Faults) *int { return &f.CutBeforeRun }) {
 		return web.CutAnswer(c)
 	}
@@ -165,7 +165,7 @@
 	if _, cut := s.run(c.Method() + " " + c.OriginalURL()); cut {
 		return web.CutAnswer(c)
 	}
-	raw, err := json.Marshal(newReceived(c))
+	raw, err := json.Marshal(newReceivedCall(c))
 	if err != nil {
 		return c.Status(http.StatusInternalServerError).SendString(err.Error())
 	}
@@ -173,7 +173,7 @@
 	return c.Send(raw)
 }
 
-func newReceived(c fiber.Ctx) ReceivedCall {
+func newReceivedCall(c fiber.Ctx) ReceivedCall {
 	call := ReceivedCall{
 		Method: c.Method(),
 		Path:   c.Path(),
--- a/internal/standin/web/switches.go
+++ b/internal/standin/web/switches.go
@@ -10,38 +10,38 @@
 }
 
 // SetFaults replaces all faults.
-func (s *FaultInjector[F]) SetFaults(faults F) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.faults = faults
-	if s.changed != nil {
-		close(s.changed)
-		s.changed = nil
+func (f *FaultInjector[F]) SetFaults(faults F) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.faults = faults
+	if f.changed != nil {
+		close(f.changed)
+		f.changed = nil
 	}
 }
 
 // CurrentFaults returns the current faults.
-func (s *FaultInjector[F]) CurrentFaults() F {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.faults
+func (f *FaultInjector[F]) CurrentFaults() F {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	return f.faults
 }
 
 // Watch returns the current faults and a channel that is closed when they are replaced.
-func (s *FaultInjector[F]) Watch() (F, <-chan struct{}) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.changed == nil {
-		s.changed = make(chan struct{})
+func (f *FaultInjector[F]) Watch() (F, <-chan struct{}) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if f.changed == nil {
+		f.changed = make(chan struct{})
 	}
-	return s.faults, s.changed
+	return f.faults, f.changed
 }
 
 // Consume decrements the counter of a fault that applies a limited number of times. It returns false if the counter was already 0.
-func (s *FaultInjector[F]) Consume(count func(*F) *int) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	remaining := count(&s.faults)
+func (f *FaultInjector[F]) Consume(count func(*F) *int) bool {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	remaining := count(&f.faults)
 	if *remaining <= 0 {
 		return false
 	}
