--- a/internal/program/process/agent.go
+++ b/internal/program/process/agent.go
@@ -19,7 +19,7 @@
 	runtime   *runtime
 	cancel    context.CancelFunc
 	follower  *configuration.Follower
-	freshness *freshnessLog
+	freshness *freshnessLogger
 	agent     *agent.Agent
 	usage     *billing.Collector
 	counters  *usage.Ledger
@@ -36,7 +36,7 @@
 	return serve(ctx, p, set, log)
 }
 
-// StartAgent starts an agent; it runs until Close, or until ctx ends.
+// StartAgent starts an agent. It runs until Close is called or ctx ends.
 func StartAgent(ctx context.Context, set settings.Settings, log zerolog.Logger) (*Agent, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	p, err := newAgent(ctx, set, log)
@@ -55,7 +55,7 @@
 	}
 	p := &Agent{runtime: r}
 	p.follower = r.newFollower(ctx)
-	p.freshness = newFreshnessLog(ctx, p.follower, log)
+	p.freshness = newFreshnessLogger(ctx, p.follower, log)
 	server := newBackendServer(set.ServerURL)
 	p.counters = usage.NewLedger()
 	p.usage = r.newAgentCollector(ctx, p.counters)
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	p.agent.Register(r.peers)
-	r.registerState(p.follower, p.usage)
+	r.registerHostMetrics(p.follower, p.usage)
 	if p.peers, err = r.servePeers(ctx); err != nil {
 		return nil, err
 	}
@@ -101,16 +101,16 @@
 	if err := p.agent.Drain(ctx); err != nil {
 		return err
 	}
-	// No relay may ask this host again before it ends, so it writes its counts itself.
+	// A relay may not gather from this host again before it stops, so the host writes its counts itself.
 	p.usage.Merge(p.counters.Counts()...)
-	p.runtime.leaveUsage(ctx, p.usage)
+	p.runtime.storeOrHandOverUsage(ctx, p.usage)
 	return p.peers.Drain(ctx)
 }
 
-// Drain ends the agent's work without cutting off a request.
+// Drain stops the agent's work without interrupting requests.
 func (p *Agent) Drain(ctx context.Context) error { return p.drain(ctx) }
 
-// Close ends all goroutines of the process at once.
+// Close stops all goroutines of the process at once.
 func (p *Agent) Close() { p.close() }
 
 func (p *Agent) close() {
--- a/internal/program/process/backendserver.go
+++ b/internal/program/process/backendserver.go
@@ -11,17 +11,17 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// errNoEngine is returned for a load question to a server that isn't a model engine.
-var errNoEngine = errors.New("not a model engine")
+// errNotEngine is returned when the load of a server is requested that isn't a model engine.
+var errNotEngine = errors.New("not a model engine")
 
-// agentServer is the backend server at a URL as the agent calls it.
+// agentServer adapts the backend server at a URL to the interface that the agent uses.
 type agentServer struct{ service *backendserver.Service }
 
 func newBackendServer(url string) agentServer {
 	return agentServer{service: backendserver.NewService(url)}
 }
 
-// Call sends one call, once.
+// Call sends a call to the server, without retries.
 func (s agentServer) Call(ctx context.Context, call agent.Call) (*agent.Reply, error) {
 	answer, err := s.service.Call(ctx, call.Method, call.Path, call.Query, call.Header, call.Body)
 	if errors.Is(err, backendserver.ErrNotSent) {
@@ -33,7 +33,7 @@
 	return &agent.Reply{Status: answer.Status, Header: answer.Header, Body: answer.Body}, nil
 }
 
-// agentEngine is the control side of a model engine as the agent calls it.
+// agentEngine adapts the control interface of a model engine to the interface that the agent uses.
 type agentEngine struct {
 	engine *backendserver.Engine
 	pool   string
@@ -44,11 +44,11 @@
 	return agentEngine{engine: backendserver.NewEngine(url), pool: pool, view: view}
 }
 
-// Load asks the engine for its report; a plain service is never asked.
+// Load requests the engine's load report. Servers of other pools are never asked.
 func (e agentEngine) Load(ctx context.Context) (agent.EngineLoad, error) {
 	pool, ok := e.view().Pool(e.pool)
 	if !ok || pool.Kind != ticket.KindModel {
-		return agent.EngineLoad{}, errNoEngine
+		return agent.EngineLoad{}, errNotEngine
 	}
 	load, err := e.engine.Load(ctx)
 	if err != nil {
@@ -57,17 +57,17 @@
 	return agent.EngineLoad{Running: load.Running, Waiting: load.Queued, Version: load.Version}, nil
 }
 
-// Cancel ends the generation of a sample.
+// Cancel stops the generation of a sample.
 func (e agentEngine) Cancel(ctx context.Context, sampleID string) error {
 	return e.engine.Cancel(ctx, sampleID)
 }
 
-// CacheEvents returns what the engine published about its prefix cache after the sequence number.
+// CacheEvents returns the events that the engine published about its prefix cache after the sequence number.
 func (e agentEngine) CacheEvents(ctx context.Context, after uint64) ([]backendserver.CacheEvent, error) {
 	return e.engine.CacheEvents(ctx, after)
 }
 
-// Order gives one weight order.
+// Order sends a weight order to the engine.
 func (e agentEngine) Order(ctx context.Context, order agent.WeightOrder) error {
 	return e.engine.Order(ctx, backendserver.WeightOrder{
 		Kind:    backendserver.OrderKind(order.Kind),
--- a/internal/program/process/configuration.go
+++ b/internal/program/process/configuration.go
@@ -6,7 +6,8 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/configuration"
 )
 
-// newFollower follows the configuration, as a relay of its availability zone where the host is one.
+// newFollower starts to follow the configuration. If the host is a relay of its availability zone, it also relays the
+// configuration to the others.
 func (r *runtime) newFollower(ctx context.Context) *configuration.Follower {
 	follower := configuration.NewFollower(ctx, r.platform,
 		configuration.WithExchange(configuration.NewPeerExchange(r.client), r.members, configuration.Self{
--- a/internal/program/process/entry.go
+++ b/internal/program/process/entry.go
@@ -19,12 +19,12 @@
 	runtime   *runtime
 	cancel    context.CancelFunc
 	follower  *configuration.Follower
-	freshness *freshnessLog
+	freshness *freshnessLogger
 	publisher *configuration.Publisher
 	entry     *entry.Entry
 	trainers  *trainer.Coordinator
 	duties    *duties
-	weights   *weightSwitch
+	weights   *weightSwitcher
 	peers     *peer.Server
 	admin     *admin.Server
 }
@@ -38,7 +38,7 @@
 	return serve(ctx, p, set, log)
 }
 
-// StartEntry starts an entry; it runs until Close, or until ctx ends.
+// StartEntry starts an entry. It runs until Close is called or ctx ends.
 func StartEntry(ctx context.Context, set settings.Settings, log zerolog.Logger) (*Entry, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	p, err := newEntry(ctx, set, log)
@@ -57,29 +57,29 @@
 	}
 	p := &Entry{runtime: r}
 	p.follower = r.newFollower(ctx)
-	p.freshness = newFreshnessLog(ctx, p.follower, log)
+	p.freshness = newFreshnessLogger(ctx, p.follower, log)
 	p.publisher = configuration.NewPublisher(r.platform, configuration.WithFollower(p.follower))
 	metrics := entry.NewMetrics(r.registry)
 	p.duties = newDuties(ctx, r, p.follower)
-	p.weights = newWeightSwitch(ctx, r, p.follower, p.publisher, p.duties.keeper(ctx, dutyWeightSwitch, ""))
-	r.registerState(p.follower, p.duties.usage.collector)
-	p.duties.registerDuties()
+	p.weights = newWeightSwitcher(ctx, r, p.follower, p.publisher, p.duties.keeper(ctx, dutyWeightSwitch, ""))
+	r.registerHostMetrics(p.follower, p.duties.usage.collector)
+	p.duties.registerDutyMetrics()
 	dispatcher := entry.NewDispatcher(entry.DispatcherConfig{
 		HostID:           set.HostID,
 		AvailabilityZone: set.AvailabilityZone,
 		Incarnation:      r.incarnation,
-	}, r.client, r.members, func() uint64 { return p.follower.View().Revision() }, p.duties.counted, metrics)
+	}, r.client, r.members, func() uint64 { return p.follower.View().Revision() }, p.duties.addUsage, metrics)
 	p.trainers = r.newCoordinator(ctx, p.duties.keepers, p.follower, p.publisher, entry.NewSampleGenerator(dispatcher, p.follower.View))
-	turnedAway := admission.NewRefusedLoad()
-	serveTurnedAway(r.peers, turnedAway)
+	refusedLoad := admission.NewRefusedLoad()
+	serveRefusedLoad(r.peers, refusedLoad)
 	if p.peers, err = r.servePeers(ctx); err != nil {
 		return nil, err
 	}
-	callers, err := listen(ctx, "listen", set.Listen)
+	listener, err := listen(ctx, "listen", set.Listen)
 	if err != nil {
 		return nil, err
 	}
-	p.entry = entry.New(ctx, callers, entry.Config{
+	p.entry = entry.New(ctx, listener, entry.Config{
 		HostID:            set.HostID,
 		BodyLimitBytes:    set.BodyLimitBytes,
 		OperatorKeyHashes: set.OperatorKeyHashes,
@@ -88,7 +88,7 @@
 		Views:      p.follower,
 		Tickets:    tickets{p.publisher},
 		Admission:  admission.New(),
-		TurnedAway: turnedAway,
+		TurnedAway: refusedLoad,
 		Dispatcher: dispatcher,
 		Store:      r.platform,
 		Trainers:   p.trainers,
@@ -111,15 +111,15 @@
 	if err := p.entry.Drain(ctx, p.runtime.set.LeaveDelay); err != nil {
 		return err
 	}
-	p.runtime.leaveUsage(ctx, p.duties.usage.collector)
+	p.runtime.storeOrHandOverUsage(ctx, p.duties.usage.collector)
 	p.duties.release(ctx)
 	return p.peers.Drain(ctx)
 }
 
-// Drain ends the entry's work without cutting off a request.
+// Drain stops the entry's work without interrupting requests.
 func (p *Entry) Drain(ctx context.Context) error { return p.drain(ctx) }
 
-// Close ends all goroutines of the process at once.
+// Close stops all goroutines of the process at once.
 func (p *Entry) Close() { p.close() }
 
 func (p *Entry) close() {
@@ -134,10 +134,10 @@
 	p.runtime.client.Wait()
 }
 
-// tickets shows the publisher to the entry's HTTP side.
+// tickets adapts the publisher to the entry's HTTP server.
 type tickets struct{ *configuration.Publisher }
 
-// Status returns what became of a ticket.
+// Status returns the status of a ticket.
 func (t tickets) Status(ctx context.Context, number int) (any, error) {
 	return t.Publisher.Status(ctx, number)
 }
--- a/internal/program/process/freshness.go
+++ b/internal/program/process/freshness.go
@@ -11,38 +11,39 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/ticker"
 )
 
-// freshnessInterval is how often a host looks whether it serves. A view is fresh for 3 s, so no lasting isolation is missed.
+// freshnessInterval is how often a host checks whether its configuration is fresh. A view stays fresh for 3 s, so no
+// lasting isolation is missed.
 const freshnessInterval = 500 * time.Millisecond
 
-// freshnessLog logs when a host begins and ends to refuse all requests because nothing confirms its configuration. Without
-// it an operator would find a process that says "serving" and refuses.
-type freshnessLog struct {
+// freshnessLogger logs when a host starts and stops refusing all requests because its configuration isn't confirmed.
+// Without it an operator would find a process that logged "serving" and refuses requests.
+type freshnessLogger struct {
 	follower *configuration.Follower
 	log      zerolog.Logger
 	work     conc.WaitGroup
 }
 
-// newFreshnessLog logs until ctx ends.
-func newFreshnessLog(ctx context.Context, follower *configuration.Follower, log zerolog.Logger) *freshnessLog {
-	f := &freshnessLog{follower: follower, log: log}
+// newFreshnessLogger starts a logger that runs until ctx ends.
+func newFreshnessLogger(ctx context.Context, follower *configuration.Follower, log zerolog.Logger) *freshnessLogger {
+	f := &freshnessLogger{follower: follower, log: log}
 	f.work.Go(func() {
-		fresh, told := false, false
+		fresh, logged := false, false
 		ticker.Every(ctx, freshnessInterval, func(now time.Time) {
-			if next := follower.Fresh(now); next != fresh || !told {
-				fresh, told = next, true
-				f.tell(fresh)
+			if next := follower.Fresh(now); next != fresh || !logged {
+				fresh, logged = next, true
+				f.logState(fresh)
 			}
 		})
 	})
 	return f
 }
 
-func (f *freshnessLog) tell(fresh bool) {
+func (f *freshnessLogger) logState(fresh bool) {
 	if fresh {
-		f.log.Info().Int("ticket", f.follower.View().LastTicket()).Msg("configuration confirmed: requests are taken")
+		f.log.Info().Int("ticket", f.follower.View().LastTicket()).Msg("configuration confirmed: requests are accepted")
 		return
 	}
 	f.log.Warn().Interface("configuration", f.follower.State()).Msg("isolated: all requests are refused until the configuration is confirmed")
 }
 
-func (f *freshnessLog) wait() { f.work.Wait() }
+func (f *freshnessLogger) wait() { f.work.Wait() }
--- a/internal/program/process/freshness_test.go
+++ b/internal/program/process/freshness_test.go
@@ -18,27 +18,28 @@
 	standin "github.com/oleandershelf/oleandershelf/internal/standin/platform"
 )
 
-// lockedLog is a log that is read while it is written.
-type lockedLog struct {
+// lockedBuffer collects a log that is read while it is written.
+type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lockedLog) Write(p []byte) (int, error) {
+func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lockedLog) has(text string) bool {
+func (l *lockedBuffer) contains(text string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.text.String(), text)
 }
 
-// An entry starts while it reaches neither the platform nor another host. It refuses every request, and yet told the
-// balancer that it was ready and its log that it was serving, so callers were sent to it beside hosts that serve. It must say
-// that it isn't ready, and why, and become ready by itself; and its end must not wait for leases that it never had.
+// An entry starts while it reaches neither the platform nor another host. It refused every request, but reported itself
+// ready to the load balancer and logged that it was serving, so clients were sent to it instead of to hosts that serve. It
+// must report that it isn't ready, and why, and become ready by itself. Its shutdown must not wait for leases that it
+// never held.
 func TestEntryIsReadyOnceItsConfigurationIsConfirmed(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -48,22 +49,22 @@
 	}
 	set := topology.Entries[0]
 	set.LeaveDelay = 0
-	log := &lockedLog{}
-	alone, err := StartEntry(ctx, set, zerolog.New(log))
+	log := &lockedBuffer{}
+	isolated, err := StartEntry(ctx, set, zerolog.New(log))
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "a warning", func() bool { return log.has("isolated: all requests are refused") })
+	eventually(t, "the log contains a warning", func() bool { return log.contains("isolated: all requests are refused") })
 	if status, body := readiness(t, set.AdminListen.String()); status != http.StatusServiceUnavailable || !strings.Contains(body, "isolated") {
-		t.Errorf("status %d: %s", status, body)
+		t.Errorf("readiness of the isolated entry: status %d, body %s", status, body)
 	}
-	if err := alone.Drain(ctx); err != nil {
+	if err := isolated.Drain(ctx); err != nil {
 		t.Error(err)
 	}
-	if log.has("lease is not released") {
-		t.Error("it waited for leases that it never had")
+	if log.contains("lease is not released") {
+		t.Error("shutdown waited for leases that were never held")
 	}
-	alone.Close()
+	isolated.Close()
 
 	l, err := net.Listen("tcp", topology.Platform.String())
 	if err != nil {
@@ -77,11 +78,11 @@
 		t.Fatal(err)
 	}
 	defer entry.Close()
-	eventually(t, "ready", func() bool {
+	eventually(t, "the entry is ready", func() bool {
 		status, _ := readiness(t, set.AdminListen.String())
 		return status == http.StatusOK
 	})
-	eventually(t, "a line that says so", func() bool { return log.has("configuration confirmed") })
+	eventually(t, "the log contains the confirmation", func() bool { return log.contains("configuration confirmed") })
 }
 
 func readiness(t *testing.T, address string) (int, string) {
@@ -102,7 +103,7 @@
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timeout: %s", what)
 		}
 	}
 }
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -37,26 +37,26 @@
 )
 
 const (
-	// platformDial bounds a connection to the platform; it answers within milliseconds.
-	platformDial = 500 * time.Millisecond
-	// serverDial bounds a connection to a backend server. A lost packet of the set-up is sent again after a second, and by
-	// then another server has answered.
-	serverDial = 300 * time.Millisecond
-	// serverIdle is how long an unused connection to a server is kept; servers close theirs after ten seconds.
-	serverIdle = 8 * time.Second
-	// peerHeartbeat and peerTimeout find out that a connection to another entry has fallen silent.
-	peerHeartbeat = time.Second
-	peerTimeout   = 2500 * time.Millisecond
+	// platformDialTimeout limits connecting to the platform, which answers within milliseconds.
+	platformDialTimeout = 500 * time.Millisecond
+	// serverDialTimeout limits connecting to a backend server. A lost packet of the handshake is resent after a second,
+	// and another server has answered by then.
+	serverDialTimeout = 300 * time.Millisecond
+	// serverIdleTimeout is how long an unused connection to a server is kept. Servers close theirs after ten seconds.
+	serverIdleTimeout = 8 * time.Second
+	// peerHeartbeatInterval and peerTimeout serve to detect a connection to another entry that has become silent.
+	peerHeartbeatInterval = time.Second
+	peerTimeout           = 2500 * time.Millisecond
 )
 
-// collectPercent is how much the heap grows before it is collected, in percent. Memory at its peak is paid for on every host
-// and processor time hardly: see docs/CAPACITY.md for the measurement.
-const collectPercent = 25
+// gcPercent is how much the heap grows before a garbage collection, in percent. Peak memory is paid for on every host,
+// while processor time costs little: see docs/CAPACITY.md for the measurement.
+const gcPercent = 25
 
-// platformProbes end a watch on a connection that has fallen silent within about two seconds.
-var platformProbes = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}
+// platformKeepAlive ends a watch within about two seconds when its connection has become silent.
+var platformKeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 3}
 
-// Gateway is a running entry that calls backend servers itself.
+// Gateway is a running entry that sends requests to backend servers itself.
 type Gateway struct {
 	set      settings.Settings
 	log      zerolog.Logger
@@ -68,23 +68,23 @@
 	view     *view.View
 	follower *view.Follower
 	store    *store.Store
-	book     *backend.Balancer
+	balancer *backend.Balancer
 	calls    *call.Sender
 	ledger   *usage.Ledger
 	jobs     *batchjob.Manager
 	keeper   *duty.Keeper
-	// duties is the keeper for goroutines that run before it is there.
-	duties  atomic.Pointer[duty.Keeper]
-	leader  *leader.Leader
-	gateway *gateway.Gateway
-	admin   *admin.Server
-	news    *news
-	work    conc.WaitGroup
+	// sharedKeeper is nil until keeper is set. Goroutines that start before that read the keeper from here.
+	sharedKeeper atomic.Pointer[duty.Keeper]
+	leader       *leader.Leader
+	gateway      *gateway.Gateway
+	admin        *admin.Server
+	heartbeats   *gossipHandler
+	work         conc.WaitGroup
 }
 
-// RunGateway runs the gateway until ctx ends, then drains it. The settings are read again from path when they change.
+// RunGateway runs the gateway until ctx ends, then drains it. The settings are reloaded from path when they change.
 func RunGateway(ctx context.Context, path string, set settings.Settings, log zerolog.Logger) error {
-	debug.SetGCPercent(collectPercent)
+	debug.SetGCPercent(gcPercent)
 	g, err := StartGateway(context.WithoutCancel(ctx), set, log)
 	if err != nil {
 		return err
@@ -93,7 +93,7 @@
 	return serve(ctx, g, set, log)
 }
 
-// StartGateway starts a gateway; it runs until Close, or until ctx ends.
+// StartGateway starts a gateway. It runs until Close is called or ctx ends.
 func StartGateway(ctx context.Context, set settings.Settings, log zerolog.Logger) (*Gateway, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	g := &Gateway{set: set, log: log, cancel: cancel, registry: peer.NewRegistry()}
@@ -104,7 +104,7 @@
 	return g, nil
 }
 
-// start builds the parts in the order in which they stand on each other.
+// start creates the parts in the order of their dependencies.
 func (g *Gateway) start(ctx context.Context) error {
 	incarnation, err := newIncarnation()
 	if err != nil {
@@ -124,12 +124,12 @@
 	}
 	metrics := prometheus.NewRegistry()
 	metrics.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	options = append(options, peer.WithHeartbeat(peerHeartbeat, peerTimeout))
+	options = append(options, peer.WithHeartbeat(peerHeartbeatInterval, peerTimeout))
 	g.client = peer.NewClient(ctx, []byte(g.set.PeerSecret), options...)
-	g.book = backend.NewBalancer(g.set.HostID, g.set.AvailabilityZone)
+	g.balancer = backend.NewBalancer(g.set.HostID, g.set.AvailabilityZone)
 	g.ledger = usage.NewLedger()
-	g.view = view.New(g.log, func(s *view.Snapshot) { g.book.Sync(s.Servers) })
-	g.news = newNews(g, incarnation)
+	g.view = view.New(g.log, func(s *view.Snapshot) { g.balancer.Sync(s.Servers) })
+	g.heartbeats = newGossipHandler(g, incarnation)
 	self := gossip.Member{
 		HostID:           g.set.HostID,
 		Address:          g.set.PeerAddress(),
@@ -137,17 +137,17 @@
 		Cores:            g.set.ProcessorCores,
 		Incarnation:      incarnation,
 	}
-	platformCalls := exchange.NewClient(exchange.WithDialTimeout(platformDial), exchange.WithKeepAlive(platformProbes))
-	serverCalls := exchange.NewClient(exchange.WithDialTimeout(serverDial), exchange.WithIdleTimeout(serverIdle))
-	relay := &lateRelay{}
+	platformCalls := exchange.NewClient(exchange.WithDialTimeout(platformDialTimeout), exchange.WithKeepAlive(platformKeepAlive))
+	serverCalls := exchange.NewClient(exchange.WithDialTimeout(serverDialTimeout), exchange.WithIdleTimeout(serverIdleTimeout))
+	relay := &deferredRelay{}
 	g.store = store.New(store.NewHTTPTransport(platformAddress, platformCalls), relay, store.NewMetrics(metrics), g.log)
 	store.Serve(g.registry, g.store)
-	members := &lateMembers{self: self}
+	members := &deferredMembers{self: self}
 	g.follower = view.NewFollower(ctx, members, g.view, g.store, g.client, g.registry, g.log)
-	g.calls = call.NewSender(g.book, serverCalls, g.log)
+	g.calls = call.NewSender(g.balancer, serverCalls, g.log)
 	g.jobs = batchjob.NewManager(ctx, batchjob.Deps{
 		Store:   g.store,
-		Book:    g.book,
+		Book:    g.balancer,
 		Servers: serverCalls,
 		Calls:   g.calls,
 		Route:   g.route,
@@ -158,7 +158,7 @@
 		Metrics: batchjob.NewMetrics(metrics),
 		Log:     g.log,
 	}, g.registry)
-	g.gossip = gossip.New(ctx, self, g.client, g.registry, g.news, g.log)
+	g.gossip = gossip.New(ctx, self, g.client, g.registry, g.heartbeats, g.log)
 	relay.set(store.NewRelay(g.client, g.gossip, g.follower.ReachesStore))
 	members.set(g.gossip)
 	g.gossip.Meet(g.set.Seeds...)
@@ -176,35 +176,35 @@
 	return nil
 }
 
-// serve opens the listeners.
+// serve opens the listeners and starts the servers on them.
 func (g *Gateway) serve(ctx context.Context, metrics *prometheus.Registry) error {
 	options, err := peerOptions(g.set)
 	if err != nil {
 		return err
 	}
-	options = append(options, peer.WithHeartbeat(peerHeartbeat, peerTimeout))
-	peers, err := listen(ctx, "peerListen", g.set.PeerListen)
+	options = append(options, peer.WithHeartbeat(peerHeartbeatInterval, peerTimeout))
+	peerListener, err := listen(ctx, "peerListen", g.set.PeerListen)
 	if err != nil {
 		return err
 	}
-	g.peers = peer.NewServer(ctx, peers, g.registry, []byte(g.set.PeerSecret), options...)
-	callers, err := listen(ctx, "listen", g.set.Listen)
+	g.peers = peer.NewServer(ctx, peerListener, g.registry, []byte(g.set.PeerSecret), options...)
+	listener, err := listen(ctx, "listen", g.set.Listen)
 	if err != nil {
 		return err
 	}
-	g.gateway = gateway.New(ctx, callers, g.set.BodyLimitBytes, gateway.Deps{
+	g.gateway = gateway.New(ctx, listener, g.set.BodyLimitBytes, gateway.Deps{
 		View:    g.view,
 		Calls:   g.calls,
 		Jobs:    g.jobs,
-		Usage:   g.news,
+		Usage:   g.heartbeats,
 		Metrics: gateway.NewMetrics(metrics),
 		Log:     g.log,
 	})
-	operators, err := listen(ctx, "adminListen", g.set.AdminListen)
+	adminListener, err := listen(ctx, "adminListen", g.set.AdminListen)
 	if err != nil {
 		return err
 	}
-	g.admin = admin.NewServer(ctx, operators, metrics, map[string]admin.Dump{
+	g.admin = admin.NewServer(ctx, adminListener, metrics, map[string]admin.Dump{
 		"gateway": g.gateway.State,
 		"view":    g.view.State,
 		"members": g.gossip.State,
@@ -217,17 +217,17 @@
 func (g *Gateway) startDuties(ctx context.Context, self gossip.Member, reports store.Transport, serverCalls *exchange.Client) {
 	started := time.Now()
 	holder := duty.Holder{HostID: self.HostID, Address: self.Address, Incarnation: self.Incarnation}
-	heard := func() bool { return !g.contends() || g.heard(g.duties.Load()) }
-	leases := store.NewLeaseStore(g.store, heard)
+	holderHeard := func() bool { return !g.isContender() || g.isHolderAlive(g.sharedKeeper.Load()) }
+	leases := store.NewLeaseStore(g.store, holderHeard)
 	g.keeper = duty.NewKeeper(ctx, leases, leader.LeaseName, holder, duty.WithTiming(leader.LeaseTiming()), duty.WithOneProcess(),
-		// Entries that start read there which batch jobs were open.
-		duty.WithNotes(g.jobs.OpenNotes, func(notes []string) { g.jobs.Reopen(notes, g.dutyPlace()) }),
+		// The notes name the open batch jobs for entries that start later.
+		duty.WithNotes(g.jobs.OpenNotes, func(notes []string) { g.jobs.Reopen(notes, g.dutyRank()) }),
 		duty.WithStartIf(func() bool {
-			return roster.Settled(time.Since(started), g.gossip.Alive(time.Now())) && g.contends()
+			return roster.Settled(time.Since(started), g.gossip.Alive(time.Now())) && g.isContender()
 		}),
-		// A holder that is heard of renews its lease; to try for it would cost two calls each term.
-		duty.WithContendIf(func() bool { return !heard() }))
-	g.duties.Store(g.keeper)
+		// While the holder is alive it renews its lease, and an attempt to take it over would cost two calls in each term.
+		duty.WithContendIf(func() bool { return !holderHeard() }))
+	g.sharedKeeper.Store(g.keeper)
 	g.leader = leader.New(ctx, leader.Deps{
 		HostID:  self.HostID,
 		Keeper:  g.keeper,
@@ -237,28 +237,28 @@
 			return store.NewHTTPTransport(server.Address, serverCalls)
 		},
 		View:          g.view,
-		Book:          g.book,
+		Book:          g.balancer,
 		Ledger:        g.ledger,
 		Sweep:         g.jobs.Sweep,
 		SweepPause:    batchjob.SweepInterval,
-		CountsMissing: g.news.missing,
-		TokenRates:    g.news.tokenRates,
+		CountsMissing: g.heartbeats.memberLostRecently,
+		TokenRates:    g.heartbeats.tokenRates,
 		Window:        g.set.UsageWindow,
 		Log:           g.log,
 	})
 }
 
-// contends says whether this entry is among the first of the living ones, in an order by hash that is the same for all. A
-// contender reads the lease by the second while its holder is silent.
-func (g *Gateway) contends() bool { return g.dutyPlace() < contenders }
+// isContender reports whether this entry is among the first of the living entries, in an order by hash that is the same at
+// all entries. A contender reads the lease every second while the holder is silent.
+func (g *Gateway) isContender() bool { return g.dutyRank() < contenders }
 
-// dutyPlace returns the number of living entries that precede this one in that order.
-func (g *Gateway) dutyPlace() int {
+// dutyRank returns the number of living entries that precede this one in that order.
+func (g *Gateway) dutyRank() int {
 	return len(roster.Predecessors(g.set.HostID, g.gossip.Alive(time.Now())))
 }
 
-// heard says whether the entry that holds the keeper's duty is heard of and stays.
-func (g *Gateway) heard(keeper *duty.Keeper) bool {
+// isHolderAlive reports whether the entry that holds the keeper's duty is alive and isn't leaving.
+func (g *Gateway) isHolderAlive(keeper *duty.Keeper) bool {
 	if keeper == nil {
 		return false
 	}
@@ -270,7 +270,7 @@
 	return ok && member.Incarnation == holder.Incarnation && !member.Leaving
 }
 
-// demand returns what is trained.
+// demand returns the models being trained and the number of requests that their servers can run at once.
 func (g *Gateway) demand() batch.Demand {
 	snapshot := g.view.Snapshot()
 	demand := batch.Demand{Models: slices.Sorted(maps.Keys(snapshot.Versions))}
@@ -282,7 +282,7 @@
 	return demand
 }
 
-// route returns the route of a request in the configuration in force.
+// route returns the route of a request in the current configuration.
 func (g *Gateway) route(host, path string) (routing.Route, bool) {
 	table := g.view.Snapshot().Table
 	if table == nil {
@@ -291,13 +291,13 @@
 	return table.Match(host, path)
 }
 
-// reload takes over what may change while the process runs.
+// reload applies the settings that may change while the process runs.
 func (g *Gateway) reload(set settings.Settings) {
 	g.gossip.Meet(set.Seeds...)
 }
 
 func (g *Gateway) drain(ctx context.Context) error {
-	// Some of the time is kept for the end itself.
+	// A part of the drain time is reserved for closing the process.
 	ctx, cancel := context.WithTimeout(ctx, g.set.DrainTime-drainReserve)
 	defer cancel()
 	g.admin.SetReady(false)
@@ -305,7 +305,7 @@
 	g.gossip.Leave()
 	g.jobs.HandOverJobs(ctx)
 	if err := g.keeper.Release(ctx); err != nil {
-		g.log.Warn().Err(err).Msg("duties not given back")
+		g.log.Warn().Err(err).Msg("cannot release the duties")
 	}
 	select {
 	case <-ctx.Done():
@@ -317,10 +317,10 @@
 // Drain hands over jobs and duties, refuses new connections and waits for running requests.
 func (g *Gateway) Drain(ctx context.Context) error { return g.drain(ctx) }
 
-// Close ends the gateway at once.
+// Close stops the gateway at once.
 func (g *Gateway) Close() { g.close() }
 
-// drainReserve is the part of the time to stop that is left when the drain must end.
+// drainReserve is the part of the drain time that is reserved for closing the process.
 const drainReserve = time.Second
 
 func (g *Gateway) close() {
@@ -337,7 +337,8 @@
 	g.client.Wait()
 }
 
-// urlAddress returns the address of a URL that names its host by IP number.
+// urlAddress returns the address in a URL whose host is an IP address. Errors name the settings field that contains the
+// URL.
 func urlAddress(field, raw string) (netip.AddrPort, error) {
 	parsed, err := url.Parse(raw)
 	if err != nil {
--- a/internal/program/process/gateway_call_test.go
+++ b/internal/program/process/gateway_call_test.go
@@ -12,7 +12,7 @@
 
 func TestGatewayServesACall(t *testing.T) {
 	d := newDeployment(t, 1)
-	got := d.ask(d.gateways[0], http.MethodPost, "/safe/a/../b?x=%20", keyNorth, "r1", "question", func(request *http.Request) {
+	got := d.call(d.gateways[0], http.MethodPost, "/safe/a/../b?x=%20", keyNorth, "r1", "question", func(request *http.Request) {
 		platformtest.SpoofOrganisation(request, "somebody")
 	})
 	id, signed := platformtest.Signed(got.header)
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestGatewayRefuses(t *testing.T) {
+func TestGatewayRefusesInvalidRequests(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, test := range []struct {
 		name, method, path, key string
@@ -38,23 +38,23 @@
 		{name: "unknown key", method: http.MethodGet, path: "/safe/", key: "k", status: http.StatusUnauthorized},
 		{name: "no key", method: http.MethodGet, path: "/safe/", status: http.StatusUnauthorized},
 		{name: "unknown job", method: http.MethodGet, path: platformtest.JobTarget("none", 0), key: keyNorth, status: http.StatusNotFound},
-		{name: "end of an unknown job", method: http.MethodDelete, path: platformtest.JobTarget("none", 0), key: keyNorth, status: http.StatusNotFound},
-		{name: "a job that can't be read", method: http.MethodPost, path: "/job/j", key: keyNorth, status: http.StatusBadRequest},
+		{name: "deletion of an unknown job", method: http.MethodDelete, path: platformtest.JobTarget("none", 0), key: keyNorth, status: http.StatusNotFound},
+		{name: "invalid job", method: http.MethodPost, path: "/job/j", key: keyNorth, status: http.StatusBadRequest},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := d.ask(d.gateways[0], test.method, test.path, test.key, "r", "{"); got.status != test.status {
-				t.Errorf("got %d: %s", got.status, got.body)
+			if got := d.call(d.gateways[0], test.method, test.path, test.key, "r", "{"); got.status != test.status {
+				t.Errorf("status %d: %s", got.status, got.body)
 			}
 		})
 	}
 	for _, server := range d.servers() {
 		if seen := server.Requests(); len(seen) > 0 {
-			t.Errorf("%s saw %v", server.ID, seen)
+			t.Errorf("%s received %v", server.ID, seen)
 		}
 	}
 }
 
-func TestGatewayRetriesWhatMayBeRepeated(t *testing.T) {
+func TestGatewayRetriesOnlyRepeatableCalls(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		first  platformtest.Behaviour
@@ -64,15 +64,15 @@
 	}{
 		{name: "refused, idempotent", first: platformtest.Shed, path: "/safe/", status: 200, sent: 2},
 		{name: "refused, once", first: platformtest.Shed, path: "/once/", status: 200, sent: 2},
-		{name: "answer lost, idempotent", first: platformtest.CutConnection, path: "/safe/", status: 200, sent: 2},
-		{name: "answer lost, once", first: platformtest.CutConnection, path: "/once/", status: 502, sent: 1},
-		{name: "another's answer, idempotent", first: platformtest.WrongRequest, path: "/safe/", status: 200, sent: 2},
-		{name: "another's answer, once", first: platformtest.WrongRequest, path: "/once/", status: 502, sent: 1},
+		{name: "response lost, idempotent", first: platformtest.CutConnection, path: "/safe/", status: 200, sent: 2},
+		{name: "response lost, once", first: platformtest.CutConnection, path: "/once/", status: 502, sent: 1},
+		{name: "response to another request, idempotent", first: platformtest.WrongRequest, path: "/safe/", status: 200, sent: 2},
+		{name: "response to another request, once", first: platformtest.WrongRequest, path: "/once/", status: 502, sent: 1},
 		{name: "no signature, idempotent", first: platformtest.Unsigned, path: "/safe/", status: 200, sent: 2},
 		{name: "no signature, once", first: platformtest.Unsigned, path: "/once/", status: 502, sent: 1},
 		{name: "failed, idempotent", first: platformtest.Fail, path: "/safe/", status: 200, sent: 2},
-		{name: "failed, once: the server's own answer", first: platformtest.Fail, path: "/once/", status: 500, sent: 1},
-		{name: "silent, idempotent: asked elsewhere", first: platformtest.Hang, path: "/safe/", status: 200, sent: 2},
+		{name: "failed, once: the server's response is returned", first: platformtest.Fail, path: "/once/", status: 500, sent: 1},
+		{name: "no response, idempotent: sent to another server", first: platformtest.Hang, path: "/safe/", status: 200, sent: 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			d := newDeployment(t, 1)
@@ -89,7 +89,7 @@
 					return platformtest.Answer
 				})
 			}
-			got := d.ask(d.gateways[0], http.MethodPost, test.path, keyNorth, "r1", "q")
+			got := d.call(d.gateways[0], http.MethodPost, test.path, keyNorth, "r1", "q")
 			mu.Lock()
 			defer mu.Unlock()
 			if got.status != test.status || sent != test.sent {
@@ -99,35 +99,36 @@
 	}
 }
 
-// All servers say that they have no place. The caller hears at once, with the time to come back, and nothing has run.
-func TestGatewayRefusesAtOnceWhenAllAreFull(t *testing.T) {
+// All servers report that they are full. The client is told at once, with the time after which to retry, and nothing has
+// run.
+func TestGatewayRefusesAtOnceWhenAllServersAreFull(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, server := range d.services {
 		server.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Shed })
 	}
 	started := time.Now()
-	got := d.ask(d.gateways[0], http.MethodPost, "/once/", keyNorth, "r1", "q")
+	got := d.call(d.gateways[0], http.MethodPost, "/once/", keyNorth, "r1", "q")
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" || time.Since(started) > time.Second {
 		t.Errorf("%+v after %v", got, time.Since(started))
 	}
 }
 
-// A server took a request and says nothing. At the route's timeout the caller gets a final answer, which must not say that the request
-// has not run.
+// A server received a request and doesn't answer. At the route's timeout the client receives a final response, which must
+// not say that the request has not run.
 func TestGatewayAnswersAtTheRoutesTimeout(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, server := range d.services {
 		server.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Hang })
 	}
 	started := time.Now()
-	got := d.ask(d.gateways[0], http.MethodPost, "/short/", keyNorth, "r1", "q")
+	got := d.call(d.gateways[0], http.MethodPost, "/short/", keyNorth, "r1", "q")
 	if took := time.Since(started); got.status != http.StatusGatewayTimeout || took < 250*time.Millisecond || took > 2*time.Second {
 		t.Errorf("%+v after %v", got, took)
 	}
 }
 
-// A caller hung up, and its request would keep a server busy for nobody.
-func TestGatewayGivesUpWithItsCaller(t *testing.T) {
+// Guards against a request that keeps a server busy after its client has disconnected.
+func TestGatewayStopsWhenItsClientDisconnects(t *testing.T) {
 	d := newDeployment(t, 1)
 	released := make(chan struct{}, 4)
 	for _, server := range d.services {
@@ -136,30 +137,30 @@
 			return platformtest.Hang
 		})
 	}
-	request, _ := http.NewRequest(http.MethodPost, d.gateways[0].callers+"/once/", strings.NewReader("q"))
+	request, _ := http.NewRequest(http.MethodPost, d.gateways[0].url+"/once/", strings.NewReader("q"))
 	request.Host = hostName
 	platformtest.SetCallerHeaders(request, "r1", keyNorth, time.Minute)
 	impatient := http.Client{Timeout: 300 * time.Millisecond}
 	if response, err := impatient.Do(request); err == nil {
 		_ = response.Body.Close()
-		t.Fatal("the server answered")
+		t.Fatal("the request got a response")
 	}
 	<-released
-	d.eventually("the server is free again", func() bool { return len(d.gateways[0].book.Running()) == 0 })
+	d.eventually("no request runs at the servers", func() bool { return len(d.gateways[0].balancer.Running()) == 0 })
 }
 
-// An operator withdraws a key. Requests with it are refused everywhere soon, also at an entry that the store turns away.
-func TestAWithdrawnKeyStopsWorkingEverywhere(t *testing.T) {
+// An operator revokes a key. Requests with it are soon refused everywhere, even at an entry that the store refuses.
+func TestRevokedKeyIsRefusedEverywhere(t *testing.T) {
 	d := newDeployment(t, 3)
-	away := d.gateways[2]
-	d.eventually("entries know each other", func() bool { return len(away.gossip.Alive(time.Now())) == 2 })
-	away.door.RefuseCalls()
+	isolated := d.gateways[2]
+	d.eventually("entries know each other", func() bool { return len(isolated.gossip.Alive(time.Now())) == 2 })
+	isolated.storeDoor.RefuseCalls()
 	d.configure("another key", keySouth)
 	for _, g := range d.gateways {
 		d.eventually("the key is refused at "+g.set.HostID, func() bool {
-			return d.ask(g, http.MethodPost, "/safe/", keyNorth, "r", "q").status == http.StatusUnauthorized
+			return d.call(g, http.MethodPost, "/safe/", keyNorth, "r", "q").status == http.StatusUnauthorized
 		})
-		if got := d.ask(g, http.MethodPost, "/safe/", "another key", "r", "q"); got.status != http.StatusOK {
+		if got := d.call(g, http.MethodPost, "/safe/", "another key", "r", "q"); got.status != http.StatusOK {
 			t.Errorf("%s: %+v", g.set.HostID, got)
 		}
 	}
@@ -168,7 +169,7 @@
 func TestDrainingServersGetNoCalls(t *testing.T) {
 	d := newDeployment(t, 1)
 	d.store.Register(d.services[0], true)
-	d.eventually("the entry knows", func() bool {
+	d.eventually("the entry knows that the server is draining", func() bool {
 		for _, server := range d.gateways[0].view.Snapshot().Servers {
 			if server.ID == "desk-0" {
 				return server.Draining
@@ -178,7 +179,7 @@
 	})
 	before := len(d.services[0].Requests())
 	for range 10 {
-		if got := d.ask(d.gateways[0], http.MethodPost, "/safe/", keyNorth, "r", "q"); got.status != http.StatusOK {
+		if got := d.call(d.gateways[0], http.MethodPost, "/safe/", keyNorth, "r", "q"); got.status != http.StatusOK {
 			t.Errorf("%+v", got)
 		}
 	}
@@ -187,8 +188,8 @@
 	}
 }
 
-// The store dropped the history that a watch would go on from. Changes that came meanwhile must not be missed.
-func TestTheViewSurvivesALostHistory(t *testing.T) {
+// The store dropped the history from which a watch would continue. Changes made meanwhile must not be missed.
+func TestViewSurvivesCompaction(t *testing.T) {
 	d := newDeployment(t, 1)
 	d.store.Compact()
 	d.store.Register(d.services[1], true)
--- a/internal/program/process/gateway_harness_test.go
+++ b/internal/program/process/gateway_harness_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	gatewayPatience = 15 * time.Second
-	keyNorth        = "key-of-north"
-	keySouth        = "key-of-south"
-	hostName        = "desk.example"
+	gatewayTimeout = 15 * time.Second
+	keyNorth       = "key-of-north"
+	keySouth       = "key-of-south"
+	hostName       = "desk.example"
 )
 
-// deployment is a platform's stand-ins with gateways before them.
+// deployment is a simulated platform with gateways in front of its backend servers.
 type deployment struct {
 	t        *testing.T
 	store    *platformtest.Store
@@ -32,20 +32,20 @@
 	engines  []*platformtest.Server
 	gateways []*testGateway
 	version  int
-	caller   http.Client
+	client   http.Client
 }
 
-// testGateway is a gateway with its addresses.
+// testGateway is a running gateway with its settings and addresses.
 type testGateway struct {
 	*Gateway
-	set     settings.Settings
-	callers string
-	// door is the gateway's way to the store.
-	door  *platformtest.Endpoint
-	ended bool
+	set settings.Settings
+	url string
+	// storeDoor is the gateway's access to the store, which a test can close.
+	storeDoor *platformtest.Endpoint
+	closed    bool
 }
 
-// newDeployment starts the platform with two services and two engines, and so many gateways.
+// newDeployment starts the platform with two services and two engines, and the given number of gateways.
 func newDeployment(t *testing.T, gateways int) *deployment {
 	t.Helper()
 	d := &deployment{t: t, store: platformtest.NewStore(t), duties: platformtest.NewUsageReceiver(t)}
@@ -60,14 +60,14 @@
 	for i := range gateways {
 		d.start(fmt.Sprintf("entry-%d", i))
 	}
-	d.caller.Timeout = gatewayPatience
-	d.caller.Transport = &http.Transport{DisableKeepAlives: true}
+	d.client.Timeout = gatewayTimeout
+	d.client.Transport = &http.Transport{DisableKeepAlives: true}
 	return d
 }
 
 func (d *deployment) servers() []*platformtest.Server { return append(d.services, d.engines...) }
 
-// configure writes the next version of the configuration, in which the organisations north and south have the keys.
+// configure writes the next version of the configuration, with one API key each for the organisations north and south.
 func (d *deployment) configure(north, south string) {
 	d.version++
 	d.store.Configure(d.version, hostName, "m", []platformtest.Route{
@@ -78,7 +78,7 @@
 	}, map[string][]string{"north": {north}, "south": {south}})
 }
 
-// start starts a gateway that knows the first one as a seed, and waits until it is ready.
+// start starts a gateway that has the first gateway as its seed, and waits until it is ready.
 func (d *deployment) start(hostID string) *testGateway {
 	d.t.Helper()
 	door := d.store.NewEndpoint(d.t)
@@ -104,7 +104,7 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	g := &testGateway{Gateway: running, set: set, callers: "http://" + set.Listen.String(), door: door}
+	g := &testGateway{Gateway: running, set: set, url: "http://" + set.Listen.String(), storeDoor: door}
 	d.gateways = append(d.gateways, g)
 	d.t.Cleanup(func() { g.kill() })
 	d.eventually("gateway "+set.HostID+" is ready", func() bool {
@@ -118,61 +118,61 @@
 	return g
 }
 
-// kill ends a gateway at once, as a crash does.
+// kill stops a gateway at once, like a crash.
 func (g *testGateway) kill() {
-	if !g.ended {
-		g.ended = true
+	if !g.closed {
+		g.closed = true
 		g.close()
 	}
 }
 
 func (d *deployment) eventually(what string, holds func() bool) {
 	d.t.Helper()
-	for end := time.Now().Add(gatewayPatience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(gatewayTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	d.t.Fatalf("not within %v: %s", gatewayPatience, what)
+	d.t.Fatalf("timeout after %v: %s", gatewayTimeout, what)
 }
 
-// answer is what a caller received.
-type answer struct {
+// callResult is the response that a client received.
+type callResult struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// ask sends a request as a caller does.
-func (d *deployment) ask(g *testGateway, method, path, key, id, body string, change ...func(*http.Request)) answer {
+// call sends a request as a client does, and fails the test if there is no response.
+func (d *deployment) call(g *testGateway, method, path, key, id, body string, change ...func(*http.Request)) callResult {
 	d.t.Helper()
-	got, err := d.try(g, method, path, key, id, body, change...)
+	got, err := d.tryCall(g, method, path, key, id, body, change...)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	return got
 }
 
-func (d *deployment) try(g *testGateway, method, path, key, id, body string, change ...func(*http.Request)) (answer, error) {
-	request, err := http.NewRequest(method, g.callers+path, bytes.NewBufferString(body))
+func (d *deployment) tryCall(g *testGateway, method, path, key, id, body string, change ...func(*http.Request)) (callResult, error) {
+	request, err := http.NewRequest(method, g.url+path, bytes.NewBufferString(body))
 	if err != nil {
-		return answer{}, err
+		return callResult{}, err
 	}
 	request.Host = hostName
 	platformtest.SetCallerHeaders(request, id, key, 5*time.Second)
 	for _, each := range change {
 		each(request)
 	}
-	response, err := d.caller.Do(request)
+	response, err := d.client.Do(request)
 	if err != nil {
-		return answer{}, err
+		return callResult{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
 	read, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, header: response.Header, body: string(read)}, err
+	return callResult{status: response.StatusCode, header: response.Header, body: string(read)}, err
 }
 
-// submission is a batch job of groups of two items.
+// submission returns a batch job with groups of two items.
 func submission(groups, wanted, minVersion int) string {
 	var items []platformtest.Item
 	for g := range groups {
@@ -183,11 +183,11 @@
 	return platformtest.Submission("m", minVersion, wanted, items)
 }
 
-// read reads the results of a job from a position on.
+// read reads the results of a job from a position on. The status is 0 if there is no response.
 func (d *deployment) read(g *testGateway, job string, from int) (platformtest.Results, int) {
 	d.t.Helper()
-	patient := func(request *http.Request) { platformtest.SetMaxWait(request, 500*time.Millisecond) }
-	got, err := d.try(g, http.MethodGet, platformtest.JobTarget(job, from), keyNorth, "read", "", patient)
+	withWait := func(request *http.Request) { platformtest.SetMaxWait(request, 500*time.Millisecond) }
+	got, err := d.tryCall(g, http.MethodGet, platformtest.JobTarget(job, from), keyNorth, "read", "", withWait)
 	if err != nil {
 		return platformtest.Results{}, 0
 	}
@@ -219,7 +219,7 @@
 	return all
 }
 
-// checkResults checks that each item is listed once with its whole output.
+// checkResults checks that each item is listed once with its complete output.
 func (d *deployment) checkResults(all []platformtest.Result, total, events int) {
 	d.t.Helper()
 	seen := map[string]bool{}
--- a/internal/program/process/gateway_reward_test.go
+++ b/internal/program/process/gateway_reward_test.go
@@ -13,10 +13,10 @@
 	"github.com/oleandershelf/oleandershelf/platform/platformtest"
 )
 
-// rewardOf is the id of an item's reward call.
+// rewardOf returns the ID of an item's reward call.
 func rewardOf(item string) string { return "score-" + item }
 
-// scoredSubmission is a batch job of groups of two items that are scored through the route of idempotent calls.
+// scoredSubmission returns a batch job with groups of two items that are scored through the route of idempotent calls.
 func scoredSubmission(groups int) string {
 	var items []platformtest.Item
 	for g := range groups {
@@ -31,24 +31,25 @@
 	return platformtest.Submission("m", 1, groups, items)
 }
 
-// checkScores checks that each score is the signature of an answer to the item's reward call that reached its server after the text was whole.
+// checkScores checks that each score is the signature of a response to the item's reward call, and that this call reached
+// its server after the text was complete.
 func (d *deployment) checkScores(all []platformtest.Result) {
 	d.t.Helper()
 	for _, each := range all {
 		if each.State != platformtest.Completed {
 			continue
 		}
-		var made time.Time
+		var generated time.Time
 		for _, engine := range d.engines {
-			if at, ok := engine.LastEventSentAt(each.ID); ok && (made.IsZero() || at.Before(made)) {
-				made = at
+			if at, ok := engine.LastEventSentAt(each.ID); ok && (generated.IsZero() || at.Before(generated)) {
+				generated = at
 			}
 		}
 		valid := false
 		for _, desk := range d.services {
 			for _, seen := range desk.Requests() {
 				if seen.ID() == rewardOf(each.ID) && each.Score == platformtest.Signature(desk.ID, seen.ID()) {
-					valid = valid || seen.ReceivedAt.After(made)
+					valid = valid || seen.ReceivedAt.After(generated)
 				}
 			}
 		}
@@ -82,24 +83,24 @@
 			t.Errorf("%+v", call)
 		}
 		if call.Organisation() != "" || call.Key() != "" {
-			t.Errorf("a reward call shows an organisation or a key: %v", call.Header)
+			t.Errorf("a reward call reveals an organisation or a key: %v", call.Header)
 		}
 	}
 }
 
-// Guards against a score that is no signature of a whole answer to the item's own call, and against an item that is lost by a fault that a
-// second server makes up for.
-func TestRewardCallsThatGoWrong(t *testing.T) {
+// Guards against a score that isn't the signature of a complete response to the item's own reward call, and against losing
+// an item because of a fault that a second server makes up for.
+func TestFailedRewardCallsAreRetried(t *testing.T) {
 	for _, fault := range []struct {
-		name string
-		did  platformtest.Behaviour
+		name      string
+		behaviour platformtest.Behaviour
 	}{
-		{name: "refused", did: platformtest.Shed},
-		{name: "failed once", did: platformtest.Fail},
-		{name: "answer lost", did: platformtest.CutConnection},
-		{name: "another's answer", did: platformtest.WrongRequest},
-		{name: "no signature", did: platformtest.Unsigned},
-		{name: "no answer", did: platformtest.Hang},
+		{name: "refused", behaviour: platformtest.Shed},
+		{name: "failed once", behaviour: platformtest.Fail},
+		{name: "response lost", behaviour: platformtest.CutConnection},
+		{name: "response to another request", behaviour: platformtest.WrongRequest},
+		{name: "no signature", behaviour: platformtest.Unsigned},
+		{name: "no response", behaviour: platformtest.Hang},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			d := newDeployment(t, 1)
@@ -113,7 +114,7 @@
 						return platformtest.Answer
 					}
 					seen[r.ID()] = true
-					return fault.did
+					return fault.behaviour
 				})
 			}
 			d.submit(d.gateways[0], "j1", scoredSubmission(2))
@@ -124,8 +125,8 @@
 	}
 }
 
-// Guards against an item that keeps its group waiting, or a server busy, though its reward call can't succeed.
-func TestARewardCallThatAlwaysFailsLosesItsItem(t *testing.T) {
+// Guards against an item whose reward call can't succeed and that keeps its group waiting or a server busy.
+func TestItemIsLostIfItsRewardCallAlwaysFails(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, desk := range d.services {
 		desk.SetBehaviour(func(_ int, r platformtest.Request) platformtest.Behaviour {
@@ -150,40 +151,40 @@
 		}
 	}
 	if calls != 2 {
-		t.Errorf("%d calls where the route allows two attempts", calls)
+		t.Errorf("%d reward calls, want two attempts as the route allows", calls)
 	}
 }
 
-// Guards against servers that are asked without end for a score that they deny.
-func TestADeniedRewardCallIsRepeatedSeldom(t *testing.T) {
-	const watched = 1200 * time.Millisecond
+// Guards against asking servers without end for a score that they refuse.
+func TestDeniedRewardCallIsRetriedSlowly(t *testing.T) {
+	const watchTime = 1200 * time.Millisecond
 	d := newDeployment(t, 1)
 	for _, desk := range d.services {
 		desk.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Unprocessable })
 	}
 	d.submit(d.gateways[0], "j1", scoredSubmission(1))
 	d.eventually("items are being scored", func() bool { return len(d.rewardCalls()) >= 2 })
-	time.Sleep(watched)
-	// Two items, each at once and then after each pause of half a second.
+	time.Sleep(watchTime)
+	// Two items, each called at once and then again after each pause of half a second.
 	if calls := len(d.rewardCalls()); calls > 8 {
-		t.Errorf("%d reward calls of two items in %v", calls, watched)
+		t.Errorf("%d reward calls for two items in %v", calls, watchTime)
 	}
 }
 
-// Guards against scores that die with the entry that waits for them.
-func TestAnotherEntryScoresWhatIsLeft(t *testing.T) {
+// Guards against losing scores when the entry that waits for them stops.
+func TestAnotherEntryTakesOverScoring(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		leave func(t *testing.T, home *testGateway)
+		leave func(t *testing.T, owner *testGateway)
 	}{
-		{name: "killed", leave: func(_ *testing.T, home *testGateway) { home.kill() }},
-		{name: "terminated", leave: func(t *testing.T, home *testGateway) {
-			ctx, cancel := context.WithTimeout(t.Context(), gatewayPatience)
+		{name: "killed", leave: func(_ *testing.T, owner *testGateway) { owner.kill() }},
+		{name: "terminated", leave: func(t *testing.T, owner *testGateway) {
+			ctx, cancel := context.WithTimeout(t.Context(), gatewayTimeout)
 			defer cancel()
-			if err := home.drain(ctx); err != nil {
+			if err := owner.drain(ctx); err != nil {
 				t.Error(err)
 			}
-			home.kill()
+			owner.kill()
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -202,9 +203,9 @@
 				})
 			}
 			d.submit(d.gateways[0], "j1", scoredSubmission(2))
-			home, other := d.runner("j1")
+			owner, other := d.owner("j1")
 			d.eventually("items are being scored", func() bool { return len(d.rewardCalls()) > 0 })
-			test.leave(t, home)
+			test.leave(t, owner)
 			mu.Lock()
 			silent = false
 			mu.Unlock()
@@ -215,43 +216,45 @@
 	}
 }
 
-// Guards against reward calls that are sent after their job's end was confirmed. Calls are counted at the entries, each of which holds a place of
-// its server for as long as the server says nothing: a server may note a call late that was sent, and given up, before the end.
-func TestNoRewardCallAfterTheEnd(t *testing.T) {
-	const endMost, watched, pollPause = 3 * time.Second, time.Second, 5 * time.Millisecond
+// Guards against reward calls that are sent after the end of their job was confirmed. Calls are counted at the entries,
+// which hold a slot of the server until it answers. A server may record a call late that was sent, and abandoned, before
+// the end.
+func TestNoRewardCallAfterTheJobEnded(t *testing.T) {
+	const maxEndTime, watchTime, pollPause = 3 * time.Second, time.Second, 5 * time.Millisecond
 	d := newDeployment(t, 2)
 	for _, desk := range d.services {
 		desk.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Hang })
 	}
 	d.submit(d.gateways[0], "j1", scoredSubmission(4))
-	home, _ := d.runner("j1")
+	owner, _ := d.owner("j1")
 	d.eventually("items are being scored", func() bool { return len(d.rewardCalls()) > 0 })
-	if got := d.ask(d.gateways[1], http.MethodDelete, platformtest.JobTarget("j1", 0), keyNorth, "e", ""); got.status != http.StatusOK {
+	if got := d.call(d.gateways[1], http.MethodDelete, platformtest.JobTarget("j1", 0), keyNorth, "e", ""); got.status != http.StatusOK {
 		t.Fatalf("%+v", got)
 	}
 	confirmed := time.Now()
 	d.eventually("the entry that runs the job has ended it", func() bool {
-		states, ok := home.jobs.State().([]batchjob.JobState)
+		states, ok := owner.jobs.State().([]batchjob.JobState)
 		return ok && len(states) == 1 && states[0].Ended
 	})
-	if took := time.Since(confirmed); took > endMost {
-		t.Errorf("ended %v after the confirmation", took)
+	if took := time.Since(confirmed); took > maxEndTime {
+		t.Errorf("the job ended %v after the confirmation", took)
 	}
-	sending := func() int { return len(d.gateways[0].book.Running()) + len(d.gateways[1].book.Running()) }
-	d.eventually("the servers are free", func() bool { return sending() == 0 })
-	for end := time.Now().Add(watched); time.Now().Before(end); time.Sleep(pollPause) {
+	sending := func() int { return len(d.gateways[0].balancer.Running()) + len(d.gateways[1].balancer.Running()) }
+	d.eventually("no request runs at the servers", func() bool { return sending() == 0 })
+	for end := time.Now().Add(watchTime); time.Now().Before(end); time.Sleep(pollPause) {
 		if calls := sending(); calls != 0 {
-			t.Fatalf("calls at %d servers after the end", calls)
+			t.Fatalf("calls run at %d servers after the end of the job", calls)
 		}
 	}
 }
 
-// Guards against a reward call that is sent by a route that isn't in force any more, and against losing an item whose route comes back.
+// Guards against sending a reward call over a route that is no longer in the configuration, and against losing an item
+// whose route returns.
 func TestARewardCallWaitsForItsRoute(t *testing.T) {
 	d := newDeployment(t, 1)
 	body := strings.ReplaceAll(scoredSubmission(2), "/safe/", "/later/")
 	d.submit(d.gateways[0], "j1", body)
-	d.eventually("the texts are whole", func() bool {
+	d.eventually("the texts are complete", func() bool {
 		states, ok := d.gateways[0].jobs.State().([]batchjob.JobState)
 		return ok && len(states) == 1 && states[0].Scoring == 4
 	})
--- a/internal/program/process/gateway_route_test.go
+++ b/internal/program/process/gateway_route_test.go
@@ -8,8 +8,9 @@
 	"github.com/oleandershelf/oleandershelf/platform/platformtest"
 )
 
-// A job was accepted and read. Then its route, the only one of its host, is dropped: calls on the job must not be told that there is none.
-func TestAJobIsThereAfterItsRouteWasDropped(t *testing.T) {
+// A job was accepted and read. Then its route, the only one of its host, is removed from the configuration. Calls on the
+// job must not be answered with 404.
+func TestJobIsFoundAfterItsRouteWasRemoved(t *testing.T) {
 	d := newDeployment(t, 1)
 	d.submit(d.gateways[0], "j1", submission(2, 2, 1))
 	d.checkResults(d.readAll(d.gateways[0], "j1", 4), 4, streamEvents)
@@ -27,7 +28,7 @@
 		{http.MethodGet, platformtest.ItemTarget("j1", "item-0a")},
 		{http.MethodDelete, platformtest.JobTarget("j1", 0)},
 	} {
-		got := d.ask(d.gateways[0], call.method, call.path, keyNorth, "j1", submission(2, 2, 1))
+		got := d.call(d.gateways[0], call.method, call.path, keyNorth, "j1", submission(2, 2, 1))
 		if got.status == http.StatusNotFound {
 			t.Errorf("%s %s of an accepted job: %d %s", call.method, call.path, got.status, got.body)
 		}
--- a/internal/program/process/gatherer.go
+++ b/internal/program/process/gatherer.go
@@ -17,89 +17,92 @@
 const (
 	methodGatherUsage peer.Method = "gatherUsage"
 	methodTakeUsage   peer.Method = "takeUsage"
-	// leaveFlushTime bounds the last flush of a leaving host, before it hands its counts over instead.
-	leaveFlushTime = 5 * time.Second
-	// handOverTries is how many entries are asked to take the counts of a leaving host.
-	handOverTries = 5
-	// gatherInterval is below the flush interval, so that a flush holds what ran a few seconds before.
-	gatherInterval = 3 * time.Second
-	gatherTimeout  = 2 * time.Second
-	gatherParallel = 16
-	// usageRelays is how many entries of an availability zone write usage: two, so that one may fail.
-	usageRelays = 2
-	// A flush comes a few times a window, and at most every 15 s: gathered and flushed within the grace of a window's
-	// closing, and it writes a counter once that grows several times meanwhile.
+	// finalFlushTimeout limits the last flush of a leaving host. If the flush fails, the host hands its counts over to
+	// another entry.
+	finalFlushTimeout = 5 * time.Second
+	// maxHandOverAttempts is how many entries a leaving host asks to take its counts.
+	maxHandOverAttempts = 5
+	// gatherInterval is shorter than the flush interval, so that a flush includes the requests that ran until a few
+	// seconds before.
+	gatherInterval     = 3 * time.Second
+	gatherTimeout      = 2 * time.Second
+	maxParallelGathers = 16
+	// usageRelaysPerZone is how many entries of an availability zone write usage: two, so that one may fail.
+	usageRelaysPerZone = 2
+	// Counts are flushed several times per usage window, and at least every 15 s, so that they are gathered and flushed
+	// within the grace period after the window's end. A counter that grows several times between two flushes is written
+	// once.
 	flushesPerWindow = 4
-	longestFlush     = 15 * time.Second
-	shortestFlush    = time.Second
+	maxFlushInterval = 15 * time.Second
+	minFlushInterval = time.Second
 )
 
-// serveGather lets a relay of the zone take the counts of this host.
-func serveGather(r *peer.Registry, handover *billing.Handover, refresh func()) {
-	peer.Handle(r, methodGatherUsage, func(_ context.Context, ask billing.GatherAsk) (billing.GatherAnswer, error) {
+// serveGatherRequests answers the relays of the zone with the counts of this host. It calls refresh before each answer.
+func serveGatherRequests(r *peer.Registry, handover *billing.Handover, refresh func()) {
+	peer.Handle(r, methodGatherUsage, func(_ context.Context, request billing.GatherAsk) (billing.GatherAnswer, error) {
 		refresh()
-		return handover.Answer(ask), nil
+		return handover.Answer(request), nil
 	})
 }
 
-// takeUsage are the counts of a host that leaves while the platform can't be written.
-type takeUsage struct {
+// takeUsageRequest contains the counts of a host that leaves while it can't write to the platform.
+type takeUsageRequest struct {
 	Counts []usage.Count `msgpack:"c"`
 }
 
-// took confirms that the counts were taken over.
-type took struct{}
+// takeUsageResponse confirms that the counts were taken over.
+type takeUsageResponse struct{}
 
-// leaveUsage stores the counts of a host that is about to end, or hands them to another entry.
+// storeOrHandOverUsage stores the counts of a host that is about to stop, or hands them over to another entry.
 //
-// Guard: a host is replaced during an outage of the platform. What ran there since the last flush would be missing
-// in the reports. Another entry holds the counts until the platform is back.
-func (r *runtime) leaveUsage(ctx context.Context, collector *billing.Collector) {
-	flush, cancel := context.WithTimeout(ctx, leaveFlushTime)
+// If a host is replaced during an outage of the platform, the requests that ran there since the last flush would be
+// missing from the usage reports. The other entry keeps the counts until the platform is back.
+func (r *runtime) storeOrHandOverUsage(ctx context.Context, collector *billing.Collector) {
+	flushCtx, cancel := context.WithTimeout(ctx, finalFlushTimeout)
 	defer cancel()
-	err := collector.Flush(flush)
+	err := collector.Flush(flushCtx)
 	if err == nil {
 		return
 	}
 	counts := collector.Unstored()
-	tries := 0
+	attempts := 0
 	for _, host := range r.members.Entries() {
-		if host.ID == r.set.HostID || tries == handOverTries {
+		if host.ID == r.set.HostID || attempts == maxHandOverAttempts {
 			continue
 		}
-		tries++
+		attempts++
 		if r.handOver(ctx, host, counts) {
 			r.log.Info().Str("to", host.ID).Int("cells", len(counts)).Msg("usage counts handed over")
 			return
 		}
 	}
-	r.log.Error().Err(err).Int("cells", len(counts)).Msg("usage counts were neither stored nor handed over")
+	r.log.Error().Err(err).Int("cells", len(counts)).Msg("cannot store or hand over usage counts")
 }
 
 func (r *runtime) handOver(ctx context.Context, host platform.Host, counts []usage.Count) bool {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
-	_, err := peer.Call[takeUsage, took](ctx, r.client, host.PeerAddress, methodTakeUsage, takeUsage{Counts: counts})
+	_, err := peer.Call[takeUsageRequest, takeUsageResponse](ctx, r.client, host.PeerAddress, methodTakeUsage, takeUsageRequest{Counts: counts})
 	return err == nil
 }
 
-// newAgentCollector hands an agent's counters over instead of writing them: 44 relays write, not 2,200 agents.
-// The counters are copied into a ledger of their own, since a collector forgets what is stored and the
-// agent's counters must go on from where they are.
+// newAgentCollector returns a collector that passes an agent's counters to the relays instead of writing them, so that 44
+// relays write and not 2,200 agents. The counters are copied into a separate ledger: a collector drops counts that are
+// stored, but the agent's counters must keep growing from their current values.
 func (r *runtime) newAgentCollector(ctx context.Context, counters *usage.Ledger) *billing.Collector {
 	collector := billing.NewCollector(ctx, r.platform, usage.NewLedger(), r.set.AvailabilityZone,
 		billing.WithFlushInterval(0), billing.WithWindow(r.set.UsageWindow), billing.WithCollectorLog(r.log))
-	serveGather(r.peers, billing.NewHandover(collector), func() { collector.Follow(counters) })
+	serveGatherRequests(r.peers, billing.NewHandover(collector), func() { collector.Follow(counters) })
 	return collector
 }
 
-// gatherer collects the usage counts of an availability zone while this entry is one of its relays.
+// gatherer collects the usage counts of an availability zone while this entry is one of the zone's relays.
 type gatherer struct {
 	runtime   *runtime
 	collector *billing.Collector
 	handover  *billing.Handover
 	work      conc.WaitGroup
-	// sources are the hosts of the zone by their names. Only the gathering goroutine uses it.
+	// sources holds the state of gathering from each host of the zone, by host ID. Only the gathering goroutine uses it.
 	sources map[string]*billing.Source
 }
 
@@ -109,15 +112,15 @@
 		billing.WithWriter(r.set.HostID), billing.WithFlushIf(g.isRelay), billing.WithFlushInterval(flushInterval(r.set.UsageWindow)),
 		billing.WithWindow(r.set.UsageWindow), billing.WithCollectorLog(r.log))
 	g.handover = billing.NewHandover(g.collector)
-	serveGather(r.peers, g.handover, func() {})
-	peer.Handle(r.peers, methodTakeUsage, func(_ context.Context, taken takeUsage) (took, error) {
-		g.collector.Merge(taken.Counts...)
-		return took{}, nil
+	serveGatherRequests(r.peers, g.handover, func() {})
+	peer.Handle(r.peers, methodTakeUsage, func(_ context.Context, request takeUsageRequest) (takeUsageResponse, error) {
+		g.collector.Merge(request.Counts...)
+		return takeUsageResponse{}, nil
 	})
 	g.work.Go(func() {
 		ticker.Every(ctx, gatherInterval, func(time.Time) {
 			if g.isRelay() {
-				g.round(ctx)
+				g.gather(ctx)
 			}
 		})
 	})
@@ -125,32 +128,32 @@
 }
 
 func flushInterval(window time.Duration) time.Duration {
-	return min(max(window/flushesPerWindow, shortestFlush), longestFlush)
+	return min(max(window/flushesPerWindow, minFlushInterval), maxFlushInterval)
 }
 
 func (g *gatherer) isRelay() bool {
-	own := g.runtime.set.AvailabilityZone
-	return g.runtime.isAmong(rankingKey{purpose: "usageRelay", zone: own, count: usageRelays})
+	zone := g.runtime.set.AvailabilityZone
+	return g.runtime.isAmongFirst(rankingKey{purpose: "usageRelay", zone: zone, count: usageRelaysPerZone})
 }
 
-// round asks each host of the zone once. Hosts that have gone from the list are forgotten.
-func (g *gatherer) round(ctx context.Context) {
-	hosts := g.hosts()
+// gather asks each host of the zone once. It drops the state of hosts that are no longer on the list.
+func (g *gatherer) gather(ctx context.Context) {
+	hosts := g.zoneHosts()
 	sources := make(map[string]*billing.Source, len(hosts))
-	asks := pool.New().WithMaxGoroutines(gatherParallel)
+	calls := pool.New().WithMaxGoroutines(maxParallelGathers)
 	for _, host := range hosts {
 		source, ok := g.sources[host.ID]
 		if !ok {
 			source = &billing.Source{}
 		}
 		sources[host.ID] = source
-		asks.Go(func() { g.ask(ctx, host, source) })
+		calls.Go(func() { g.gatherFrom(ctx, host, source) })
 	}
-	asks.Wait()
+	calls.Wait()
 	g.sources = sources
 }
 
-func (g *gatherer) hosts() []platform.Host {
+func (g *gatherer) zoneHosts() []platform.Host {
 	hosts := []platform.Host{}
 	for _, host := range g.runtime.members.Hosts() {
 		if host.AvailabilityZone == g.runtime.set.AvailabilityZone && host.ID != g.runtime.set.HostID {
@@ -160,12 +163,12 @@
 	return hosts
 }
 
-func (g *gatherer) ask(ctx context.Context, host platform.Host, source *billing.Source) {
+func (g *gatherer) gatherFrom(ctx context.Context, host platform.Host, source *billing.Source) {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
 	answer, err := peer.Call[billing.GatherAsk, billing.GatherAnswer](ctx, g.runtime.client, host.PeerAddress, methodGatherUsage, source.Ask(g.collector))
 	if err != nil {
-		g.runtime.log.Debug().Err(err).Str("from", host.ID).Msg("usage not gathered")
+		g.runtime.log.Debug().Err(err).Str("from", host.ID).Msg("cannot gather usage counts")
 		return
 	}
 	g.handover.Gathered(answer.Counts...)
--- a/internal/program/process/joblease.go
+++ b/internal/program/process/joblease.go
@@ -15,34 +15,33 @@
 
 const (
 	methodDutyHolder peer.Method = "dutyHolder"
-	// contendInterval is how often a host looks whether it has become a contender.
-	contendInterval = 500 * time.Millisecond
-	// holderInterval is how often another host asks for the holder while trainers ask it: a takeover is known within
-	// a third of a lease's term.
-	holderInterval = 2 * time.Second
-	// wantedFor is how long one request of a trainer keeps the question alive. A trainer's long poll comes back
-	// about once a minute, and to any entry.
-	wantedFor     = 10 * time.Second
-	holderTimeout = 300 * time.Millisecond
+	// contenderCheckInterval is how often a host checks whether it has become a contender.
+	contenderCheckInterval = 500 * time.Millisecond
+	// holderPollInterval is how often an entry that isn't a contender asks for the holder while trainers' requests need
+	// it. It then knows of a takeover within a third of a lease's term.
+	holderPollInterval = 2 * time.Second
+	// holderPollPeriod is how long an entry goes on to ask for the holder after a trainer's request needed it. A trainer's
+	// long poll comes back about once a minute, and to any entry.
+	holderPollPeriod = 10 * time.Second
+	holderTimeout    = 300 * time.Millisecond
 )
 
-// holderAsk asks a contender who holds a duty.
-type holderAsk struct {
+// holderRequest asks a contender for the holder of a duty.
+type holderRequest struct {
 	Duty string `msgpack:"d"`
 }
 
-// holderAnswer names the holder last seen; an invalid address means that none is known.
-type holderAnswer struct {
+// holderResponse contains the holder last seen. An invalid address means that no holder is known.
+type holderResponse struct {
 	Address netip.AddrPort `msgpack:"a"`
 }
 
-// jobLease is the lease of a trainer job at one entry. Contenders keep it through the platform; the other
-// entries ask a contender for the holder, and only while a trainer's request is at them: if all 380 entries asked for
-// each job, its first contender would receive 47 KB/s.
+// jobLease is the lease of a trainer job as one entry sees it. Contenders maintain it through the platform. The other
+// entries ask a contender for the holder, and only while a trainer's request needs it: if all 380 entries asked for each
+// job, the job's first contender would receive 47 KB/s.
 //
-// Load pattern: 18 jobs at 380 entries, of which each trainer's requests reach any. A watch of every lease
-// at every entry would be woken by each renewal: 18 x 380 / 2 s = 3,420 calls a second of the two thousand
-// that the platform takes.
+// Load: 18 jobs at 380 entries, and each trainer's requests reach any entry. If every entry watched every lease, each
+// renewal would wake all of them: 18 x 380 / 2 s = 3,420 calls per second, and the platform accepts two thousand.
 type jobLease struct {
 	runtime *runtime
 	keepers *keepers
@@ -50,64 +49,64 @@
 	keeper  atomic.Pointer[duty.Keeper]
 	holder  atomic.Pointer[netip.AddrPort]
 	changed atomic.Pointer[chan struct{}]
-	// wanted is when a trainer's request last looked for the holder, in Unix nanoseconds.
-	wanted atomic.Int64
-	// asked is when the holder was last asked for. Only the following goroutine uses it.
-	asked time.Time
+	// lastNeeded is when a trainer's request last needed the holder, in Unix nanoseconds.
+	lastNeeded atomic.Int64
+	// lastPoll is when the holder was last asked for. Only the goroutine that runs update uses it.
+	lastPoll time.Time
 }
 
-// newJobLease starts to follow the lease until ctx ends.
+// newJobLease tracks the lease until ctx ends.
 func (k *keepers) newJobLease(ctx context.Context, job string) trainer.Lease {
 	l := &jobLease{runtime: k.runtime, keepers: k, name: dutyTrainerJob + job}
 	changed := make(chan struct{})
 	l.changed.Store(&changed)
 	k.work.Go(func() {
-		l.round(ctx)
-		ticker.Every(ctx, contendInterval, func(time.Time) { l.round(ctx) })
+		l.update(ctx)
+		ticker.Every(ctx, contenderCheckInterval, func(time.Time) { l.update(ctx) })
 	})
 	return l
 }
 
-func (l *jobLease) round(ctx context.Context) {
+func (l *jobLease) update(ctx context.Context) {
 	if l.keeper.Load() != nil {
 		return
 	}
 	if l.runtime.isContender(l.name, "") {
 		l.keeper.Store(l.keepers.keeper(ctx, l.name, ""))
-		l.announce()
+		l.notifyChange()
 		return
 	}
-	wanted := time.Since(time.Unix(0, l.wanted.Load())) < wantedFor
-	if wanted && time.Since(l.asked) >= holderInterval {
-		l.asked = time.Now()
-		l.ask(ctx)
+	needed := time.Since(time.Unix(0, l.lastNeeded.Load())) < holderPollPeriod
+	if needed && time.Since(l.lastPoll) >= holderPollInterval {
+		l.lastPoll = time.Now()
+		l.findHolder(ctx)
 	}
 }
 
-// announce ends the wait of whoever waits for a change.
-func (l *jobLease) announce() {
+// notifyChange closes the channel that Changed returned, so that all waiters continue.
+func (l *jobLease) notifyChange() {
 	next := make(chan struct{})
 	close(*l.changed.Swap(&next))
 }
 
-// ask asks the contenders in turn until one knows the holder.
-func (l *jobLease) ask(ctx context.Context) {
+// findHolder asks the contenders in turn until one knows the holder.
+func (l *jobLease) findHolder(ctx context.Context) {
 	for _, host := range l.contenders() {
-		answer, err := askHolder(ctx, l.runtime.client, host.PeerAddress, l.name)
+		answer, err := requestHolder(ctx, l.runtime.client, host.PeerAddress, l.name)
 		if err != nil || !answer.Address.IsValid() {
 			continue
 		}
 		if last := l.holder.Swap(&answer.Address); last == nil || *last != answer.Address {
-			l.announce()
+			l.notifyChange()
 		}
 		return
 	}
 }
 
-func askHolder(ctx context.Context, client *peer.Client, to netip.AddrPort, name string) (holderAnswer, error) {
+func requestHolder(ctx context.Context, client *peer.Client, to netip.AddrPort, name string) (holderResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, holderTimeout)
 	defer cancel()
-	return peer.Call[holderAsk, holderAnswer](ctx, client, to, methodDutyHolder, holderAsk{Duty: name})
+	return peer.Call[holderRequest, holderResponse](ctx, client, to, methodDutyHolder, holderRequest{Duty: name})
 }
 
 // contenders returns the entries that contend for the duty.
@@ -115,7 +114,7 @@
 	return l.runtime.ranking.first(l.runtime.members.Entries(), rankingKey{purpose: l.name, count: contenders})
 }
 
-// Held says whether this host holds the lease now.
+// Held reports whether this host holds the lease at now.
 func (l *jobLease) Held(now time.Time) (trainer.Fence, bool) {
 	keeper := l.keeper.Load()
 	if keeper == nil {
@@ -125,8 +124,8 @@
 	return trainer.Fence{Number: fence.Number, Deadline: fence.Deadline}, ok
 }
 
-// Seek says that a trainer's request needs the holder now.
-func (l *jobLease) Seek() { l.wanted.Store(time.Now().UnixNano()) }
+// Seek records that a trainer's request needs the holder now.
+func (l *jobLease) Seek() { l.lastNeeded.Store(time.Now().UnixNano()) }
 
 // Holder returns the peer address of the holder last seen.
 func (l *jobLease) Holder() (netip.AddrPort, bool) {
@@ -141,7 +140,7 @@
 	return *holder, true
 }
 
-// Changed is closed at the next change of holder.
+// Changed returns a channel that is closed at the next change of the holder.
 func (l *jobLease) Changed() <-chan struct{} {
 	if keeper := l.keeper.Load(); keeper != nil {
 		return keeper.Changed()
@@ -149,14 +148,14 @@
 	return *l.changed.Load()
 }
 
-// serveHolders lets other entries ask who holds a duty that this one contends for.
-func (k *keepers) serveHolders(r *peer.Registry) {
-	peer.Handle(r, methodDutyHolder, func(_ context.Context, ask holderAsk) (holderAnswer, error) {
-		keeper, ok := k.all()[ask.Duty]
+// serveHolderRequests answers other entries that ask for the holder of a duty for which this entry contends.
+func (k *keepers) serveHolderRequests(r *peer.Registry) {
+	peer.Handle(r, methodDutyHolder, func(_ context.Context, request holderRequest) (holderResponse, error) {
+		keeper, ok := k.all()[request.Duty]
 		if !ok {
-			return holderAnswer{}, nil
+			return holderResponse{}, nil
 		}
 		holder, _ := keeper.Holder()
-		return holderAnswer{Address: holder.Address}, nil
+		return holderResponse{Address: holder.Address}, nil
 	})
 }
--- a/internal/program/process/joblease_test.go
+++ b/internal/program/process/joblease_test.go
@@ -19,9 +19,9 @@
 	standin "github.com/oleandershelf/oleandershelf/internal/standin/platform"
 )
 
-// A trainer's requests reach any entry, and only three of them contend for the job's lease. An entry that neither
-// holds nor contends must find the holder and pass the request on; else the trainer would be told to come back
-// for as long as the balancer sends it there.
+// A trainer's requests reach any entry, but only three entries contend for the job's lease. An entry that neither holds
+// the lease nor contends for it must find the holder and forward the request. Otherwise the trainer would be told to retry
+// for as long as its load balancer uses that entry.
 func TestEveryEntryFindsTheCoordinator(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -61,7 +61,7 @@
 	}
 }
 
-// post repeats a request until it is answered 200, since leases are taken some seconds after the start.
+// post repeats a request until the response is 200, because leases are taken a few seconds after the start.
 func post(t *testing.T, url, key string, value any) string {
 	t.Helper()
 	raw, err := json.Marshal(value)
@@ -70,12 +70,12 @@
 	}
 	last := ""
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		q, err := http.NewRequest(http.MethodPost, url, bytes.NewReader(raw))
+		request, err := http.NewRequest(http.MethodPost, url, bytes.NewReader(raw))
 		if err != nil {
 			t.Fatal(err)
 		}
-		q.Header.Set("Authorization", "Bearer "+key)
-		response, err := http.DefaultClient.Do(q)
+		request.Header.Set("Authorization", "Bearer "+key)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			last = err.Error()
 			continue
--- a/internal/program/process/keepers.go
+++ b/internal/program/process/keepers.go
@@ -10,13 +10,13 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/duty"
 )
 
-// releaseTime bounds the release of all duties, which takes a write each.
-const releaseTime = 3 * time.Second
+// releaseTimeout limits the release of all duties, which takes one write per duty.
+const releaseTimeout = 3 * time.Second
 
-// keepers starts and keeps the keepers of the duties for which this host is a contender.
+// keepers starts and holds the keepers of the duties for which this host is a contender.
 //
-// A keeper reads its lease object every few seconds. With a keeper for every duty on each of 380 entries the
-// platform would see thousands of reads a second; with three contenders a duty it sees about a hundred.
+// A keeper reads its lease object every few seconds. With a keeper for every duty on each of 380 entries the platform
+// would receive thousands of reads per second. With three contenders per duty it receives about a hundred.
 type keepers struct {
 	runtime *runtime
 	mu      sync.Mutex
@@ -26,11 +26,11 @@
 
 func newKeepers(r *runtime) *keepers {
 	k := &keepers{runtime: r, byName: map[string]*duty.Keeper{}}
-	k.serveHolders(r.peers)
+	k.serveHolderRequests(r.peers)
 	return k
 }
 
-// keeper returns the keeper of the duty, started at the first call.
+// keeper returns the keeper of the duty and starts it on the first call.
 func (k *keepers) keeper(ctx context.Context, name, zone string) *duty.Keeper {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -42,16 +42,16 @@
 	return started
 }
 
-// release gives up all duties, so that a successor need not wait for the terms to pass.
+// release gives up all duties, so that successors need not wait for the terms to expire.
 func (k *keepers) release(ctx context.Context) {
-	// Without the platform a lease can't be given up; its term then runs out by itself.
-	ctx, cancel := context.WithTimeout(ctx, releaseTime)
+	// If the platform is unreachable, a lease can't be given up and its term expires by itself.
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	var releases conc.WaitGroup
 	for _, keeper := range k.all() {
 		releases.Go(func() {
 			if err := keeper.Release(ctx); err != nil {
-				k.runtime.log.Warn().Err(err).Msg("release duty")
+				k.runtime.log.Warn().Err(err).Msg("cannot release the duty")
 			}
 		})
 	}
@@ -75,7 +75,7 @@
 	}
 }
 
-// state is the dump of all duties, by name.
+// state returns the debug dump of all duties, by name.
 func (k *keepers) state() any {
 	states := map[string]any{}
 	for name, keeper := range k.all() {
--- a/internal/program/process/late.go
+++ b/internal/program/process/late.go
@@ -11,41 +11,42 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// lateRelay stands for the relay until the list of entries, which needs the store, is there.
-type lateRelay struct{ relay atomic.Pointer[store.Relay] }
+// deferredRelay forwards to a relay that is set later. The relay needs the list of entries, which in turn needs the store,
+// which needs the relay. Until it is set, the store is unavailable through it.
+type deferredRelay struct{ relay atomic.Pointer[store.Relay] }
 
-func (l *lateRelay) set(relay *store.Relay) { l.relay.Store(relay) }
+func (d *deferredRelay) set(relay *store.Relay) { d.relay.Store(relay) }
 
-// Send passes the call on to the relay.
-func (l *lateRelay) Send(ctx context.Context, call platform.Call) (platform.Reply, error) {
-	if relay := l.relay.Load(); relay != nil {
+// Send forwards the call to the relay.
+func (d *deferredRelay) Send(ctx context.Context, call platform.Call) (platform.Reply, error) {
+	if relay := d.relay.Load(); relay != nil {
 		return relay.Send(ctx, call)
 	}
 	return platform.Reply{}, product.ErrUnavailable
 }
 
-// lateMembers stands for the list of entries until it is there.
-type lateMembers struct {
+// deferredMembers forwards to the list of entries, which is set later. Until then the list is empty.
+type deferredMembers struct {
 	self   gossip.Member
 	gossip atomic.Pointer[gossip.Gossip]
 }
 
-func (l *lateMembers) set(g *gossip.Gossip) { l.gossip.Store(g) }
+func (d *deferredMembers) set(g *gossip.Gossip) { d.gossip.Store(g) }
 
 // Self returns this entry.
-func (l *lateMembers) Self() gossip.Member { return l.self }
+func (d *deferredMembers) Self() gossip.Member { return d.self }
 
-// Find returns the entry of that name if it is heard of.
-func (l *lateMembers) Find(now time.Time, hostID string) (gossip.Member, bool) {
-	if g := l.gossip.Load(); g != nil {
+// Find returns the entry with that host ID if it is alive.
+func (d *deferredMembers) Find(now time.Time, hostID string) (gossip.Member, bool) {
+	if g := d.gossip.Load(); g != nil {
 		return g.Find(now, hostID)
 	}
 	return gossip.Member{}, false
 }
 
-// Alive returns the other entries that are heard of.
-func (l *lateMembers) Alive(now time.Time) []gossip.Member {
-	if g := l.gossip.Load(); g != nil {
+// Alive returns the other entries that are alive.
+func (d *deferredMembers) Alive(now time.Time) []gossip.Member {
+	if g := d.gossip.Load(); g != nil {
 		return g.Alive(now)
 	}
 	return nil
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -14,256 +14,262 @@
 )
 
 const (
-	// toldWindows is for how long counts of usage are told to the others after their window's end.
-	toldWindows = 20 * time.Second
-	// missedTime is how long after it fell silent an entry is expected back with counts that nobody else has.
-	missedTime = 8 * time.Second
-	// forgetCounts is when counts of a window are dropped: long after its report.
-	forgetCounts = 2 * time.Minute
-	// tidyPause is how often what is out of date is dropped.
-	tidyPause = time.Second
-	// runningTime is how long it counts what an entry said to run at servers; the holder of the duties hears each entry within it.
-	runningTime = 3 * time.Second
-	// registerPause is the pause before a failed registration is tried again.
-	registerPause = time.Second
-	// kindMembers holds the addresses of the entries, so that new ones find the others.
+	// countSendPeriod is how long after the end of their window usage counts are sent to other entries.
+	countSendPeriod = 20 * time.Second
+	// lostMemberPeriod is how long to wait for an entry that became silent, because it may return with counts that no
+	// other entry has.
+	lostMemberPeriod = 8 * time.Second
+	// countRetention is how long after its start the counts of a window are kept. The window has been reported long
+	// before.
+	countRetention = 2 * time.Minute
+	// cleanupInterval is how often outdated data is removed.
+	cleanupInterval = time.Second
+	// peerLoadExpiry is how long the load that an entry sent remains valid. The holder of the duties receives a heartbeat
+	// from each entry within this time.
+	peerLoadExpiry = 3 * time.Second
+	// registrationRetryDelay is the pause before a failed registration is retried.
+	registrationRetryDelay = time.Second
+	// kindMembers is the kind of the store's objects with the addresses of the entries, in which new entries find the
+	// others.
 	kindMembers = "members"
 )
 
-func newNews(g *Gateway, incarnation uint64) *news {
-	return &news{
-		gateway:     g,
-		incarnation: incarnation,
-		running:     map[string]runningThere{},
-		total:       map[string]int{},
-		told:        map[uint64]map[usage.Cell]usage.Amount{},
-		living:      g.living,
+func newGossipHandler(g *Gateway, incarnation uint64) *gossipHandler {
+	return &gossipHandler{
+		gateway:           g,
+		incarnation:       incarnation,
+		peerLoads:         map[string]peerLoad{},
+		totalByServer:     map[string]int{},
+		delivered:         map[uint64]map[usage.Cell]usage.Amount{},
+		aliveIncarnations: g.aliveIncarnations,
 	}
 }
 
-// news is what this entry tells the others, and what it does with what they tell.
-type news struct {
+// gossipHandler provides the content of this entry's heartbeats and processes those of other entries.
+type gossipHandler struct {
 	gateway     *Gateway
 	incarnation uint64
-	// living returns the runs of other entries that are alive.
-	living func(now time.Time) map[uint64]bool
+	// aliveIncarnations returns the incarnations of the other entries that are alive.
+	aliveIncarnations func(now time.Time) map[uint64]bool
 
 	mu sync.Mutex
-	// running is what each other entry runs, and total the sum by server.
-	running map[string]runningThere
-	total   map[string]int
-	// told are the counts that each other run of an entry has from this one.
-	told   map[uint64]map[usage.Cell]usage.Amount
-	holder gossip.DutyHolder
-	missed time.Time
-	tidied time.Time
+	// peerLoads holds the requests that each other entry runs, and totalByServer their sum per server.
+	peerLoads     map[string]peerLoad
+	totalByServer map[string]int
+	// delivered holds the counts that each incarnation of another entry has received from this one.
+	delivered   map[uint64]map[usage.Cell]usage.Amount
+	holder      gossip.DutyHolder
+	lastLost    time.Time
+	lastCleanup time.Time
 	// workload tracks the token rates that the jobs of all entries require.
 	workload weights.Workload
 }
 
-// runningThere is the number of requests that an entry runs at each server, as it told at a time.
-type runningThere struct {
-	at      time.Time
-	servers map[string]int
+// peerLoad is the number of requests that an entry runs at each server, as of its last heartbeat.
+type peerLoad struct {
+	receivedAt time.Time
+	servers    map[string]int
 }
 
-// CountRequest counts a request that began to run.
-func (n *news) CountRequest(organisation string, at time.Time) {
-	cell := usage.Cell{Agent: n.incarnation, Organisation: organisation, Window: usage.WindowStart(at, n.gateway.set.UsageWindow)}
-	n.gateway.ledger.Add(cell, usage.Amount{Requests: 1})
+// CountRequest counts a request that started to run.
+func (h *gossipHandler) CountRequest(organisation string, at time.Time) {
+	cell := usage.Cell{Agent: h.incarnation, Organisation: organisation, Window: usage.WindowStart(at, h.gateway.set.UsageWindow)}
+	h.gateway.ledger.Add(cell, usage.Amount{Requests: 1})
 }
 
-// Heartbeat returns what this entry tells.
-func (n *news) Heartbeat(now time.Time, to gossip.Recipient) gossip.Heartbeat {
-	jobs, ended := n.gateway.jobs.Jobs(now)
-	beat := gossip.Heartbeat{
-		Revisions:  n.gateway.view.Revisions(),
-		Running:    n.gateway.book.Running(),
+// Heartbeat returns the content of a heartbeat to the recipient.
+func (h *gossipHandler) Heartbeat(now time.Time, to gossip.Recipient) gossip.Heartbeat {
+	jobs, ended := h.gateway.jobs.Jobs(now)
+	heartbeat := gossip.Heartbeat{
+		Revisions:  h.gateway.view.Revisions(),
+		Running:    h.gateway.balancer.Running(),
 		Jobs:       jobs,
-		TokenRates: n.gateway.jobs.TokenRates(),
+		TokenRates: h.gateway.jobs.TokenRates(),
 		Ended:      ended,
-		Owners:     n.gateway.jobs.Owners(now, to.ListDiffers),
-		Contacts:   n.gateway.follower.Contacts(now),
-		DutyHolder: n.dutyHolder(now),
+		Owners:     h.gateway.jobs.Owners(now, to.ListDiffers),
+		Contacts:   h.gateway.follower.Contacts(now),
+		DutyHolder: h.dutyHolder(now),
 	}
 	if to.KeepsCopies {
-		beat.Counts = n.counts(now, to.Member)
+		heartbeat.Counts = h.counts(now, to.Member)
 	}
-	return beat
+	return heartbeat
 }
 
-// living returns the runs of other entries that are alive.
-func (g *Gateway) living(now time.Time) map[uint64]bool {
-	living := map[uint64]bool{}
+// aliveIncarnations returns the incarnations of the other entries that are alive.
+func (g *Gateway) aliveIncarnations(now time.Time) map[uint64]bool {
+	alive := map[uint64]bool{}
 	for _, member := range g.gossip.Alive(now) {
-		living[member.Incarnation] = true
+		alive[member.Incarnation] = true
 	}
-	return living
+	return alive
 }
 
-// counts returns the counts that the entry hasn't got from this one. The holder of the duties gets copies of others' counts too: an
-// entry may die after it told its neighbours and before it told the holder.
+// counts returns the counts that the recipient hasn't received from this entry. The holder of the duties also receives
+// copies of other entries' counts: an entry may stop after it sent its counts to neighbours and before it sent them to the
+// holder.
 //
-// Guard: all entries are restarted one after the other while the store is out of reach, and windows can't be closed. Each takes the copies
-// with it that it had of those before, and a whole window was lost. So the counts of a run that is over go on from neighbour to neighbour.
-func (n *news) counts(now time.Time, to gossip.Member) []usage.Count {
-	from := usage.WindowStart(now.Add(-toldWindows), n.gateway.set.UsageWindow)
-	living := n.living(now)
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	all := to.HostID == n.holder.HostID
-	there := n.told[to.Incarnation]
-	counts := n.gateway.ledger.Filter(func(cell usage.Cell) bool {
-		mine := cell.Agent == n.incarnation || !living[cell.Agent]
-		return cell.Window >= from && (all || mine) && cell.Agent != to.Incarnation
+// Counts of an incarnation that is gone are passed on from neighbour to neighbour. Otherwise, if all entries are restarted
+// one after another while the store is unreachable and windows can't be closed, each entry loses the copies of those
+// restarted before it, and a whole window was lost this way.
+func (h *gossipHandler) counts(now time.Time, to gossip.Member) []usage.Count {
+	from := usage.WindowStart(now.Add(-countSendPeriod), h.gateway.set.UsageWindow)
+	alive := h.aliveIncarnations(now)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	sendAll := to.HostID == h.holder.HostID
+	known := h.delivered[to.Incarnation]
+	counts := h.gateway.ledger.Filter(func(cell usage.Cell) bool {
+		responsible := cell.Agent == h.incarnation || !alive[cell.Agent]
+		return cell.Window >= from && (sendAll || responsible) && cell.Agent != to.Incarnation
 	})
-	return slices.DeleteFunc(counts, func(c usage.Count) bool { return there[c.Cell] == c.Amount })
+	return slices.DeleteFunc(counts, func(c usage.Count) bool { return known[c.Cell] == c.Amount })
 }
 
-// HeartbeatDelivered remembers which counts an entry has.
-func (n *news) HeartbeatDelivered(to gossip.Member, beat gossip.Heartbeat) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	there, ok := n.told[to.Incarnation]
+// HeartbeatDelivered records which counts the recipient has received.
+func (h *gossipHandler) HeartbeatDelivered(to gossip.Member, heartbeat gossip.Heartbeat) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	known, ok := h.delivered[to.Incarnation]
 	if !ok {
-		there = map[usage.Cell]usage.Amount{}
-		n.told[to.Incarnation] = there
+		known = map[usage.Cell]usage.Amount{}
+		h.delivered[to.Incarnation] = known
 	}
-	for _, count := range beat.Counts {
-		there[count.Cell] = count.Amount
+	for _, count := range heartbeat.Counts {
+		known[count.Cell] = count.Amount
 	}
 }
 
-// dutyHolder returns the holder of the duties as far as it is known.
-func (n *news) dutyHolder(now time.Time) gossip.DutyHolder {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if keeper := n.gateway.duties.Load(); keeper != nil {
+// dutyHolder returns the latest known holder of the duties.
+func (h *gossipHandler) dutyHolder(now time.Time) gossip.DutyHolder {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if keeper := h.gateway.sharedKeeper.Load(); keeper != nil {
 		if fence, held := keeper.Held(now); held {
-			n.holder = gossip.DutyHolder{HostID: n.gateway.set.HostID, Version: uint64(fence.Number)}
+			h.holder = gossip.DutyHolder{HostID: h.gateway.set.HostID, Version: uint64(fence.Number)}
 		}
 	}
-	return n.holder
+	return h.holder
 }
 
-// DirectRecipients returns the holder of the duties, which must hear the counts of all.
-func (n *news) DirectRecipients() []string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return []string{n.holder.HostID}
+// DirectRecipients returns the holder of the duties, which must receive the counts of all entries.
+func (h *gossipHandler) DirectRecipients() []string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return []string{h.holder.HostID}
 }
 
-// HeartbeatReceived takes in what another entry told.
-func (n *news) HeartbeatReceived(now time.Time, beat gossip.Heartbeat) {
-	g := n.gateway
-	g.follower.FetchNewer(context.Background(), beat.From, beat.Revisions)
-	for _, count := range beat.Counts {
+// HeartbeatReceived processes a heartbeat from another entry.
+func (h *gossipHandler) HeartbeatReceived(now time.Time, heartbeat gossip.Heartbeat) {
+	g := h.gateway
+	g.follower.FetchNewer(context.Background(), heartbeat.From, heartbeat.Revisions)
+	for _, count := range heartbeat.Counts {
 		g.ledger.Merge(count)
 	}
-	g.jobs.ApplyGossip(beat.From, beat.Jobs, beat.Ended, beat.Owners)
-	g.follower.MergeContacts(now, beat.Contacts)
-	n.hearHolder(beat.DutyHolder)
-	n.observeTokenRates(now, beat.TokenRates)
-	n.note(beat.From.HostID, runningThere{at: now, servers: beat.Running})
-	n.tidy(now)
+	g.jobs.ApplyGossip(heartbeat.From, heartbeat.Jobs, heartbeat.Ended, heartbeat.Owners)
+	g.follower.MergeContacts(now, heartbeat.Contacts)
+	h.updateDutyHolder(heartbeat.DutyHolder)
+	h.observeTokenRates(now, heartbeat.TokenRates)
+	h.updatePeerLoad(heartbeat.From.HostID, peerLoad{receivedAt: now, servers: heartbeat.Running})
+	h.removeExpired(now)
 }
 
-func (n *news) observeTokenRates(now time.Time, rates map[string]float64) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.workload.Observe(now, rates)
+func (h *gossipHandler) observeTokenRates(now time.Time, rates map[string]float64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.workload.Observe(now, rates)
 }
 
 // tokenRates returns the recent peak of the token rate that the jobs of each model require.
-func (n *news) tokenRates(now time.Time) map[string]float64 {
-	n.observeTokenRates(now, n.gateway.jobs.TokenRates())
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.workload.Peaks(now)
+func (h *gossipHandler) tokenRates(now time.Time) map[string]float64 {
+	h.observeTokenRates(now, h.gateway.jobs.TokenRates())
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.workload.Peaks(now)
 }
 
-// hearHolder takes in who holds the duties.
-func (n *news) hearHolder(holder gossip.DutyHolder) {
-	n.mu.Lock()
-	newer := holder.Version > n.holder.Version
+// updateDutyHolder records the holder of the duties if it is newer than the known one.
+func (h *gossipHandler) updateDutyHolder(holder gossip.DutyHolder) {
+	h.mu.Lock()
+	newer := holder.Version > h.holder.Version
 	if newer {
-		n.holder = holder
+		h.holder = holder
 	}
-	n.mu.Unlock()
-	if keeper := n.gateway.duties.Load(); keeper != nil && newer {
+	h.mu.Unlock()
+	if keeper := h.gateway.sharedKeeper.Load(); keeper != nil && newer {
 		keeper.Heard(product.Version(holder.Version))
 	}
 }
 
-// note takes in what another entry runs at servers.
-func (n *news) note(hostID string, there runningThere) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// updatePeerLoad records the requests that another entry runs at each server.
+func (h *gossipHandler) updatePeerLoad(hostID string, load peerLoad) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	changed := map[string]int{}
-	for server, count := range n.running[hostID].servers {
-		n.total[server] -= count
+	for server, count := range h.peerLoads[hostID].servers {
+		h.totalByServer[server] -= count
 		changed[server] = 0
 	}
-	for server, count := range there.servers {
-		n.total[server] += count
+	for server, count := range load.servers {
+		h.totalByServer[server] += count
 		changed[server] = 0
 	}
-	if len(there.servers) == 0 {
-		delete(n.running, hostID)
+	if len(load.servers) == 0 {
+		delete(h.peerLoads, hostID)
 	} else {
-		n.running[hostID] = there
+		h.peerLoads[hostID] = load
 	}
 	for server := range changed {
-		changed[server] = n.total[server]
-		if n.total[server] == 0 {
-			delete(n.total, server)
+		changed[server] = h.totalByServer[server]
+		if h.totalByServer[server] == 0 {
+			delete(h.totalByServer, server)
 		}
 	}
-	n.gateway.book.RecordPeerRequests(changed)
+	h.gateway.balancer.RecordPeerRequests(changed)
 }
 
-// tidy drops what is out of date.
-func (n *news) tidy(now time.Time) {
-	n.mu.Lock()
-	if now.Sub(n.tidied) < tidyPause {
-		n.mu.Unlock()
+// removeExpired removes outdated loads and counts, at most once per cleanupInterval.
+func (h *gossipHandler) removeExpired(now time.Time) {
+	h.mu.Lock()
+	if now.Sub(h.lastCleanup) < cleanupInterval {
+		h.mu.Unlock()
 		return
 	}
-	n.tidied = now
-	var old []string
-	for hostID, there := range n.running {
-		if now.Sub(there.at) > runningTime {
-			old = append(old, hostID)
+	h.lastCleanup = now
+	var expired []string
+	for hostID, load := range h.peerLoads {
+		if now.Sub(load.receivedAt) > peerLoadExpiry {
+			expired = append(expired, hostID)
 		}
 	}
-	before := now.Add(-forgetCounts).Unix()
-	living := n.living(now)
-	maps.DeleteFunc(n.told, func(run uint64, there map[usage.Cell]usage.Amount) bool {
-		maps.DeleteFunc(there, func(cell usage.Cell, _ usage.Amount) bool { return cell.Window < before })
-		return !living[run]
+	cutoff := now.Add(-countRetention).Unix()
+	alive := h.aliveIncarnations(now)
+	maps.DeleteFunc(h.delivered, func(run uint64, known map[usage.Cell]usage.Amount) bool {
+		maps.DeleteFunc(known, func(cell usage.Cell, _ usage.Amount) bool { return cell.Window < cutoff })
+		return !alive[run]
 	})
-	n.mu.Unlock()
-	for _, hostID := range old {
-		n.note(hostID, runningThere{})
+	h.mu.Unlock()
+	for _, hostID := range expired {
+		h.updatePeerLoad(hostID, peerLoad{})
 	}
-	n.gateway.ledger.Forget(func(c usage.Count) bool { return c.Cell.Window < before })
+	h.gateway.ledger.Forget(func(c usage.Count) bool { return c.Cell.Window < cutoff })
 }
 
-// MemberGone takes in that an entry isn't heard of any more.
-func (n *news) MemberGone(now time.Time, member gossip.Member) {
-	n.note(member.HostID, runningThere{})
+// MemberGone removes the load of an entry that is gone. Unless the entry left in an orderly way, its jobs are run again.
+func (h *gossipHandler) MemberGone(now time.Time, member gossip.Member) {
+	h.updatePeerLoad(member.HostID, peerLoad{})
 	if member.Leaving {
 		return
 	}
-	n.mu.Lock()
-	n.missed = now
-	n.mu.Unlock()
-	n.gateway.jobs.RerunJobsOf(member)
+	h.mu.Lock()
+	h.lastLost = now
+	h.mu.Unlock()
+	h.gateway.jobs.RerunJobsOf(member)
 }
 
-// missing says whether an entry fell silent lately.
-func (n *news) missing(now time.Time) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return now.Sub(n.missed) < missedTime
+// memberLostRecently reports whether an entry became silent within lostMemberPeriod.
+func (h *gossipHandler) memberLostRecently(now time.Time) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return now.Sub(h.lastLost) < lostMemberPeriod
 }
--- a/internal/program/process/plainkeeper.go
+++ b/internal/program/process/plainkeeper.go
@@ -8,22 +8,22 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// plainKeeper shows a keeper to parts that need only number and end of the term.
-type plainKeeper struct{ *duty.Keeper }
+// keeperAdapter adapts a keeper to users that need only the fencing number and the end of the lease's term.
+type keeperAdapter struct{ *duty.Keeper }
 
-// Held says whether the duty is held at now.
-func (k plainKeeper) Held(now time.Time) (platform.Version, time.Time, bool) {
+// Held reports whether the duty is held at now, with the fencing number and the end of the term.
+func (k keeperAdapter) Held(now time.Time) (platform.Version, time.Time, bool) {
 	fence, ok := k.Keeper.Held(now)
 	return fence.Number, fence.Deadline, ok
 }
 
-// self is this process as the holder of a duty.
-func (r *runtime) self() duty.Holder {
+// dutyHolder describes this process as a holder of duties.
+func (r *runtime) dutyHolder() duty.Holder {
 	return duty.Holder{HostID: r.set.HostID, Address: r.set.PeerListen, Incarnation: r.incarnation}
 }
 
-// keeper contends for the duty of that name until ctx ends, while this host is among the few that should.
+// keeper returns a keeper that contends for the duty until ctx ends, whenever this host is one of the duty's contenders.
 func (r *runtime) keeper(ctx context.Context, name, zone string) *duty.Keeper {
-	return duty.NewKeeper(ctx, r.platform, name, r.self(),
+	return duty.NewKeeper(ctx, r.platform, name, r.dutyHolder(),
 		duty.WithContendIf(func() bool { return r.isContender(name, zone) }))
 }
--- a/internal/program/process/ranking.go
+++ b/internal/program/process/ranking.go
@@ -9,48 +9,49 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// contenders is how many hosts contend for a duty: enough that one is left when two fail together,
-// and few, since each reads the lease object again and again.
+// contenders is the number of hosts that contend for a duty: enough that one remains when two fail together, and few,
+// because each reads the lease object repeatedly.
 const contenders = 3
 
-// ranking remembers which entries come first by rendezvous hashing, for as long as the list of hosts is the same.
+// ranking caches which entries come first by rendezvous hashing, for as long as the list of entries stays the same.
 //
-// Load pattern: an entry looks several times a second whether it should contend for each of some thirty duties, among
-// 380 entries. Ranking them anew each time took most of an idle entry's processor time.
+// An entry checks several times a second whether it should contend for each of about thirty duties, among 380 entries.
+// Ranking the entries for each check took most of an idle entry's processor time.
 type ranking struct {
-	choices membership.PerList[*choices]
+	cache membership.PerList[*rankingCache]
 }
 
-// choices are those made from one list of entries.
-type choices struct {
+// rankingCache holds the rankings of one list of entries.
+type rankingCache struct {
 	entries []platform.Host
 	mu      sync.Mutex
-	known   map[rankingKey][]platform.Host
+	byKey   map[rankingKey][]platform.Host
 }
 
-// rankingKey names one choice: the first count entries of a zone, or of all zones if zone is empty.
+// rankingKey identifies a ranking: the first count entries of a zone, or of all zones if zone is empty.
 type rankingKey struct {
 	purpose string
 	zone    string
 	count   int
 }
 
-// first returns the live entries that come first, the highest weight first; it is empty if none is known.
+// first returns the first live entries of the ranking, those with the highest weight first. It returns none if no live
+// entry is known.
 func (r *ranking) first(entries []platform.Host, key rankingKey) []platform.Host {
-	return r.choices.Of(entries, newChoices).first(key)
+	return r.cache.Of(entries, newRankingCache).first(key)
 }
 
-func newChoices(entries []platform.Host) *choices {
-	return &choices{entries: entries, known: map[rankingKey][]platform.Host{}}
+func newRankingCache(entries []platform.Host) *rankingCache {
+	return &rankingCache{entries: entries, byKey: map[rankingKey][]platform.Host{}}
 }
 
-func (c *choices) first(key rankingKey) []platform.Host {
+func (c *rankingCache) first(key rankingKey) []platform.Host {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	chosen, ok := c.known[key]
+	chosen, ok := c.byKey[key]
 	if !ok {
 		chosen = rank(c.entries, key)
-		c.known[key] = chosen
+		c.byKey[key] = chosen
 	}
 	return chosen
 }
@@ -72,14 +73,14 @@
 	return chosen
 }
 
-// isAmong says whether this host is among the first count entries for the purpose. A host that isn't on the lagging
-// list yet isn't; with an empty list everybody is.
-func (r *runtime) isAmong(key rankingKey) bool {
+// isAmongFirst reports whether this host is among the first count entries for the purpose. The list of entries may lag: a
+// host that isn't on it yet isn't among them, and if it is empty, every host is.
+func (r *runtime) isAmongFirst(key rankingKey) bool {
 	chosen := r.ranking.first(r.members.Entries(), key)
 	return len(chosen) == 0 || slices.ContainsFunc(chosen, func(host platform.Host) bool { return host.ID == r.set.HostID })
 }
 
-// isContender says whether this host is among the few that contend for a duty.
+// isContender reports whether this host is among the few that contend for a duty.
 func (r *runtime) isContender(duty, zone string) bool {
-	return r.isAmong(rankingKey{purpose: duty, zone: zone, count: contenders})
+	return r.isAmongFirst(rankingKey{purpose: duty, zone: zone, count: contenders})
 }
--- a/internal/program/process/ranking_test.go
+++ b/internal/program/process/ranking_test.go
@@ -17,49 +17,49 @@
 	return hosts
 }
 
-// The host list changes while duties are held. A choice made from the old list must not outlive it: a duty whose
+// The host list changes while duties are held. A ranking made from the old list must not be used any more: a duty whose
 // contenders have all left would have no holder.
 func TestRankingFollowsTheList(t *testing.T) {
 	var r ranking
 	key := rankingKey{purpose: "trainerJob/fees", count: contenders}
 	all := entries(30)
 	before := r.first(all, key)
-	left := []platform.Host{}
+	remaining := []platform.Host{}
 	for _, host := range all {
 		gone := false
 		for _, chosen := range before {
 			gone = gone || chosen.ID == host.ID
 		}
 		if !gone {
-			left = append(left, host)
+			remaining = append(remaining, host)
 		}
 	}
-	after := r.first(left, key)
+	after := r.first(remaining, key)
 	if len(before) != contenders || len(after) != contenders {
 		t.Fatalf("%d contenders before, %d after", len(before), len(after))
 	}
 	for _, host := range after {
 		for _, gone := range before {
 			if host.ID == gone.ID {
-				t.Errorf("%s has left and still contends", host.ID)
+				t.Errorf("%s has left but still contends", host.ID)
 			}
 		}
 	}
-	for _, host := range r.first(all, rankingKey{purpose: "usageRelay", zone: "zone-1", count: usageRelays}) {
+	for _, host := range r.first(all, rankingKey{purpose: "usageRelay", zone: "zone-1", count: usageRelaysPerZone}) {
 		if host.AvailabilityZone != "zone-1" {
-			t.Errorf("%s is of %s", host.ID, host.AvailabilityZone)
+			t.Errorf("%s is in %s", host.ID, host.AvailabilityZone)
 		}
 	}
 }
 
 func BenchmarkContender(b *testing.B) {
 	all := entries(380)
-	b.Run("ranked anew", func(b *testing.B) {
+	b.Run("uncached", func(b *testing.B) {
 		for b.Loop() {
 			rank(all, rankingKey{purpose: "trainerJob/fees", count: contenders})
 		}
 	})
-	b.Run("remembered", func(b *testing.B) {
+	b.Run("cached", func(b *testing.B) {
 		var r ranking
 		for b.Loop() {
 			r.first(all, rankingKey{purpose: "trainerJob/fees", count: contenders})
--- a/internal/program/process/register.go
+++ b/internal/program/process/register.go
@@ -15,10 +15,10 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// registerCheckPause is the pause between checks whether a registration is due.
-const registerCheckPause = 200 * time.Millisecond
+// registrationCheckInterval is the pause between checks whether a registration is due.
+const registrationCheckInterval = 200 * time.Millisecond
 
-// registration writes this entry's address to the store and passes registered addresses to the gossip.
+// registration writes this entry's address to the store and passes the addresses of other entries to the gossip.
 type registration struct {
 	gateway  *Gateway
 	self     gossip.Member
@@ -30,23 +30,24 @@
 func (g *Gateway) register(ctx context.Context, self gossip.Member) {
 	r := &registration{gateway: g, self: self}
 	started := time.Now()
-	for ticker.Sleep(ctx, registerCheckPause) {
+	for ticker.Sleep(ctx, registrationCheckInterval) {
 		now := time.Now()
 		others := g.gossip.Alive(now)
 		if !roster.Settled(now.Sub(started), others) || !r.schedule.Due(now, self.HostID, others) {
 			continue
 		}
-		if err := r.step(ctx); err != nil {
-			g.log.Warn().Err(err).Msg("entry not registered yet")
-			ticker.Sleep(ctx, registerPause)
+		if err := r.exchangeAddresses(ctx); err != nil {
+			g.log.Warn().Err(err).Msg("cannot register the entry, retrying")
+			ticker.Sleep(ctx, registrationRetryDelay)
 			continue
 		}
 		r.schedule.Done(now)
 	}
 }
 
-// step writes the address before it reads the others, so that at least one of two entries that start together finds the other.
-func (r *registration) step(ctx context.Context) error {
+// exchangeAddresses writes the address before it reads the others, so that at least one of two entries that start together
+// finds the other.
+func (r *registration) exchangeAddresses(ctx context.Context) error {
 	if err := r.writeAddress(ctx); err != nil {
 		return err
 	}
@@ -72,15 +73,15 @@
 
 // updateAddress replaces the address that an earlier process on this host registered, if it differs.
 func (r *registration) updateAddress(ctx context.Context, value json.RawMessage, conflict error) error {
-	var known *platform.ConflictError
-	if !errors.As(conflict, &known) {
+	var details *platform.ConflictError
+	if !errors.As(conflict, &details) {
 		return conflict
 	}
 	var address netip.AddrPort
-	if err := json.Unmarshal(known.Object.Value, &address); err == nil && address == r.self.Address {
+	if err := json.Unmarshal(details.Object.Value, &address); err == nil && address == r.self.Address {
 		return nil
 	}
-	_, err := r.gateway.store.Update(ctx, kindMembers, r.self.HostID, value, known.Object.Version)
+	_, err := r.gateway.store.Update(ctx, kindMembers, r.self.HostID, value, details.Object.Version)
 	return err
 }
 
@@ -93,7 +94,7 @@
 	for _, object := range objects {
 		var address netip.AddrPort
 		if err := json.Unmarshal(object.Value, &address); err != nil {
-			r.gateway.log.Warn().Err(err).Str("entry", object.Name).Msg("registered address ignored")
+			r.gateway.log.Warn().Err(err).Str("entry", object.Name).Msg("ignoring an invalid registered address")
 			continue
 		}
 		r.gateway.gossip.Meet(address)
--- a/internal/program/process/register_test.go
+++ b/internal/program/process/register_test.go
@@ -16,7 +16,7 @@
 	d.eventually("the others know the late entry", func() bool { return len(d.gateways[0].gossip.Alive(time.Now())) == 2 })
 }
 
-// Guards against a stale address in the store after an entry restarts at another one.
+// Guards against a stale address in the store after an entry restarts at another address.
 func TestAChangedAddressIsUpdated(t *testing.T) {
 	d := newDeployment(t, 0)
 	d.store.Put(kindMembers, "entry-0", platformtest.UnusedAddress())
--- a/internal/program/process/reload.go
+++ b/internal/program/process/reload.go
@@ -13,18 +13,18 @@
 	"github.com/oleandershelf/oleandershelf/internal/program/settings"
 )
 
-// settingsPause is how often the settings file is looked at; it may change without a signal.
-const settingsPause = 5 * time.Second
+// settingsPollInterval is how often the settings file is checked for changes that no signal announced.
+const settingsPollInterval = 5 * time.Second
 
-// watchSettings reads the settings again after a hang-up signal and when the file has changed. Settings that can't be used
-// leave the former ones in force.
+// watchSettings reloads the settings after a SIGHUP and when the file has changed. If the new settings are invalid, the
+// previous ones stay in force.
 func watchSettings(ctx context.Context, path string, role settings.Role, log zerolog.Logger, apply func(settings.Settings)) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	ticker := time.NewTicker(settingsPause)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	known := fingerprint(path)
+	appliedHash := fingerprint(path)
 	for {
 		signalled := false
 		select {
@@ -34,22 +34,23 @@
 			signalled = true
 		case <-ticker.C:
 		}
-		seen := fingerprint(path)
-		if seen == known && !signalled {
+		currentHash := fingerprint(path)
+		if currentHash == appliedHash && !signalled {
 			continue
 		}
 		set, err := settings.Load(path, role)
 		if err != nil {
-			log.Error().Err(err).Bool("signalled", signalled).Msg("settings refused, the former ones stay in force")
+			log.Error().Err(err).Bool("signalled", signalled).Msg("cannot load the settings, keeping the previous ones")
 			continue
 		}
-		known = seen
+		appliedHash = currentHash
 		apply(set)
-		log.Info().Bool("signalled", signalled).Msg("settings read again")
+		log.Info().Bool("signalled", signalled).Msg("settings reloaded")
 	}
 }
 
-// fingerprint is a hash of the file's content; 0 if it can't be read, which the next look finds out about.
+// fingerprint returns a hash of the file's content, or 0 if the file can't be read. The difference is noticed at the next
+// check.
 func fingerprint(path string) uint64 {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/program/process/restart_test.go
+++ b/internal/program/process/restart_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// A process ends and is started again at once under the same addresses. It could not listen, now and then, since the former one's listener
-// for other processes was closed a moment after its end.
-func TestAddressesAreFreeAfterTheEnd(t *testing.T) {
+// A process stops and is restarted at once under the same addresses. It sometimes failed to listen, because the previous
+// process's listener for other processes was closed a moment after its end.
+func TestAddressesAreFreeAfterClose(t *testing.T) {
 	d := newDeployment(t, 1)
 	first := d.gateways[0]
 	for i := range 5 {
 		d.gateways[len(d.gateways)-1].kill()
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			d.t = t
-			d.startWith(first.set, first.door)
+			d.startWith(first.set, first.storeDoor)
 		})
 		d.t = t
 	}
--- a/internal/program/process/runtime.go
+++ b/internal/program/process/runtime.go
@@ -1,4 +1,5 @@
-// Package process puts the parts of one process together: listeners, clients, duties and the order in which they end.
+// Package process assembles the parts of a process: listeners, clients and duties. It starts them and shuts them down in
+// order.
 package process
 
 import (
@@ -22,7 +23,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/program/settings"
 )
 
-// runtime is what entries and agents have in common.
+// runtime contains the parts that entries and agents have in common.
 type runtime struct {
 	set         settings.Settings
 	log         zerolog.Logger
@@ -38,13 +39,13 @@
 	server *peer.Server
 }
 
-// peersState is the dump of a process's connections to and from other processes.
+// peersState is the debug dump of a process's connections to and from other processes.
 type peersState struct {
 	Client peer.ClientState `json:"client"`
 	Server peer.ServerState `json:"server"`
 }
 
-// newRuntime builds the common parts; they end with ctx.
+// newRuntime starts the common parts. They run until ctx ends.
 func newRuntime(ctx context.Context, set settings.Settings, log zerolog.Logger) (*runtime, error) {
 	incarnation, err := newIncarnation()
 	if err != nil {
@@ -71,8 +72,8 @@
 	return r, nil
 }
 
-// newIncarnation returns a number that no other run of any process has: request ids and usage cells
-// of two runs must never be taken for each other.
+// newIncarnation returns a random number that identifies this run of the process. Request IDs and usage cells contain it,
+// so that those of two runs are never confused.
 func newIncarnation() (uint64, error) {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
@@ -81,14 +82,14 @@
 	return binary.BigEndian.Uint64(raw[:]), nil
 }
 
-// listen opens the address of a settings field.
+// listen opens a TCP listener. Errors name the settings field that holds the address.
 func listen(ctx context.Context, field string, address netip.AddrPort) (net.Listener, error) {
 	var config net.ListenConfig
 	l, err := config.Listen(ctx, "tcp", address.String())
 	return l, errors.Wrapf(err, "%s", field)
 }
 
-// servePeers starts to take connections of other processes; all handlers must be registered.
+// servePeers starts to accept connections from other processes. All handlers must be registered before.
 func (r *runtime) servePeers(ctx context.Context) (*peer.Server, error) {
 	l, err := listen(ctx, "peerListen", r.set.PeerListen)
 	if err != nil {
@@ -98,17 +99,17 @@
 	return r.server, nil
 }
 
-// closePeers ends the serving of other processes.
+// closePeers closes the listener for other processes.
 //
-// Guard: a process that is started again under the same address can't listen while its former listener is open, and the end of a context
-// closes that only a moment later.
+// A context's end closes the listener only a moment later. Without this call, a process that is restarted at once under
+// the same address could not listen.
 func closePeers(server *peer.Server, log zerolog.Logger) {
 	if err := server.Close(); err != nil {
-		log.Warn().Err(err).Msg("peer listener not closed")
+		log.Warn().Err(err).Msg("cannot close the peer listener")
 	}
 }
 
-// serveAdmin starts the operator's interface of a host that serves while the follower's view is fresh.
+// serveAdmin starts the operator's interface. It reports the host as serving while the follower's view is fresh.
 func (r *runtime) serveAdmin(ctx context.Context, follower *configuration.Follower, dumps map[string]admin.Dump) (*admin.Server, error) {
 	l, err := listen(ctx, "adminListen", r.set.AdminListen)
 	if err != nil {
@@ -121,13 +122,13 @@
 	return admin.NewServer(ctx, l, r.registry, dumps, serving), nil
 }
 
-// drainable is a process that ends without cutting off a request.
+// drainable is a process that can stop without interrupting requests.
 type drainable interface {
 	drain(ctx context.Context) error
 	close()
 }
 
-// serve runs a started process until ctx ends, then drains it within the time of the settings.
+// serve waits until ctx ends, then drains the process within the drain time of the settings and closes it.
 func serve(ctx context.Context, p drainable, set settings.Settings, log zerolog.Logger) error {
 	log.Info().Msg("serving")
 	<-ctx.Done()
@@ -137,6 +138,6 @@
 	defer cancel()
 	err := p.drain(limit)
 	p.close()
-	log.Info().Err(err).Dur("took", time.Since(started)).Msg("ended")
+	log.Info().Err(err).Dur("took", time.Since(started)).Msg("drained and stopped")
 	return err
 }
--- a/internal/program/process/standby.go
+++ b/internal/program/process/standby.go
@@ -6,7 +6,7 @@
 	"syscall"
 )
 
-// Standby does nothing until ctx ends. A hang-up signal tells of changed settings, and it has none.
+// Standby does nothing until ctx ends. It ignores SIGHUP, because it has no settings to reload.
 func Standby(ctx context.Context) {
 	signal.Ignore(syscall.SIGHUP)
 	<-ctx.Done()
--- a/internal/program/process/tls.go
+++ b/internal/program/process/tls.go
@@ -11,10 +11,10 @@
 	"github.com/oleandershelf/oleandershelf/internal/program/settings"
 )
 
-// ErrNoCertificate is returned for an authority file without a certificate.
+// ErrNoCertificate is returned if the authority file contains no certificate.
 var ErrNoCertificate = errors.New("no certificate in the file")
 
-// peerOptions turns on mutual TLS between processes where the settings name certificates.
+// peerOptions enables mutual TLS between processes if the settings name certificates.
 func peerOptions(set settings.Settings) ([]peer.Option, error) {
 	if set.TLSCertificateFile == "" {
 		return nil, nil
--- a/internal/program/process/trainers.go
+++ b/internal/program/process/trainers.go
@@ -15,7 +15,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/trainer"
 )
 
-// newCoordinator starts the coordinator of trainer jobs at this entry.
+// newCoordinator starts this entry's coordinator of trainer jobs.
 func (r *runtime) newCoordinator(ctx context.Context, keepers *keepers, follower *configuration.Follower, publisher *configuration.Publisher, generator *entry.SampleGenerator) *trainer.Coordinator {
 	coordinator := trainer.New(ctx, trainer.Deps{
 		Store:     r.platform,
@@ -30,7 +30,8 @@
 		Self:      r.set.PeerListen,
 		Secret:    []byte(r.set.PeerSecret),
 		PublishModelVersion: func(ctx context.Context, version ticket.ModelVersion) error {
-			// The first version of a model has nothing to serve beside it.
+			// The first version of a model is published at once, because no other version could be served meanwhile. Later
+			// versions are announced first, so that the servers load them before they switch.
 			if _, serving := follower.View().ModelVersion(version.Model); !serving {
 				return publisher.PublishModelVersion(ctx, version)
 			}
@@ -41,16 +42,16 @@
 	return coordinator
 }
 
-// copyHosts returns the other live entries for copies of a job's samples, those of other availability
-// zones first: a copy in the same zone would be lost with it.
+// copyHosts returns the other live entries that may hold copies of a job's samples. Entries in other availability zones
+// come first, because a copy in the same zone would be lost together with the original.
 func (r *runtime) copyHosts(job string) []netip.AddrPort {
 	hosts := slices.Clone(r.members.Entries())
 	hosts = slices.DeleteFunc(hosts, func(host platform.Host) bool {
 		return host.ID == r.set.HostID || host.State != platform.HostLive
 	})
 	slices.SortFunc(hosts, func(a, b platform.Host) int {
-		if near := cmp.Compare(r.near(a), r.near(b)); near != 0 {
-			return near
+		if byZone := cmp.Compare(r.zoneRank(a), r.zoneRank(b)); byZone != 0 {
+			return byZone
 		}
 		return cmp.Compare(xxhash.Sum64String(job+"/"+a.ID), xxhash.Sum64String(job+"/"+b.ID))
 	})
@@ -61,8 +62,8 @@
 	return addresses
 }
 
-// near is 1 for hosts of the own availability zone, 0 for others.
-func (r *runtime) near(host platform.Host) int {
+// zoneRank returns 1 for hosts in this host's availability zone and 0 for others.
+func (r *runtime) zoneRank(host platform.Host) int {
 	if host.AvailabilityZone == r.set.AvailabilityZone {
 		return 1
 	}
--- a/internal/program/process/turnedaway.go
+++ b/internal/program/process/turnedaway.go
@@ -12,34 +12,34 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-const methodTurnedAway peer.Method = "turnedAway"
+const methodRefusedLoad peer.Method = "turnedAway"
 
-// turnedAwayAsk asks an entry for the work that it refused for want of capacity.
-type turnedAwayAsk struct{}
+// refusedLoadRequest asks an entry for the load that it refused because no server had capacity.
+type refusedLoadRequest struct{}
 
-// turnedAwayAnswer holds that work by pool, as the number of requests that would have been running.
-type turnedAwayAnswer struct {
+// refusedLoadResponse contains that load by pool, as the number of requests that would have been running.
+type refusedLoadResponse struct {
 	Loads map[string]float64 `msgpack:"l"`
 }
 
-func serveTurnedAway(r *peer.Registry, measure *admission.RefusedLoad) {
-	peer.Handle(r, methodTurnedAway, func(context.Context, turnedAwayAsk) (turnedAwayAnswer, error) {
-		return turnedAwayAnswer{Loads: measure.Load(time.Now())}, nil
+func serveRefusedLoad(r *peer.Registry, measure *admission.RefusedLoad) {
+	peer.Handle(r, methodRefusedLoad, func(context.Context, refusedLoadRequest) (refusedLoadResponse, error) {
+		return refusedLoadResponse{Loads: measure.Load(time.Now())}, nil
 	})
 }
 
-// turnedAway sums up what the entries of the zone refused. An entry that can't be asked counts as having refused
-// nothing: fewer servers are ordered then, never more.
-func (z zone) turnedAway(ctx context.Context) map[string]float64 {
+// refusedLoad sums up the load that the entries of the zone refused. An entry that can't be reached counts as having
+// refused none: fewer servers are ordered then, never more.
+func (z zone) refusedLoad(ctx context.Context) map[string]float64 {
 	sums := map[string]float64{}
 	var mu sync.Mutex
-	asks := pool.New().WithMaxGoroutines(probeParallel)
+	calls := pool.New().WithMaxGoroutines(maxParallelProbes)
 	for _, host := range z.runtime.members.Entries() {
 		if host.AvailabilityZone != z.name {
 			continue
 		}
-		asks.Go(func() {
-			loads := z.turnedAwayAt(ctx, host)
+		calls.Go(func() {
+			loads := z.refusedLoadAt(ctx, host)
 			mu.Lock()
 			defer mu.Unlock()
 			for name, load := range loads {
@@ -47,14 +47,14 @@
 			}
 		})
 	}
-	asks.Wait()
+	calls.Wait()
 	return sums
 }
 
-func (z zone) turnedAwayAt(ctx context.Context, host platform.Host) map[string]float64 {
+func (z zone) refusedLoadAt(ctx context.Context, host platform.Host) map[string]float64 {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	answer, err := peer.Call[turnedAwayAsk, turnedAwayAnswer](ctx, z.runtime.client, host.PeerAddress, methodTurnedAway, turnedAwayAsk{})
+	answer, err := peer.Call[refusedLoadRequest, refusedLoadResponse](ctx, z.runtime.client, host.PeerAddress, methodRefusedLoad, refusedLoadRequest{})
 	if err != nil {
 		return nil
 	}
--- a/internal/program/process/weightswitch.go
+++ b/internal/program/process/weightswitch.go
@@ -20,52 +20,57 @@
 
 const (
 	dutyWeightSwitch = "weightSwitch"
-	// switchInterval is how often the servers are asked whether they have loaded an announced version.
-	switchInterval = time.Second
-	// askedAtOnce bounds the questions of a round, and with them the holder's bytes at thousands of servers: 6 KB/s. A
-	// server that has loaded isn't asked again, so 2,200 are through within 90 s, which nobody waits for.
-	askedAtOnce = 25
-	// nearlyAll of the servers suffice after patience: one that can't load must not hold up the others. It
-	// loads and switches by itself later, and its samples name the version that made them.
-	nearlyAll = 0.95
-	patience  = 30 * time.Second
-	// switchLimit ends the wait whatever the servers have loaded: new weights come every ten minutes.
-	switchLimit = 5 * time.Minute
+	// loadCheckInterval is how often servers are asked whether they have loaded an announced version.
+	loadCheckInterval = time.Second
+	// maxProbesPerRound limits the probes of a round, and with them the traffic of the holder to 6 KB/s with thousands of
+	// servers. A server that has loaded the version isn't asked again, so 2,200 servers are checked within 90 s, and
+	// nothing waits for the result.
+	maxProbesPerRound = 25
+	// sufficientShare is the share of servers that must have loaded a version once sufficientShareDelay has passed: a
+	// server that can't load it must not hold up the others. Such a server loads and switches by itself later, and its
+	// samples name the version that produced them.
+	sufficientShare      = 0.95
+	sufficientShareDelay = 30 * time.Second
+	// switchTimeout ends the wait regardless of how many servers have loaded the version: new weights arrive every ten
+	// minutes.
+	switchTimeout = 5 * time.Minute
 )
 
-// weightSwitch makes all servers of a model switch to an announced version by one change of the configuration, once
-// they have loaded it. One entry does it for all, under a duty; a successor finds the announced version in the configuration.
-type weightSwitch struct {
+// weightSwitcher makes all servers of a model switch to an announced version with a single change of the configuration,
+// once they have loaded it. The entry that holds the duty does it for all. A successor finds the announced version in the
+// configuration.
+type weightSwitcher struct {
 	runtime   *runtime
 	follower  *configuration.Follower
 	publisher *configuration.Publisher
 	keeper    *duty.Keeper
-	// loading is the progress of each announced version. Only the switching goroutine uses it.
-	loading map[ticket.ModelVersion]*loading
-	work    conc.WaitGroup
+	// progress holds the state of each announced version. Only the switching goroutine uses it.
+	progress map[ticket.ModelVersion]*loadProgress
+	work     conc.WaitGroup
 }
 
-// loading is what is known of the servers that load an announced version.
-type loading struct {
+// loadProgress records which servers have loaded an announced version.
+type loadProgress struct {
 	since time.Time
-	// ready holds the hosts that have loaded it.
-	ready map[string]bool
-	// next is where the next round's questions begin in the list of hosts.
-	next int
+	// loaded contains the host IDs of servers that have loaded it.
+	loaded map[string]bool
+	// nextIndex is the position in the list of hosts at which the next round starts.
+	nextIndex int
 }
 
-func newWeightSwitch(ctx context.Context, r *runtime, follower *configuration.Follower, publisher *configuration.Publisher, keeper *duty.Keeper) *weightSwitch {
-	s := &weightSwitch{runtime: r, follower: follower, publisher: publisher, keeper: keeper, loading: map[ticket.ModelVersion]*loading{}}
+func newWeightSwitcher(ctx context.Context, r *runtime, follower *configuration.Follower, publisher *configuration.Publisher, keeper *duty.Keeper) *weightSwitcher {
+	s := &weightSwitcher{runtime: r, follower: follower, publisher: publisher, keeper: keeper, progress: map[ticket.ModelVersion]*loadProgress{}}
 	s.work.Go(func() {
-		ticker.Every(ctx, switchInterval, func(time.Time) { s.round(ctx) })
+		ticker.Every(ctx, loadCheckInterval, func(time.Time) { s.checkVersions(ctx) })
 	})
 	return s
 }
 
-// round looks at every model with an announced version.
-func (s *weightSwitch) round(ctx context.Context) {
+// checkVersions checks every model that has an announced version, and publishes the version once enough servers have
+// loaded it.
+func (s *weightSwitcher) checkVersions(ctx context.Context) {
 	if _, held := s.keeper.Held(time.Now()); !held {
-		clear(s.loading)
+		clear(s.progress)
 		return
 	}
 	view := s.follower.View()
@@ -74,82 +79,84 @@
 		if configured.Kind != ticket.KindModel || !ok {
 			continue
 		}
-		progress, seen := s.loading[version]
+		progress, seen := s.progress[version]
 		if !seen {
-			progress = &loading{since: time.Now(), ready: map[string]bool{}}
-			s.loading[version] = progress
+			progress = &loadProgress{since: time.Now(), loaded: map[string]bool{}}
+			s.progress[version] = progress
 		}
-		s.ask(ctx, progress, configured.Name, version.Version)
-		if !isLoaded(progress.share(s.runtime.members.Servers(configured.Name)), time.Since(progress.since)) {
+		s.probe(ctx, progress, configured.Name, version.Version)
+		if !shouldSwitch(progress.loadedShare(s.runtime.members.Servers(configured.Name)), time.Since(progress.since)) {
 			continue
 		}
 		if err := s.publisher.PublishModelVersion(ctx, version); err != nil {
-			s.runtime.log.Warn().Err(err).Str("model", version.Model).Int("version", version.Version).Msg("switch weights")
+			s.runtime.log.Warn().Err(err).Str("model", version.Model).Int("version", version.Version).Msg("cannot publish the model version")
 			continue
 		}
-		delete(s.loading, version)
+		delete(s.progress, version)
 	}
 }
 
-// isLoaded decides from the share of servers that have loaded a version and the time since it was announced.
-func isLoaded(share float64, waited time.Duration) bool {
-	return share >= 1 || waited >= switchLimit || share >= nearlyAll && waited >= patience
+// shouldSwitch decides whether to switch, from the share of servers that have loaded a version and the time since it was
+// announced.
+func shouldSwitch(loadedShare float64, waited time.Duration) bool {
+	return loadedShare >= 1 || waited >= switchTimeout || loadedShare >= sufficientShare && waited >= sufficientShareDelay
 }
 
-// ask asks the next few servers of the pool that haven't loaded the version yet.
-func (s *weightSwitch) ask(ctx context.Context, progress *loading, poolName string, version int) {
-	hosts := progress.choose(s.runtime.members.Servers(poolName))
+// probe asks the next servers of the pool that haven't loaded the version yet.
+func (s *weightSwitcher) probe(ctx context.Context, progress *loadProgress, poolName string, version int) {
+	hosts := progress.nextHosts(s.runtime.members.Servers(poolName))
 	ready := make([]bool, len(hosts))
-	probes := pool.New().WithMaxGoroutines(probeParallel)
+	probes := pool.New().WithMaxGoroutines(maxParallelProbes)
 	for i, host := range hosts {
 		probes.Go(func() { ready[i] = s.hasLoaded(ctx, host, version) })
 	}
 	probes.Wait()
 	for i, host := range hosts {
 		if ready[i] {
-			progress.ready[host.ID] = true
+			progress.loaded[host.ID] = true
 		}
 	}
 }
 
-// choose returns the next few live hosts that haven't loaded the version, going round the list.
-func (l *loading) choose(hosts []platform.Host) []platform.Host {
+// nextHosts returns the next live hosts that haven't loaded the version, and continues from the start at the end of the
+// list.
+func (p *loadProgress) nextHosts(hosts []platform.Host) []platform.Host {
 	chosen := []platform.Host{}
 	for range hosts {
-		if len(chosen) == askedAtOnce {
+		if len(chosen) == maxProbesPerRound {
 			break
 		}
-		host := hosts[l.next%len(hosts)]
-		l.next++
-		if host.State == platform.HostLive && !l.ready[host.ID] {
+		host := hosts[p.nextIndex%len(hosts)]
+		p.nextIndex++
+		if host.State == platform.HostLive && !p.loaded[host.ID] {
 			chosen = append(chosen, host)
 		}
 	}
 	return chosen
 }
 
-// share returns the share of the live hosts that have loaded the version. A server that can't be asked counts as one
-// that hasn't.
-func (l *loading) share(hosts []platform.Host) float64 {
+// loadedShare returns the share of the live hosts that have loaded the version. A server that can't be reached counts as
+// not loaded.
+func (p *loadProgress) loadedShare(hosts []platform.Host) float64 {
 	live, ready := 0, 0
 	for _, host := range hosts {
 		if host.State != platform.HostLive {
 			continue
 		}
 		live++
-		if l.ready[host.ID] {
+		if p.loaded[host.ID] {
 			ready++
 		}
 	}
 	return float64(ready) / math.Max(1, float64(live))
 }
 
-func (s *weightSwitch) hasLoaded(ctx context.Context, host platform.Host, version int) bool {
+func (s *weightSwitcher) hasLoaded(ctx context.Context, host platform.Host, version int) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	load, err := peer.Call[request.Probe, request.Load](ctx, s.runtime.client, host.PeerAddress, agent.MethodProbe, request.Probe{})
 	return err == nil && max(load.Prefetched, load.Version) >= version
 }
 
-// wait returns once the switching has ended, after its context has.
-func (s *weightSwitch) wait() { s.work.Wait() }
+// wait blocks until the switching goroutine has returned, after its context has ended.
+func (s *weightSwitcher) wait() { s.work.Wait() }
--- a/internal/program/process/zone.go
+++ b/internal/program/process/zone.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	// probeParallel bounds the questions under way at once; a zone has about a hundred servers.
-	probeParallel = 32
-	probeTimeout  = time.Second
-	// noReport marks a server that gave no load report.
+	// maxParallelProbes limits the concurrent probes. A zone has about a hundred servers.
+	maxParallelProbes = 32
+	probeTimeout      = time.Second
+	// noReport is the report age of a server that returned no load report.
 	noReport = -time.Second
 )
 
-// errUnknownHost is returned for a host that isn't on the list.
+// errUnknownHost is returned for a host that isn't on the host list.
 var errUnknownHost = errors.New("host is not on the list")
 
-// zone sees the backend servers of one availability zone for the duty serverOrders/{zone}.
+// zone collects the state of the backend servers in one availability zone for the duty serverOrders/{zone}.
 type zone struct {
 	name     string
 	runtime  *runtime
 	follower *configuration.Follower
 }
 
-// gather returns the state of each pool that has servers ordered in the zone.
-func (z zone) gather(ctx context.Context, now time.Time) ([]corefleet.State, error) {
+// poolStates returns the state of each pool that is configured for the zone.
+func (z zone) poolStates(ctx context.Context, now time.Time) ([]corefleet.State, error) {
 	states := []corefleet.State{}
-	refused := z.turnedAway(ctx)
+	refusedLoad := z.refusedLoad(ctx)
 	for _, configured := range z.follower.View().Pools() {
 		if !slices.Contains(configured.AvailabilityZones, z.name) {
 			continue
@@ -51,15 +51,15 @@
 			MaxServers:       configured.MaxServers,
 			StartupTime:      time.Duration(configured.StartupTime),
 			HostListAge:      z.runtime.members.Age(now),
-			Servers:          z.servers(ctx, configured),
-			RefusedLoad:      refused[configured.Name],
+			Servers:          z.probeServers(ctx, configured),
+			RefusedLoad:      refusedLoad[configured.Name],
 		})
 	}
 	return states, nil
 }
 
-// servers asks every agent of the pool in this zone for its load.
-func (z zone) servers(ctx context.Context, configured ticket.Pool) []corefleet.Server {
+// probeServers asks every agent of the pool in this zone for its load.
+func (z zone) probeServers(ctx context.Context, configured ticket.Pool) []corefleet.Server {
 	hosts := []platform.Host{}
 	for _, host := range z.runtime.members.Servers(configured.Name) {
 		if host.AvailabilityZone == z.name {
@@ -67,15 +67,15 @@
 		}
 	}
 	servers := make([]corefleet.Server, len(hosts))
-	probes := pool.New().WithMaxGoroutines(probeParallel)
+	probes := pool.New().WithMaxGoroutines(maxParallelProbes)
 	for i, host := range hosts {
-		probes.Go(func() { servers[i] = z.server(ctx, host) })
+		probes.Go(func() { servers[i] = z.probeServer(ctx, host) })
 	}
 	probes.Wait()
 	return servers
 }
 
-func (z zone) server(ctx context.Context, host platform.Host) corefleet.Server {
+func (z zone) probeServer(ctx context.Context, host platform.Host) corefleet.Server {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	server := corefleet.Server{HostID: host.ID, Leaving: host.State == platform.HostLeaving, ReportAge: noReport}
@@ -91,19 +91,19 @@
 	return server
 }
 
-// drain tells an agent to take no new work, or to take work again.
-func (z zone) drain(ctx context.Context, order fleet.DrainRequest) error {
-	host, ok := z.host(order.HostID)
+// drain tells an agent to accept no new work, or to accept work again.
+func (z zone) drain(ctx context.Context, pause fleet.DrainRequest) error {
+	host, ok := z.findHost(pause.HostID)
 	if !ok {
-		return errors.Wrap(errUnknownHost, order.HostID)
+		return errors.Wrap(errUnknownHost, pause.HostID)
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	_, err := peer.Call[request.Drain, request.Load](ctx, z.runtime.client, host.PeerAddress, agent.MethodLeave, request.Drain{Drain: order.Drain, Fencing: uint64(order.Fencing)})
-	return errors.Wrap(err, order.HostID)
+	_, err := peer.Call[request.Drain, request.Load](ctx, z.runtime.client, host.PeerAddress, agent.MethodLeave, request.Drain{Drain: pause.Drain, Fencing: uint64(pause.Fencing)})
+	return errors.Wrap(err, pause.HostID)
 }
 
-func (z zone) host(id string) (platform.Host, bool) {
+func (z zone) findHost(id string) (platform.Host, bool) {
 	for _, host := range z.runtime.members.Hosts() {
 		if host.ID == id {
 			return host, true
--- a/internal/program/process/zone_test.go
+++ b/internal/program/process/zone_test.go
@@ -30,37 +30,38 @@
 	zoneSecret  = "secret of the test"
 	zoneServers = 4
 	zoneSlots   = 8
-	zoneLimit   = time.Minute
-	// zoneRounds of decisions are taken on a view that is cut, and as many after.
-	zoneRounds = 5
+	zoneTimeout = time.Minute
+	// decisionRounds is the number of rounds of decisions on truncated data, and the number on complete data afterwards.
+	decisionRounds = 5
 )
 
-// shortener stands before a listener and, while it is on, passes only a part of each answer and hangs up.
-type shortener struct {
+// truncatingProxy forwards connections to a server. While hidden isn't 0, it cuts off the end of a response and closes the
+// connection.
+type truncatingProxy struct {
 	listener net.Listener
 	to       string
 	group    conc.WaitGroup
-	// hidden is how many of the last bytes of an answer are kept back; -1 for half of it, 0 for none.
-	hidden atomic.Int64
-	cuts   atomic.Int64
-	mu     sync.Mutex
-	conns  []net.Conn
+	// hidden is the number of bytes to cut off at the end of a response: -1 for half of it, 0 for none.
+	hidden      atomic.Int64
+	truncations atomic.Int64
+	mu          sync.Mutex
+	conns       []net.Conn
 }
 
-func newShortener(t *testing.T, to net.Addr) *shortener {
+func newTruncatingProxy(t *testing.T, to net.Addr) *truncatingProxy {
 	t.Helper()
-	s := &shortener{listener: listenLocal(t), to: to.String()}
-	s.group.Go(s.accept)
+	p := &truncatingProxy{listener: listenLocal(t), to: to.String()}
+	p.group.Go(p.accept)
 	t.Cleanup(func() {
-		_ = s.listener.Close()
-		s.mu.Lock()
-		for _, conn := range s.conns {
+		_ = p.listener.Close()
+		p.mu.Lock()
+		for _, conn := range p.conns {
 			_ = conn.Close()
 		}
-		s.mu.Unlock()
-		s.group.Wait()
+		p.mu.Unlock()
+		p.group.Wait()
 	})
-	return s
+	return p
 }
 
 func listenLocal(t *testing.T) net.Listener {
@@ -72,28 +73,30 @@
 	return l
 }
 
-func (s *shortener) address() netip.AddrPort { return s.listener.Addr().(*net.TCPAddr).AddrPort() }
+func (p *truncatingProxy) address() netip.AddrPort {
+	return p.listener.Addr().(*net.TCPAddr).AddrPort()
+}
 
-func (s *shortener) accept() {
+func (p *truncatingProxy) accept() {
 	for {
-		near, err := s.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", s.to)
+		server, err := net.Dial("tcp", p.to)
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
-		s.mu.Lock()
-		s.conns = append(s.conns, near, far)
-		s.mu.Unlock()
-		s.group.Go(func() { s.pass(far, near, false) })
-		s.group.Go(func() { s.pass(near, far, true) })
+		p.mu.Lock()
+		p.conns = append(p.conns, client, server)
+		p.mu.Unlock()
+		p.group.Go(func() { p.forward(server, client, false) })
+		p.group.Go(func() { p.forward(client, server, true) })
 	}
 }
 
-func (s *shortener) pass(to, from net.Conn, answers bool) {
+func (p *truncatingProxy) forward(to, from net.Conn, responses bool) {
 	defer func() { _ = to.Close() }()
 	buffer := make([]byte, 32<<10)
 	for {
@@ -102,12 +105,12 @@
 			return
 		}
 		keep := n
-		if hidden := int(s.hidden.Load()); answers && hidden != 0 {
+		if hidden := int(p.hidden.Load()); responses && hidden != 0 {
 			keep = n / 2
 			if hidden > 0 {
 				keep = max(0, n-hidden)
 			}
-			s.cuts.Add(1)
+			p.truncations.Add(1)
 		}
 		if _, err := to.Write(buffer[:keep]); err != nil || keep < n {
 			return
@@ -115,112 +118,112 @@
 	}
 }
 
-// always is a lease that is held.
-type always struct{}
+// heldLease is a lease that is always held.
+type heldLease struct{}
 
-func (always) Held(now time.Time) (platform.Version, time.Time, bool) {
+func (heldLease) Held(now time.Time) (platform.Version, time.Time, bool) {
 	return 7, now.Add(time.Minute), true
 }
 
-// zoneWorld is an availability zone with an entry and four servers, whose answers can be cut short.
-type zoneWorld struct {
-	memory *standin.Server
-	// list and tickets are the ways to the platform, loads those to the agents, entry the one to the entry.
-	list, tickets, entry *shortener
-	loads                []*shortener
-	// cut are the ways whose answers are cut short.
-	cut    []*shortener
-	seen   zone
-	rounds atomic.Int64
+// zoneFixture is an availability zone with an entry and four servers, whose responses can be truncated.
+type zoneFixture struct {
+	platform *standin.Server
+	// listProxy and ticketProxy forward to the platform, loadProxies to the agents, and entryProxy to the entry.
+	listProxy, ticketProxy, entryProxy *truncatingProxy
+	loadProxies                        []*truncatingProxy
+	// truncated contains the proxies that truncate responses.
+	truncated []*truncatingProxy
+	zone      zone
+	rounds    atomic.Int64
 }
 
-// newZoneWorld starts the zone; each server has so many requests running, and the entry refused so much. What
-// comes on the chosen ways is cut from the first answer on.
-func newZoneWorld(t *testing.T, running int, refused float64, choose func(w *zoneWorld) []*shortener, hidden int) *zoneWorld {
+// newZoneFixture starts the zone. Each server runs the given number of requests, and the entry reports the refused load.
+// The selected proxies truncate every response from the first one on.
+func newZoneFixture(t *testing.T, running int, refused float64, selectProxies func(f *zoneFixture) []*truncatingProxy, hidden int) *zoneFixture {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	w := &zoneWorld{}
+	f := &zoneFixture{}
 	var err error
-	if w.memory, err = standin.New(ctx, listenLocal(t)); err != nil {
+	if f.platform, err = standin.New(ctx, listenLocal(t)); err != nil {
 		t.Fatal(err)
 	}
-	platformAddress := net.TCPAddrFromAddrPort(netip.MustParseAddrPort(w.memory.URL()[len("http://"):]))
-	w.list, w.tickets = newShortener(t, platformAddress), newShortener(t, platformAddress)
-	w.startPeers(ctx, t, running, refused)
-	w.cut = choose(w)
-	w.hide(hidden)
-	w.seen = zone{name: zoneName, runtime: &runtime{
+	platformAddress := net.TCPAddrFromAddrPort(netip.MustParseAddrPort(f.platform.URL()[len("http://"):]))
+	f.listProxy, f.ticketProxy = newTruncatingProxy(t, platformAddress), newTruncatingProxy(t, platformAddress)
+	f.startPeers(ctx, t, running, refused)
+	f.truncated = selectProxies(f)
+	f.setHidden(hidden)
+	f.zone = zone{name: zoneName, runtime: &runtime{
 		client:  peer.NewClient(ctx, []byte(zoneSecret)),
-		members: membership.NewList(ctx, w.client(t, w.list), membership.WithInterval(100*time.Millisecond)),
-	}, follower: configuration.NewFollower(ctx, w.client(t, w.tickets))}
-	return w
+		members: membership.NewList(ctx, f.client(t, f.listProxy), membership.WithInterval(100*time.Millisecond)),
+	}, follower: configuration.NewFollower(ctx, f.client(t, f.ticketProxy))}
+	return f
 }
 
-func (w *zoneWorld) client(t *testing.T, way *shortener) *platform.Client {
+func (f *zoneFixture) client(t *testing.T, proxy *truncatingProxy) *platform.Client {
 	t.Helper()
-	c := platform.NewClient("http://" + way.address().String())
+	c := platform.NewClient("http://" + proxy.address().String())
 	t.Cleanup(c.Close)
 	return c
 }
 
-// startPeers starts one listener that answers for all agents and the entry, and lists them.
-func (w *zoneWorld) startPeers(ctx context.Context, t *testing.T, running int, refused float64) {
+// startPeers starts one listener that answers for all agents and the entry, and adds them to the host list.
+func (f *zoneFixture) startPeers(ctx context.Context, t *testing.T, running int, refused float64) {
 	t.Helper()
 	registry := peer.NewRegistry()
 	peer.Handle(registry, agent.MethodProbe, func(context.Context, request.Probe) (request.Load, error) {
 		return request.Load{Running: running, Limit: zoneSlots}, nil
 	})
-	peer.Handle(registry, methodTurnedAway, func(context.Context, turnedAwayAsk) (turnedAwayAnswer, error) {
-		return turnedAwayAnswer{Loads: map[string]float64{zonePool: refused}}, nil
+	peer.Handle(registry, methodRefusedLoad, func(context.Context, refusedLoadRequest) (refusedLoadResponse, error) {
+		return refusedLoadResponse{Loads: map[string]float64{zonePool: refused}}, nil
 	})
 	l := listenLocal(t)
 	peer.NewServer(ctx, l, registry, []byte(zoneSecret))
-	w.entry = newShortener(t, l.Addr())
-	hosts := []platform.Host{{ID: "entry-1", Role: platform.RoleEntry, AvailabilityZone: zoneName, PeerAddress: w.entry.address()}}
+	f.entryProxy = newTruncatingProxy(t, l.Addr())
+	hosts := []platform.Host{{ID: "entry-1", Role: platform.RoleEntry, AvailabilityZone: zoneName, PeerAddress: f.entryProxy.address()}}
 	for i := range zoneServers {
-		way := newShortener(t, l.Addr())
-		w.loads = append(w.loads, way)
+		proxy := newTruncatingProxy(t, l.Addr())
+		f.loadProxies = append(f.loadProxies, proxy)
 		hosts = append(hosts, platform.Host{
-			ID: fmt.Sprintf("s%d", i), Role: platform.RoleAgent, Pool: zonePool, AvailabilityZone: zoneName, PeerAddress: way.address(),
+			ID: fmt.Sprintf("s%d", i), Role: platform.RoleAgent, Pool: zonePool, AvailabilityZone: zoneName, PeerAddress: proxy.address(),
 		})
 	}
-	w.memory.SetHosts(hosts)
-	if err := w.memory.Order(ctx, platform.ServerOrder{AvailabilityZone: zoneName, Pool: zonePool, Count: zoneServers}); err != nil {
+	f.platform.SetHosts(hosts)
+	if err := f.platform.Order(ctx, platform.ServerOrder{AvailabilityZone: zoneName, Pool: zonePool, Count: zoneServers}); err != nil {
 		t.Fatal(err)
 	}
 	pools := ticket.Ticket{Pools: []ticket.Pool{{
 		Name: zonePool, Kind: ticket.KindService, AvailabilityZones: []string{zoneName}, MinServers: 1, MaxServers: 2 * zoneServers,
 		StartupTime: ticket.Duration(time.Second),
 	}}}
-	if err := configuration.NewPublisher(w.memory).Apply(ctx, 1, pools); err != nil {
+	if err := configuration.NewPublisher(f.platform).Apply(ctx, 1, pools); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// hide sets how much of each answer on the chosen ways is kept back.
-func (w *zoneWorld) hide(hidden int) {
-	for _, way := range w.cut {
-		way.hidden.Store(int64(hidden))
+// setHidden sets how many bytes the selected proxies cut off from each response.
+func (f *zoneFixture) setHidden(hidden int) {
+	for _, proxy := range f.truncated {
+		proxy.hidden.Store(int64(hidden))
 	}
 }
 
-func (w *zoneWorld) waitCut(t *testing.T) {
+func (f *zoneFixture) waitForTruncation(t *testing.T) {
 	t.Helper()
-	waitUntil(t, "an answer is cut", func() bool { return w.cut[0].cuts.Load() > 0 })
-	w.waitRounds(t)
+	waitUntil(t, "a response is truncated", func() bool { return f.truncated[0].truncations.Load() > 0 })
+	f.waitForRounds(t)
 }
 
-// order takes decisions until the test ends.
-func (w *zoneWorld) order(t *testing.T) {
+// startRunner starts a runner that makes decisions until the test ends.
+func (f *zoneFixture) startRunner(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	runner := fleet.New(ctx, zoneName, "entry-1", fleet.Deps{
-		Keeper: always{},
-		Orders: w.memory,
+		Keeper: heldLease{},
+		Orders: f.platform,
 		Gather: func(ctx context.Context, now time.Time) ([]corefleet.State, error) {
-			defer w.rounds.Add(1)
-			return w.seen.gather(ctx, now)
+			defer f.rounds.Add(1)
+			return f.zone.poolStates(ctx, now)
 		},
 		Drain: func(context.Context, fleet.DrainRequest) error { return nil },
 	}, fleet.WithInterval(10*time.Millisecond))
@@ -230,67 +233,67 @@
 	})
 }
 
-// orders returns what was ordered, without the order that started the servers.
-func (w *zoneWorld) orders() []platform.ServerOrder { return w.memory.Orders()[1:] }
+// orders returns the accepted orders without the initial order for the servers.
+func (f *zoneFixture) orders() []platform.ServerOrder { return f.platform.Orders()[1:] }
 
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(zoneLimit); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(zoneTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timeout: %s", what)
 		}
 	}
 }
 
-func (w *zoneWorld) waitRounds(t *testing.T) {
+func (f *zoneFixture) waitForRounds(t *testing.T) {
 	t.Helper()
-	want := w.rounds.Load() + zoneRounds
-	waitUntil(t, "rounds of decisions", func() bool { return w.rounds.Load() >= want })
+	want := f.rounds.Load() + decisionRounds
+	waitUntil(t, "rounds of decisions", func() bool { return f.rounds.Load() >= want })
 }
 
-// whole reports whether everything that an order rests on has been read.
-func (w *zoneWorld) whole() bool {
-	return len(w.seen.runtime.members.Servers(zonePool)) == zoneServers && len(w.seen.follower.View().Pools()) == 1
+// isComplete reports whether everything that an order depends on has been read.
+func (f *zoneFixture) isComplete() bool {
+	return len(f.zone.runtime.members.Servers(zonePool)) == zoneServers && len(f.zone.follower.View().Pools()) == 1
 }
 
-// Callers wait in line, or servers are stopped while they work: the answer of an agent with its load, of the
-// platform with the host list or the tickets, or of an entry with what it refused is cut short while an order for
-// the zone is prepared, and the part that came is taken for the whole. Nothing may be ordered while the view has
-// gaps, unless the count is the one that the whole view gives; and that one must be ordered in the end.
+// Guards against orders based on truncated data. A response is truncated while an order for the zone is prepared: the load
+// of an agent, the host list or the tickets of the platform, or the refused load of an entry. If the received part is
+// taken for the whole, requests queue or busy servers are stopped. While the data has gaps, nothing may be ordered but the
+// count that the complete data gives, and that count must be ordered in the end.
 func TestShortAnswerMakesNoOrder(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		ways func(w *zoneWorld) []*shortener
-		// known is the count that may be ordered without them; 0 for none.
-		known int
+		name    string
+		proxies func(f *zoneFixture) []*truncatingProxy
+		// allowed is the count that may be ordered without the truncated responses; 0 for none.
+		allowed int
 	}{
-		{name: "host list", ways: func(w *zoneWorld) []*shortener { return []*shortener{w.list} }},
-		{name: "tickets", ways: func(w *zoneWorld) []*shortener { return []*shortener{w.tickets} }},
-		{name: "loads of all servers", ways: func(w *zoneWorld) []*shortener { return w.loads }},
-		{name: "loads of two servers", ways: func(w *zoneWorld) []*shortener { return w.loads[:2] }},
-		{name: "load of one server", ways: func(w *zoneWorld) []*shortener { return w.loads[:1] }, known: 6},
-		{name: "what the entry refused", ways: func(w *zoneWorld) []*shortener { return []*shortener{w.entry} }, known: 5},
+		{name: "host list", proxies: func(f *zoneFixture) []*truncatingProxy { return []*truncatingProxy{f.listProxy} }},
+		{name: "tickets", proxies: func(f *zoneFixture) []*truncatingProxy { return []*truncatingProxy{f.ticketProxy} }},
+		{name: "loads of all servers", proxies: func(f *zoneFixture) []*truncatingProxy { return f.loadProxies }},
+		{name: "loads of two servers", proxies: func(f *zoneFixture) []*truncatingProxy { return f.loadProxies[:2] }},
+		{name: "load of one server", proxies: func(f *zoneFixture) []*truncatingProxy { return f.loadProxies[:1] }, allowed: 6},
+		{name: "refused load of the entry", proxies: func(f *zoneFixture) []*truncatingProxy { return []*truncatingProxy{f.entryProxy} }, allowed: 5},
 	} {
 		for _, hidden := range []int{1, -1} {
 			t.Run(fmt.Sprintf("%s, %d bytes hidden", test.name, hidden), func(t *testing.T) {
 				t.Parallel()
-				w := newZoneWorld(t, zoneSlots, zoneSlots, test.ways, hidden)
-				w.order(t)
-				w.waitCut(t)
-				for _, order := range w.orders() {
-					if order.Count != test.known {
-						t.Errorf("ordered %d on a view with gaps, want %d", order.Count, test.known)
+				f := newZoneFixture(t, zoneSlots, zoneSlots, test.proxies, hidden)
+				f.startRunner(t)
+				f.waitForTruncation(t)
+				for _, order := range f.orders() {
+					if order.Count != test.allowed {
+						t.Errorf("ordered %d on truncated data, want %d", order.Count, test.allowed)
 					}
 				}
-				w.hide(0)
+				f.setHidden(0)
 				const want = 6
-				waitUntil(t, "the whole view's order", func() bool {
-					orders := w.orders()
+				waitUntil(t, "the order for the complete data", func() bool {
+					orders := f.orders()
 					return len(orders) > 0 && orders[len(orders)-1].Count == want
 				})
-				for _, order := range w.orders() {
+				for _, order := range f.orders() {
 					if order.Count < zoneServers {
-						t.Errorf("ordered %d while %d run", order.Count, zoneServers)
+						t.Errorf("ordered %d servers while %d run", order.Count, zoneServers)
 					}
 				}
 			})
@@ -298,26 +301,26 @@
 	}
 }
 
-// Servers are stopped while they are wanted again in a minute: nothing runs for the moment, and the first view of a
-// new holder is cut short. What the platform runs must not be taken for more than what was ordered.
+// Guards against stopping servers that are needed again a minute later. Nothing runs at the moment, and the first data of
+// a new holder of the duty is truncated. The servers that run must not be taken for more than were ordered.
 func TestShortAnswerStopsNoServer(t *testing.T) {
-	for name, ways := range map[string]func(w *zoneWorld) []*shortener{
-		"host list": func(w *zoneWorld) []*shortener { return []*shortener{w.list} },
-		"tickets":   func(w *zoneWorld) []*shortener { return []*shortener{w.tickets} },
-		"loads":     func(w *zoneWorld) []*shortener { return w.loads },
+	for name, proxies := range map[string]func(f *zoneFixture) []*truncatingProxy{
+		"host list": func(f *zoneFixture) []*truncatingProxy { return []*truncatingProxy{f.listProxy} },
+		"tickets":   func(f *zoneFixture) []*truncatingProxy { return []*truncatingProxy{f.ticketProxy} },
+		"loads":     func(f *zoneFixture) []*truncatingProxy { return f.loadProxies },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newZoneWorld(t, 0, 0, ways, 1)
+			f := newZoneFixture(t, 0, 0, proxies, 1)
 			if name != "tickets" {
-				waitUntil(t, "the tickets are read", func() bool { return len(w.seen.follower.View().Pools()) == 1 })
+				waitUntil(t, "the tickets are read", func() bool { return len(f.zone.follower.View().Pools()) == 1 })
 			}
-			w.order(t)
-			w.waitCut(t)
-			w.hide(0)
-			waitUntil(t, "the view is whole", w.whole)
-			w.waitRounds(t)
-			if orders := w.orders(); len(orders) > 0 {
+			f.startRunner(t)
+			f.waitForTruncation(t)
+			f.setHidden(0)
+			waitUntil(t, "the data is complete", f.isComplete)
+			f.waitForRounds(t)
+			if orders := f.orders(); len(orders) > 0 {
 				t.Errorf("ordered %v", orders)
 			}
 		})
