--- a/internal/program/process/ranking.go
+++ b/internal/program/process/ranking.go
@@ -74,7 +74,7 @@
 }
 
 // isAmongFirst reports whether this host is among the first count entries for the purpose. The list of entries may lag: a
-// host that isn't on it yet isn't among them, and if it is empty, every host is.
+// host that isn't on it yet isn't among them. If the ranking is empty, every host is.
 func (r *runtime) isAmongFirst(key rankingKey) bool {
 	chosen := r.ranking.first(r.members.Entries(), key)
 	return len(chosen) == 0 || slices.ContainsFunc(chosen, func(host platform.Host) bool { return host.ID == r.set.HostID })
