--- a/internal/program/bench/world_test.go
+++ b/internal/program/bench/world_test.go
@@ -86,7 +86,7 @@
 }
 
 // startServer starts the stand-in for the backend server at a place.
-func (env *environment) startServer(ctx context.Context, place scenario.Place, opts []engine.Option) {
+func (env *environment) startServer(ctx context.Context, place scenario.Agent, opts []engine.Option) {
 	env.b.Helper()
 	listener := env.listen(place.Server)
 	switch place.Kind {
--- a/internal/program/e2e/cluster_test.go
+++ b/internal/program/e2e/cluster_test.go
@@ -132,7 +132,7 @@
 	c.processes[name] = p
 }
 
-func (c *cluster) startBackendServer(agent scenario.Place) {
+func (c *cluster) startBackendServer(agent scenario.Agent) {
 	kinds := map[ticket.PoolKind]string{ticket.KindModel: "engine", ticket.KindService: "service", ticket.KindScoring: "scorer"}
 	args := []string{"standin", kinds[agent.Kind], "--listen", agent.Server.String()}
 	if agent.Kind == ticket.KindModel {
--- a/internal/program/faults/bench_test.go
+++ b/internal/program/faults/bench_test.go
@@ -102,7 +102,7 @@
 // choose keeps the first place of the kind in each zone.
 func (b *bench) choose(kind ticket.PoolKind) {
 	zones := map[string]bool{}
-	chosen := []scenario.Place{}
+	chosen := []scenario.Agent{}
 	for _, place := range b.topology.Places {
 		if zone := place.Settings.AvailabilityZone; place.Kind == kind && !zones[zone] {
 			zones[zone] = true
--- a/internal/program/scenario/topology.go
+++ b/internal/program/scenario/topology.go
@@ -20,8 +20,8 @@
 	drainTime           = 20 * time.Second
 )
 
-// Place is an agent host and its backend server.
-type Place struct {
+// Agent is an agent host and its backend server.
+type Agent struct {
 	Settings settings.Settings
 	Kind     ticket.PoolKind
 	Server   netip.AddrPort
@@ -32,7 +32,7 @@
 	Platform    netip.AddrPort
 	WeightStore netip.AddrPort
 	Entries     []settings.Settings
-	Places      []Place
+	Places      []Agent
 }
 
 // NewTopology returns a topology with one entry, two model engines, one plain service and one scoring service in each
@@ -90,12 +90,12 @@
 	return host
 }
 
-func (b *builder) agent(zone, pool string, kind ticket.PoolKind, number int) Place {
+func (b *builder) agent(zone, pool string, kind ticket.PoolKind, number int) Agent {
 	host := b.commonSettings(fmt.Sprintf("%s-%s-%d", pool, zone, number), zone)
 	server := b.address()
 	host.Pool = pool
 	host.ServerURL = "http://" + server.String()
-	return Place{Settings: host, Kind: kind, Server: server}
+	return Agent{Settings: host, Kind: kind, Server: server}
 }
 
 // Hosts returns the platform's list of hosts.
