--- a/internal/program/bench/path_test.go
+++ b/internal/program/bench/path_test.go
@@ -159,7 +159,7 @@
 // generationURLs returns two URLs for generations: directly at an engine, and through the entry.
 func (env *environment) generationURLs() []string {
 	direct := ""
-	for _, place := range env.topology.Places {
+	for _, place := range env.topology.Agents {
 		if place.Kind == ticket.KindModel && direct == "" {
 			direct = place.Settings.ServerURL + "/generate"
 		}
--- a/internal/program/bench/world_test.go
+++ b/internal/program/bench/world_test.go
@@ -46,13 +46,13 @@
 	must(platform.New(ctx, env.listen(env.topology.Platform), platform.WithHosts(env.topology.Hosts())))(b)
 	must(weightstore.New(ctx, env.listen(env.topology.WeightStore)))(b)
 	var processes []interface{ Close() }
-	for _, place := range env.topology.Places {
+	for _, place := range env.topology.Agents {
 		env.startServer(ctx, place, opts)
 	}
 	for _, set := range env.topology.Entries {
 		processes = append(processes, must(process.StartEntry(ctx, set, zerolog.Nop()))(b))
 	}
-	for _, place := range env.topology.Places {
+	for _, place := range env.topology.Agents {
 		processes = append(processes, must(process.StartAgent(ctx, place.Settings, zerolog.Nop()))(b))
 	}
 	b.Cleanup(func() {
--- a/internal/program/e2e/calls_test.go
+++ b/internal/program/e2e/calls_test.go
@@ -134,7 +134,7 @@
 
 // firstAgent returns the host id of the first agent of a pool.
 func (c *cluster) firstAgent(pool string) string {
-	for _, agent := range c.topology.Places {
+	for _, agent := range c.topology.Agents {
 		if agent.Settings.Pool == pool {
 			return agent.Settings.HostID
 		}
--- a/internal/program/e2e/cluster_test.go
+++ b/internal/program/e2e/cluster_test.go
@@ -84,13 +84,13 @@
 	hosts := c.writeJSON("hosts.json", topology.Hosts())
 	c.start("platform", "standin", "platform", "--listen", topology.Platform.String(), "--hosts", hosts)
 	c.start("weightstore", "standin", "weightstore", "--listen", topology.WeightStore.String())
-	for _, agent := range topology.Places {
+	for _, agent := range topology.Agents {
 		c.startBackendServer(agent)
 	}
 	for _, host := range topology.Entries {
 		c.startHost("entry", host)
 	}
-	for _, agent := range topology.Places {
+	for _, agent := range topology.Agents {
 		c.startHost("agent", agent.Settings)
 	}
 	for _, host := range topology.Entries {
--- a/internal/program/e2e/control_test.go
+++ b/internal/program/e2e/control_test.go
@@ -57,7 +57,7 @@
 	c := newPreparedCluster(t, d)
 	entries := c.topology.Entries
 	first, second := "http://"+entries[0].Listen.String(), "http://"+entries[1].Listen.String()
-	for _, agent := range c.topology.Places {
+	for _, agent := range c.topology.Agents {
 		if agent.Kind == ticket.KindModel {
 			c.injectFault(agent.Settings.ServerURL, `{"slowFactor":400}`)
 		}
--- a/internal/program/e2e/path_test.go
+++ b/internal/program/e2e/path_test.go
@@ -42,7 +42,7 @@
 	for _, host := range c.topology.Entries {
 		c.signal(host.HostID, syscall.SIGTERM)
 	}
-	for _, agent := range c.topology.Places {
+	for _, agent := range c.topology.Agents {
 		c.signal(agent.Settings.HostID, syscall.SIGTERM)
 	}
 	for _, host := range c.topology.Entries {
@@ -50,7 +50,7 @@
 			t.Errorf("%s exited with code %d", host.HostID, code)
 		}
 	}
-	for _, agent := range c.topology.Places {
+	for _, agent := range c.topology.Agents {
 		if code := c.waitExit(agent.Settings.HostID); code != 0 {
 			t.Errorf("%s exited with code %d", agent.Settings.HostID, code)
 		}
@@ -62,7 +62,7 @@
 func (c *cluster) checkAdminOutput(d scenario.Deployment) {
 	c.t.Helper()
 	hosts := slices.Clone(c.topology.Entries)
-	for _, agent := range c.topology.Places {
+	for _, agent := range c.topology.Agents {
 		hosts = append(hosts, agent.Settings)
 	}
 	for _, host := range hosts {
--- a/internal/program/e2e/tls_test.go
+++ b/internal/program/e2e/tls_test.go
@@ -44,8 +44,8 @@
 			host := &topology.Entries[i]
 			host.TLSCertificateFile, host.TLSKeyFile, host.TLSAuthorityFile = certificateFile, keyFile, certificateFile
 		}
-		for i := range topology.Places {
-			host := &topology.Places[i].Settings
+		for i := range topology.Agents {
+			host := &topology.Agents[i].Settings
 			host.TLSCertificateFile, host.TLSKeyFile, host.TLSAuthorityFile = certificateFile, keyFile, certificateFile
 		}
 	}
--- a/internal/program/e2e/usage_test.go
+++ b/internal/program/e2e/usage_test.go
@@ -72,8 +72,8 @@
 		for i := range topology.Entries {
 			topology.Entries[i].UsageWindow = usageWindow
 		}
-		for i := range topology.Places {
-			topology.Places[i].Settings.UsageWindow = usageWindow
+		for i := range topology.Agents {
+			topology.Agents[i].Settings.UsageWindow = usageWindow
 		}
 	})
 	load := c.startUsageLoad(d)
--- a/internal/program/faults/bench_test.go
+++ b/internal/program/faults/bench_test.go
@@ -92,7 +92,7 @@
 	for _, set := range b.topology.Entries {
 		b.startEntry(set.HostID)
 	}
-	for _, place := range b.topology.Places {
+	for _, place := range b.topology.Agents {
 		b.startAgent(place.Settings.HostID)
 	}
 	b.prepare()
@@ -103,13 +103,13 @@
 func (b *bench) choose(kind ticket.PoolKind) {
 	zones := map[string]bool{}
 	chosen := []scenario.Agent{}
-	for _, place := range b.topology.Places {
+	for _, place := range b.topology.Agents {
 		if zone := place.Settings.AvailabilityZone; place.Kind == kind && !zones[zone] {
 			zones[zone] = true
 			chosen = append(chosen, place)
 		}
 	}
-	b.topology.Places = chosen
+	b.topology.Agents = chosen
 }
 
 func (b *bench) close(cancel context.CancelFunc) {
@@ -144,7 +144,7 @@
 	if b.platform, err = platform.New(ctx, b.listen(b.topology.Platform)); err != nil {
 		b.t.Fatal(err)
 	}
-	for i, place := range b.topology.Places {
+	for i, place := range b.topology.Agents {
 		l := b.listen(place.Server)
 		if b.kind == ticket.KindService {
 			s, err := service.New(ctx, l)
@@ -183,7 +183,7 @@
 			l.callers, url = before(b.topology.Entries[i].Listen)
 			b.urls = append(b.urls, "http://"+url.String())
 		} else {
-			place := &b.topology.Places[i-len(b.topology.Entries)]
+			place := &b.topology.Agents[i-len(b.topology.Entries)]
 			place.Settings.PlatformURL = "http://" + url.String()
 			l.server, url = before(place.Server)
 			place.Settings.ServerURL = "http://" + url.String()
@@ -210,7 +210,7 @@
 
 func (b *bench) startAgent(host string) {
 	b.t.Helper()
-	for _, place := range b.topology.Places {
+	for _, place := range b.topology.Agents {
 		if place.Settings.HostID != host {
 			continue
 		}
@@ -250,7 +250,7 @@
 	return pool
 }
 
-func (b *bench) pool() string { return b.topology.Places[0].Settings.Pool }
+func (b *bench) pool() string { return b.topology.Agents[0].Settings.Pool }
 
 func (b *bench) organisation(name string) ticket.Organisation {
 	return ticket.Organisation{Name: name, Weight: 1, KeyHashes: []string{ticket.KeyHash(b.d.Key(name))}}
@@ -355,7 +355,7 @@
 			b.startEntry(set.HostID)
 		}
 	}
-	for _, place := range b.topology.Places {
+	for _, place := range b.topology.Agents {
 		if b.parts[place.Settings.HostID] == nil {
 			b.startAgent(place.Settings.HostID)
 		}
--- a/internal/program/faults/hosts_test.go
+++ b/internal/program/faults/hosts_test.go
@@ -135,7 +135,7 @@
 			for i := part; i < len(all); i += parts {
 				t.Run(all[i].name, func(t *testing.T) {
 					b.t = t
-					run(t, b, b.topology.Places[1].Settings.HostID, all[i])
+					run(t, b, b.topology.Agents[1].Settings.HostID, all[i])
 				})
 			}
 		})
--- a/internal/program/faults/requests_test.go
+++ b/internal/program/faults/requests_test.go
@@ -140,14 +140,14 @@
 // trapped arms the same trap before all agents and returns the one that sprang it.
 func (b *bench) trapped(w way, marker string) func() string {
 	caught := newTrap(w, marker)
-	for _, place := range b.topology.Places {
+	for _, place := range b.topology.Agents {
 		b.links[place.Settings.HostID].peer.arm(caught)
 	}
 	return func() string {
 		if !caught.wait(b.t) {
 			return ""
 		}
-		for _, place := range b.topology.Places {
+		for _, place := range b.topology.Agents {
 			f := b.links[place.Settings.HostID].peer
 			f.arm(nil)
 			f.mu.Lock()
@@ -165,7 +165,7 @@
 func (b *bench) resetLimits() {
 	limit := 1 + b.tickets%2
 	b.apply(ticket.Ticket{Pools: []ticket.Pool{b.poolPart(limit)}})
-	for _, place := range b.topology.Places {
+	for _, place := range b.topology.Agents {
 		waitFor(b.t, "the limit", stepLimit, func() bool {
 			return b.agentState(place.Settings.AdminListen.String()).Limit == limit
 		})
@@ -178,7 +178,7 @@
 	defer b.serverDelay(serverDelay)
 	found := ""
 	waitFor(b.t, "a queued call", stepLimit, func() bool {
-		for _, place := range b.topology.Places {
+		for _, place := range b.topology.Agents {
 			state := b.agentState(place.Settings.AdminListen.String())
 			if len(state.Running) > 0 && state.Queued > 0 {
 				found = place.Settings.HostID
--- a/internal/program/faults/streams_test.go
+++ b/internal/program/faults/streams_test.go
@@ -98,7 +98,7 @@
 }
 
 func (b *bench) engineAt(host string) *engine.Server {
-	for i, place := range b.topology.Places {
+	for i, place := range b.topology.Agents {
 		if place.Settings.HostID == host {
 			return b.engines[i]
 		}
@@ -110,11 +110,11 @@
 func (b *bench) streamingAt() string {
 	for i, e := range b.engines {
 		if e.State().Running > 0 {
-			return b.topology.Places[i].Settings.HostID
+			return b.topology.Agents[i].Settings.HostID
 		}
 	}
 	b.t.Error("no engine runs a stream")
-	return b.topology.Places[0].Settings.HostID
+	return b.topology.Agents[0].Settings.HostID
 }
 
 // judgeStream holds a stream against the same generation without a fault.
--- a/internal/program/faults/weights_test.go
+++ b/internal/program/faults/weights_test.go
@@ -105,7 +105,7 @@
 // changeWeights brings the fault about when the order with the marker is on its way.
 func (b *bench) changeWeights(marker string, fault fault) {
 	caught := newTrap(up, marker)
-	for _, place := range b.topology.Places {
+	for _, place := range b.topology.Agents {
 		b.links[place.Settings.HostID].server.arm(caught)
 	}
 	b.publish()
@@ -143,7 +143,7 @@
 // holder is the agent whose forwarder sprang the trap.
 func (b *bench) holder(caught *trap) string {
 	host := ""
-	for _, place := range b.topology.Places {
+	for _, place := range b.topology.Agents {
 		f := b.links[place.Settings.HostID].server
 		f.mu.Lock()
 		if f.conduct.hold[caught.way] {
--- a/internal/program/faults/withdrawal_test.go
+++ b/internal/program/faults/withdrawal_test.go
@@ -52,7 +52,7 @@
 			b.setAgentLinks(conduct{hold: [2]bool{up: true}})
 			revisions := b.revisions()
 			b.setKey(false)
-			for i, place := range b.topology.Places {
+			for i, place := range b.topology.Agents {
 				waitFor(t, "the agent knows", withdrawnWithin, func() bool { return b.agentState(place.Settings.AdminListen.String()).Revision > revisions[i] })
 			}
 			b.setAgentLinks(conduct{})
@@ -82,14 +82,14 @@
 }
 
 func (b *bench) setAgentLinks(c conduct) {
-	for _, place := range b.topology.Places {
+	for _, place := range b.topology.Agents {
 		b.links[place.Settings.HostID].peer.set(c)
 	}
 }
 
 func (b *bench) revisions() []uint64 {
 	all := []uint64{}
-	for _, place := range b.topology.Places {
+	for _, place := range b.topology.Agents {
 		all = append(all, b.agentState(place.Settings.AdminListen.String()).Revision)
 	}
 	return all
--- a/internal/program/scenario/topology.go
+++ b/internal/program/scenario/topology.go
@@ -32,7 +32,7 @@
 	Platform    netip.AddrPort
 	WeightStore netip.AddrPort
 	Entries     []settings.Settings
-	Places      []Agent
+	Agents      []Agent
 }
 
 // NewTopology returns a topology with one entry, two model engines, one plain service and one scoring service in each
@@ -44,10 +44,10 @@
 	for _, zone := range d.AvailabilityZones {
 		t.Entries = append(t.Entries, b.entry(zone))
 		for i := range modelServersPerZone {
-			t.Places = append(t.Places, b.agent(zone, d.Model, ticket.KindModel, i+1))
+			t.Agents = append(t.Agents, b.agent(zone, d.Model, ticket.KindModel, i+1))
 		}
-		t.Places = append(t.Places, b.agent(zone, d.Service, ticket.KindService, 1))
-		t.Places = append(t.Places, b.agent(zone, d.Scoring, ticket.KindScoring, 1))
+		t.Agents = append(t.Agents, b.agent(zone, d.Service, ticket.KindService, 1))
+		t.Agents = append(t.Agents, b.agent(zone, d.Scoring, ticket.KindScoring, 1))
 	}
 	return t, b.err
 }
@@ -107,7 +107,7 @@
 			PeerAddress: host.PeerListen, State: platform.HostLive,
 		})
 	}
-	for _, agent := range t.Places {
+	for _, agent := range t.Agents {
 		hosts = append(hosts, platform.Host{
 			ID: agent.Settings.HostID, Role: platform.RoleAgent, Pool: agent.Settings.Pool,
 			AvailabilityZone: agent.Settings.AvailabilityZone, PeerAddress: agent.Settings.PeerListen, State: platform.HostLive,
@@ -125,7 +125,7 @@
 	for _, host := range t.Entries {
 		targets.Entries = append(targets.Entries, "http://"+host.Listen.String())
 	}
-	for _, agent := range t.Places {
+	for _, agent := range t.Agents {
 		if agent.Kind == ticket.KindService {
 			targets.Services = append(targets.Services, agent.Settings.ServerURL)
 		}
