--- a/internal/program/e2e/control_test.go
+++ b/internal/program/e2e/control_test.go
@@ -64,10 +64,10 @@
 	}
 	ended := make(chan string, 1)
 	started := make(chan struct{})
-	go func() { ended <- c.lastStreamEvent(d, second, d.Leaver, started) }()
+	go func() { ended <- c.lastStreamEvent(d, second, d.Withdrawn, started) }()
 	<-started
 	if status := c.applyTicket(first, 3, ticket.Ticket{
-		Organisations: []ticket.Organisation{{Name: d.Leaver, Weight: 1}},
+		Organisations: []ticket.Organisation{{Name: d.Withdrawn, Weight: 1}},
 	}); status != http.StatusOK {
 		t.Fatalf("ticket: got status %d", status)
 	}
@@ -82,7 +82,7 @@
 		t.Errorf("the stream is still running %v after acceptance", withdrawalLimit)
 	}
 	for _, url := range []string{first, second} {
-		c.waitRefused(url+"/v1/services/"+d.Service+"/x", d.Key(d.Leaver), accepted)
+		c.waitRefused(url+"/v1/services/"+d.Service+"/x", d.Key(d.Withdrawn), accepted)
 	}
 }
 
--- a/internal/program/e2e/path_test.go
+++ b/internal/program/e2e/path_test.go
@@ -79,7 +79,7 @@
 			}
 			output += string(body)
 		}
-		for _, secret := range []string{d.Key(d.Caller), d.Key(d.Trainer), d.Key(d.Leaver), host.PeerSecret} {
+		for _, secret := range []string{d.Key(d.Caller), d.Key(d.Trainer), d.Key(d.Withdrawn), host.PeerSecret} {
 			if strings.Contains(output, secret) {
 				c.t.Errorf("%s exposes %q", host.HostID, secret)
 			}
--- a/internal/program/faults/bench_test.go
+++ b/internal/program/faults/bench_test.go
@@ -227,7 +227,7 @@
 	b.t.Helper()
 	pool := b.poolPart(1)
 	b.apply(ticket.Ticket{
-		Organisations: []ticket.Organisation{b.organisation(b.d.Caller), b.organisation(b.d.Leaver)},
+		Organisations: []ticket.Organisation{b.organisation(b.d.Caller), b.organisation(b.d.Withdrawn)},
 		Pools:         []ticket.Pool{pool},
 	})
 	for _, zone := range b.d.AvailabilityZones {
--- a/internal/program/faults/withdrawal_test.go
+++ b/internal/program/faults/withdrawal_test.go
@@ -26,7 +26,7 @@
 // setKey grants the leaver's key or takes it away.
 func (b *bench) setKey(granted bool) {
 	b.t.Helper()
-	organisation := b.organisation(b.d.Leaver)
+	organisation := b.organisation(b.d.Withdrawn)
 	if !granted {
 		organisation.KeyHashes = nil
 	}
@@ -47,7 +47,7 @@
 			b.t = t
 			reach := b.trapped(up, step.marker)
 			first := make(chan seen, 1)
-			go func() { first <- b.bookAs(b.d.Leaver, "withdrawn-"+step.marker) }()
+			go func() { first <- b.bookAs(b.d.Withdrawn, "withdrawn-"+step.marker) }()
 			reach()
 			b.setAgentLinks(conduct{hold: [2]bool{up: true}})
 			revisions := b.revisions()
@@ -76,7 +76,7 @@
 	accepted := time.Now()
 	for i := range b.topology.Entries {
 		waitFor(t, "refusal", withdrawnWithin-time.Since(accepted), func() bool {
-			return b.do(i, http.MethodGet, "/v1/services/"+b.pool()+"/x", "", b.d.Leaver, "").status == http.StatusUnauthorized
+			return b.do(i, http.MethodGet, "/v1/services/"+b.pool()+"/x", "", b.d.Withdrawn, "").status == http.StatusUnauthorized
 		})
 	}
 }
--- a/internal/program/scenario/accounting.go
+++ b/internal/program/scenario/accounting.go
@@ -129,7 +129,7 @@
 		if err != nil {
 			return err
 		}
-		for _, organisation := range []string{p.deployment.Caller, p.deployment.Trainer, p.deployment.Leaver} {
+		for _, organisation := range []string{p.deployment.Caller, p.deployment.Trainer, p.deployment.Withdrawn} {
 			if strings.Contains(string(response.Body), p.deployment.Key(organisation)) {
 				p.transcript.LeakedKeys = append(p.transcript.LeakedKeys, organisation)
 			}
--- a/internal/program/scenario/deployment.go
+++ b/internal/program/scenario/deployment.go
@@ -21,7 +21,7 @@
 	// the only key of Leaver is withdrawn.
 	Caller  string
 	Trainer string
-	Leaver  string
+	Withdrawn  string
 	// BookingPath and BookingBody are the path and body of the non-idempotent call.
 	BookingPath string
 	BookingBody string
@@ -42,7 +42,7 @@
 		Job:               "fee-lines",
 		Caller:            "salalah-ground",
 		Trainer:           "muscat-approach",
-		Leaver:            "sur-field",
+		Withdrawn:            "sur-field",
 		BookingPath:       "/bookings",
 		BookingBody:       `{"id":"invoice-A4O-BX-7","amount":120}`,
 		BookingID:         "invoice-A4O-BX-7",
@@ -61,7 +61,7 @@
 		Job:               "rider-answers",
 		Caller:            "begnas-families",
 		Trainer:           "lakeside-riders",
-		Leaver:            "fewa-school",
+		Withdrawn:            "fewa-school",
 		BookingPath:       "/bookings",
 		BookingBody:       `{"id":"ride-pony-3-0900","family":"Gurung"}`,
 		BookingID:         "ride-pony-3-0900",
@@ -97,7 +97,7 @@
 	model := pool(d.Model, ticket.KindModel)
 	model.Model = d.Model
 	return ticket.Ticket{
-		Organisations: []ticket.Organisation{d.organisation(d.Caller), d.organisation(d.Trainer), d.organisation(d.Leaver)},
+		Organisations: []ticket.Organisation{d.organisation(d.Caller), d.organisation(d.Trainer), d.organisation(d.Withdrawn)},
 		Pools:         []ticket.Pool{model, pool(d.Service, ticket.KindService), pool(d.Scoring, ticket.KindScoring)},
 	}
 }
@@ -115,5 +115,5 @@
 
 // withdrawalTicket returns the ticket that withdraws the only key of Leaver.
 func (d Deployment) withdrawalTicket() ticket.Ticket {
-	return ticket.Ticket{Organisations: []ticket.Organisation{{Name: d.Leaver, Weight: 1}}}
+	return ticket.Ticket{Organisations: []ticket.Organisation{{Name: d.Withdrawn, Weight: 1}}}
 }
--- a/internal/program/scenario/player.go
+++ b/internal/program/scenario/player.go
@@ -157,12 +157,12 @@
 func (p *Player) waitForServersAt(ctx context.Context, entry *client) error {
 	return waitUntil(ctx, "backend servers", serversTimeout, func(ctx context.Context) (bool, error) {
 		response, err := entry.send(ctx, http.MethodGet, "/v1/services/"+p.deployment.Service+"/ready", nil,
-			p.authorization(p.deployment.Leaver)...)
+			p.authorization(p.deployment.Withdrawn)...)
 		if err != nil || response.Status != http.StatusOK {
 			return false, errors.Errorf("plain service: %d %s %v", response.Status, response.Body, err)
 		}
 		response, err = entry.send(ctx, http.MethodPost, "/v1/models/"+p.deployment.Model+"/generate",
-			[]byte(`{"prompt":"ready?","maxTokens":1}`), p.authorization(p.deployment.Leaver)...)
+			[]byte(`{"prompt":"ready?","maxTokens":1}`), p.authorization(p.deployment.Withdrawn)...)
 		if err != nil || response.Status != http.StatusOK {
 			return false, errors.Errorf("model: %d %s %v", response.Status, response.Body, err)
 		}
@@ -320,7 +320,7 @@
 	var refusal Refusal
 	err := waitUntil(ctx, "key to be refused", withdrawalTimeout, func(ctx context.Context) (bool, error) {
 		response, err := p.entry.send(ctx, http.MethodGet, "/v1/services/"+p.deployment.Service+"/ready", nil,
-			p.authorization(p.deployment.Leaver)...)
+			p.authorization(p.deployment.Withdrawn)...)
 		if err != nil || response.Status == http.StatusOK {
 			return false, err
 		}
