--- a/internal/program/bench/step_test.go
+++ b/internal/program/bench/step_test.go
@@ -28,7 +28,7 @@
 	ModelVersion int  `json:"modelVersion"`
 	Last         bool `json:"last"`
 	Samples      []struct {
-		Spans []scenario.SpanSeen `json:"spans"`
+		Spans []scenario.VersionSpan `json:"spans"`
 	} `json:"samples"`
 }
 
--- a/internal/program/scenario/player.go
+++ b/internal/program/scenario/player.go
@@ -234,7 +234,7 @@
 }
 
 // spanVersions returns the distinct weight versions of spans in ascending order.
-func spanVersions(spans []SpanSeen) []int {
+func spanVersions(spans []VersionSpan) []int {
 	found := []int{}
 	for _, span := range spans {
 		found = addVersion(found, span.Version)
@@ -259,7 +259,7 @@
 			Text   string     `json:"text"`
 			Done   bool       `json:"done"`
 			Tokens int        `json:"tokens"`
-			Spans  []SpanSeen `json:"spans"`
+			Spans  []VersionSpan `json:"spans"`
 		}
 		if err := json.Unmarshal([]byte(payload), &event); err != nil {
 			return errors.Wrapf(err, "event %q", payload)
--- a/internal/program/scenario/training.go
+++ b/internal/program/scenario/training.go
@@ -30,7 +30,7 @@
 	Last    bool `json:"last"`
 	Samples []struct {
 		ID    string     `json:"sampleId"`
-		Spans []SpanSeen `json:"spans"`
+		Spans []VersionSpan `json:"spans"`
 	} `json:"samples"`
 }
 
