--- a/internal/program/bench/world_test.go
+++ b/internal/program/bench/world_test.go
@@ -137,7 +137,7 @@
 	url := fmt.Sprintf("%s/v1/tickets/%d", env.entryURL(), number)
 	env.waitForOK(http.MethodPost, url, env.deployment.Caller, string(must(json.Marshal(change))(env.b)))
 	for deadline := time.Now().Add(prepareLimit); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
-		var status scenario.TicketSeen
+		var status scenario.TicketStatus
 		_, raw, err := env.do(http.MethodGet, url, env.deployment.Caller, "")
 		if err == nil && json.Unmarshal(raw, &status) == nil && status.Share >= 1 {
 			return
--- a/internal/program/scenario/player.go
+++ b/internal/program/scenario/player.go
@@ -126,16 +126,16 @@
 	path := fmt.Sprintf("/v1/tickets/%d", number)
 	sent := time.Now()
 	err = waitUntil(ctx, "ticket to be accepted", ticketTimeout, func(ctx context.Context) (bool, error) {
-		status, err := decode[TicketSeen](p.entry.send(ctx, http.MethodPost, path, body))
+		status, err := decode[TicketStatus](p.entry.send(ctx, http.MethodPost, path, body))
 		return err == nil && status.Accepted, err
 	})
 	if err != nil {
 		return err
 	}
-	var status TicketSeen
+	var status TicketStatus
 	err = waitUntil(ctx, "ticket to be in force", ticketTimeout, func(ctx context.Context) (bool, error) {
 		var err error
-		status, err = decode[TicketSeen](p.entry.send(ctx, http.MethodGet, path, nil))
+		status, err = decode[TicketStatus](p.entry.send(ctx, http.MethodGet, path, nil))
 		return err == nil && status.Share >= 1, err
 	})
 	p.transcript.Tickets = append(p.transcript.Tickets, status)
--- a/internal/program/scenario/transcript.go
+++ b/internal/program/scenario/transcript.go
@@ -8,7 +8,7 @@
 // between runs.
 type Transcript struct {
 	Deployment         string          `json:"deployment"`
-	Tickets            []TicketSeen    `json:"tickets"`
+	Tickets            []TicketStatus    `json:"tickets"`
 	Lookup             ServiceResponse `json:"lookup"`
 	Booking            BookingResult   `json:"booking"`
 	Generation         Generation      `json:"generation"`
@@ -22,8 +22,8 @@
 	LeakedKeys []string `json:"keysSeenByServers"`
 }
 
-// TicketSeen is the status of a ticket as an operator receives it.
-type TicketSeen struct {
+// TicketStatus is the status of a ticket as an operator receives it.
+type TicketStatus struct {
 	Number   int  `json:"number"`
 	Accepted bool `json:"accepted"`
 	// Share is the fraction of hosts on which the ticket is in force.
