--- a/internal/program/e2e/path_test.go
+++ b/internal/program/e2e/path_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if violations := transcript.Broken(); len(violations) > 0 {
+	if violations := transcript.Violations(); len(violations) > 0 {
 		t.Errorf("violated guarantees: %v", violations)
 	}
 	compareGolden(t, "testdata/path.golden.json", transcript)
--- a/internal/program/scenario/promise.go
+++ b/internal/program/scenario/promise.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// Broken describes the guarantees that the transcript violates; it is empty if there are none.
-func (t Transcript) Broken() []string {
+// Violations describes the guarantees that the transcript violates; it is empty if there are none.
+func (t Transcript) Violations() []string {
 	violations := []string{}
 	check := func(violated bool, format string, args ...any) {
 		if violated {
