--- a/internal/program/bench/world_test.go
+++ b/internal/program/bench/world_test.go
@@ -63,7 +63,7 @@
 	})
 	prepareCtx, stop := context.WithTimeout(ctx, prepareLimit)
 	defer stop()
-	if err := scenario.NewPlayer(d, env.topology.Targets(), func(string, ...any) {}).Prepare(prepareCtx); err != nil {
+	if err := scenario.NewRunner(d, env.topology.Targets(), func(string, ...any) {}).Prepare(prepareCtx); err != nil {
 		b.Fatal(err)
 	}
 	return env
--- a/internal/program/e2e/calls_test.go
+++ b/internal/program/e2e/calls_test.go
@@ -178,7 +178,7 @@
 			c := newCluster(t, deployment)
 			ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
 			defer cancel()
-			if err := scenario.NewPlayer(deployment, c.topology.Targets(), t.Logf).Prepare(ctx); err != nil {
+			if err := scenario.NewRunner(deployment, c.topology.Targets(), t.Logf).Prepare(ctx); err != nil {
 				t.Fatal(err)
 			}
 			for _, url := range c.topology.Targets().Services {
--- a/internal/program/e2e/control_test.go
+++ b/internal/program/e2e/control_test.go
@@ -27,7 +27,7 @@
 	c := newCluster(t, d, changes...)
 	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
 	t.Cleanup(cancel)
-	if err := scenario.NewPlayer(d, c.topology.Targets(), t.Logf).Prepare(ctx); err != nil {
+	if err := scenario.NewRunner(d, c.topology.Targets(), t.Logf).Prepare(ctx); err != nil {
 		t.Fatal(err)
 	}
 	return c
--- a/internal/program/e2e/load_bench_test.go
+++ b/internal/program/e2e/load_bench_test.go
@@ -33,7 +33,7 @@
 		c := newCluster(b, d)
 		ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
 		defer cancel()
-		if err := scenario.NewPlayer(d, c.topology.Targets(), b.Logf).Prepare(ctx); err != nil {
+		if err := scenario.NewRunner(d, c.topology.Targets(), b.Logf).Prepare(ctx); err != nil {
 			b.Fatal(err)
 		}
 		c.orderAllServers(d)
--- a/internal/program/scenario/player.go
+++ b/internal/program/scenario/player.go
@@ -50,8 +50,8 @@
 	lastTicket int
 }
 
-// NewPlayer returns a player for the processes at targets. It reports its progress to logf.
-func NewPlayer(d Deployment, targets Targets, logf func(format string, args ...any)) *Player {
+// NewRunner returns a player for the processes at targets. It reports its progress to logf.
+func NewRunner(d Deployment, targets Targets, logf func(format string, args ...any)) *Player {
 	p := &Player{deployment: d, entry: newClient(targets.Entry), platform: newClient(targets.Platform), logf: logf}
 	for _, url := range targets.Services {
 		p.services = append(p.services, newClient(url))
