--- a/internal/program/e2e/path_test.go
+++ b/internal/program/e2e/path_test.go
@@ -30,7 +30,7 @@
 	c := newCluster(t, deployment, overTLS(t))
 	ctx, cancel := context.WithTimeout(context.Background(), scenarioTimeout)
 	defer cancel()
-	transcript, err := scenario.NewRunner(deployment, c.topology.Targets(), t.Logf).Play(ctx)
+	transcript, err := scenario.NewRunner(deployment, c.topology.Targets(), t.Logf).Run(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/program/scenario/player.go
+++ b/internal/program/scenario/player.go
@@ -63,8 +63,8 @@
 	return p
 }
 
-// Play runs all stages in order and returns the transcript. It stops at the first error.
-func (p *Player) Play(ctx context.Context) (Transcript, error) {
+// Run runs all stages in order and returns the transcript. It stops at the first error.
+func (p *Player) Run(ctx context.Context) (Transcript, error) {
 	stages := []struct {
 		name string
 		run  func(context.Context) error
