--- a/internal/program/scenario/accounting.go
+++ b/internal/program/scenario/accounting.go
@@ -19,12 +19,12 @@
 const loadCallers = 24
 
 // platformState returns what the platform stand-in has received.
-func (p *Player) platformState(ctx context.Context) (standin.State, error) {
+func (p *Runner) platformState(ctx context.Context) (standin.State, error) {
 	return decode[standin.State](p.platform.send(ctx, http.MethodGet, web.PathState, nil))
 }
 
 // waitForScaleUp loads the model pool until more servers have been ordered for a zone.
-func (p *Player) waitForScaleUp(ctx context.Context) error {
+func (p *Runner) waitForScaleUp(ctx context.Context) error {
 	loadCtx, stop := context.WithCancel(ctx)
 	var callers conc.WaitGroup
 	for range loadCallers {
@@ -45,7 +45,7 @@
 }
 
 // sendLoad sends generations one after the other until ctx is done.
-func (p *Player) sendLoad(ctx context.Context) {
+func (p *Runner) sendLoad(ctx context.Context) {
 	for ctx.Err() == nil {
 		// Refusals are expected under overload.
 		_, _ = p.entry.send(ctx, http.MethodPost, "/v1/models/"+p.deployment.Model+"/generate",
@@ -54,7 +54,7 @@
 }
 
 // serverCounts returns the smallest and largest count of all orders for the model pool.
-func (p *Player) serverCounts(state standin.State) ServerCounts {
+func (p *Runner) serverCounts(state standin.State) ServerCounts {
 	counts := ServerCounts{}
 	for _, order := range state.Orders {
 		if order.Pool != p.deployment.Model {
@@ -69,7 +69,7 @@
 }
 
 // waitForUsageReports waits until the platform has received all usage of the caller, and records the total.
-func (p *Player) waitForUsageReports(ctx context.Context) error {
+func (p *Runner) waitForUsageReports(ctx context.Context) error {
 	// One booking and two generations besides the lookups.
 	wantRequests := uint64(lookupCount + 1 + 2)
 	return waitUntil(ctx, "usage reports", usageTimeout, func(ctx context.Context) (bool, error) {
@@ -122,7 +122,7 @@
 }
 
 // findLeakedKeys searches everything that the plain services received for organisation keys.
-func (p *Player) findLeakedKeys(ctx context.Context) error {
+func (p *Runner) findLeakedKeys(ctx context.Context) error {
 	p.transcript.LeakedKeys = []string{}
 	for _, service := range p.services {
 		response, err := service.send(ctx, http.MethodGet, web.PathState, nil)
--- a/internal/program/scenario/player.go
+++ b/internal/program/scenario/player.go
@@ -38,8 +38,8 @@
 	Services []string
 }
 
-// Player runs the scenario of one deployment.
-type Player struct {
+// Runner runs the scenario of one deployment.
+type Runner struct {
 	deployment Deployment
 	entry      *client
 	entries    []*client
@@ -51,8 +51,8 @@
 }
 
 // NewRunner returns a player for the processes at targets. It reports its progress to logf.
-func NewRunner(d Deployment, targets Targets, logf func(format string, args ...any)) *Player {
-	p := &Player{deployment: d, entry: newClient(targets.Entry), platform: newClient(targets.Platform), logf: logf}
+func NewRunner(d Deployment, targets Targets, logf func(format string, args ...any)) *Runner {
+	p := &Runner{deployment: d, entry: newClient(targets.Entry), platform: newClient(targets.Platform), logf: logf}
 	for _, url := range targets.Services {
 		p.services = append(p.services, newClient(url))
 	}
@@ -64,7 +64,7 @@
 }
 
 // Run runs all stages in order and returns the transcript. It stops at the first error.
-func (p *Player) Run(ctx context.Context) (Transcript, error) {
+func (p *Runner) Run(ctx context.Context) (Transcript, error) {
 	stages := []struct {
 		name string
 		run  func(context.Context) error
@@ -94,7 +94,7 @@
 
 // Prepare applies the tickets and waits until the plain service and the model answer at every entry. Tests use it instead
 // of Play to send their own requests.
-func (p *Player) Prepare(ctx context.Context) error {
+func (p *Runner) Prepare(ctx context.Context) error {
 	if err := p.applyTickets(ctx); err != nil {
 		return err
 	}
@@ -102,11 +102,11 @@
 }
 
 // authorization returns the Authorization header with the organisation's key, as a name-value pair.
-func (p *Player) authorization(organisation string) []string {
+func (p *Runner) authorization(organisation string) []string {
 	return []string{"Authorization", "Bearer " + p.deployment.Key(organisation)}
 }
 
-func (p *Player) applyTickets(ctx context.Context) error {
+func (p *Runner) applyTickets(ctx context.Context) error {
 	for _, t := range []ticket.Ticket{p.deployment.firstTicket(1, 2), p.deployment.secondTicket()} {
 		if err := p.applyTicket(ctx, t); err != nil {
 			return err
@@ -116,7 +116,7 @@
 }
 
 // applyTicket applies the next ticket and waits until it is in force on all hosts.
-func (p *Player) applyTicket(ctx context.Context, t ticket.Ticket) error {
+func (p *Runner) applyTicket(ctx context.Context, t ticket.Ticket) error {
 	p.lastTicket++
 	number := p.lastTicket
 	body, err := json.Marshal(t)
@@ -145,7 +145,7 @@
 
 // waitForServers waits until the plain service and the model answer at every entry, because hosts discover servers at
 // different times.
-func (p *Player) waitForServers(ctx context.Context) error {
+func (p *Runner) waitForServers(ctx context.Context) error {
 	for _, entry := range p.entries {
 		if err := p.waitForServersAt(ctx, entry); err != nil {
 			return err
@@ -154,7 +154,7 @@
 	return nil
 }
 
-func (p *Player) waitForServersAt(ctx context.Context, entry *client) error {
+func (p *Runner) waitForServersAt(ctx context.Context, entry *client) error {
 	return waitUntil(ctx, "backend servers", serversTimeout, func(ctx context.Context) (bool, error) {
 		response, err := entry.send(ctx, http.MethodGet, "/v1/services/"+p.deployment.Service+"/ready", nil,
 			p.authorization(p.deployment.Withdrawn)...)
@@ -171,7 +171,7 @@
 }
 
 // sendLookups sends the idempotent call lookupCount times and records the last response.
-func (p *Player) sendLookups(ctx context.Context) error {
+func (p *Runner) sendLookups(ctx context.Context) error {
 	for range lookupCount {
 		response, err := p.entry.send(ctx, http.MethodGet, "/v1/services/"+p.deployment.Service+p.deployment.LookupPath, nil,
 			p.authorization(p.deployment.Caller)...)
@@ -200,7 +200,7 @@
 }
 
 // book sends the non-idempotent call twice with the same Idempotency-Key and counts how often it ran.
-func (p *Player) book(ctx context.Context) error {
+func (p *Runner) book(ctx context.Context) error {
 	for _, target := range []*ServiceResponse{&p.transcript.Booking.First, &p.transcript.Booking.Repeated} {
 		header := append(p.authorization(p.deployment.Caller), "Idempotency-Key", "booking-1", "Content-Type", "application/json")
 		response, err := p.entry.send(ctx, http.MethodPost, "/v1/services/"+p.deployment.Service+p.deployment.BookingPath,
@@ -224,7 +224,7 @@
 }
 
 // generate requests a generation that is not streamed.
-func (p *Player) generate(ctx context.Context) error {
+func (p *Runner) generate(ctx context.Context) error {
 	body := fmt.Sprintf(`{"prompt":"summarise %s","maxTokens":%d}`, p.deployment.Name, generationMaxTokens)
 	generation, err := decode[Generation](p.entry.send(ctx, http.MethodPost, "/v1/models/"+p.deployment.Model+"/generate", []byte(body),
 		p.authorization(p.deployment.Caller)...))
@@ -243,7 +243,7 @@
 }
 
 // stream requests a generation as server-sent events and concatenates the text.
-func (p *Player) stream(ctx context.Context) error {
+func (p *Runner) stream(ctx context.Context) error {
 	body := fmt.Sprintf(`{"prompt":"explain %s","maxTokens":%d,"stream":true}`, p.deployment.Name, generationMaxTokens)
 	response, err := p.entry.send(ctx, http.MethodPost, "/v1/models/"+p.deployment.Model+"/generate", []byte(body),
 		p.authorization(p.deployment.Caller)...)
@@ -277,7 +277,7 @@
 }
 
 // sendRefusedRequests sends requests that must be refused and records the refusals.
-func (p *Player) sendRefusedRequests(ctx context.Context) error {
+func (p *Runner) sendRefusedRequests(ctx context.Context) error {
 	service := "/v1/services/" + p.deployment.Service + "/x"
 	for _, test := range []struct {
 		what, method, path string
@@ -302,7 +302,7 @@
 }
 
 // sendRefused sends one request and decodes the refusal.
-func (p *Player) sendRefused(ctx context.Context, what, method, path string, header []string) (Refusal, error) {
+func (p *Runner) sendRefused(ctx context.Context, what, method, path string, header []string) (Refusal, error) {
 	response, err := p.entry.send(ctx, method, path, nil, header...)
 	if err != nil {
 		return Refusal{}, err
@@ -312,7 +312,7 @@
 }
 
 // withdrawKey withdraws the key of Leaver and waits until it is refused.
-func (p *Player) withdrawKey(ctx context.Context) error {
+func (p *Runner) withdrawKey(ctx context.Context) error {
 	sent := time.Now()
 	if err := p.applyTicket(ctx, p.deployment.withdrawalTicket()); err != nil {
 		return err
--- a/internal/program/scenario/training.go
+++ b/internal/program/scenario/training.go
@@ -35,7 +35,7 @@
 }
 
 // runStep posts a step, fetches all of its batches and records the result.
-func (p *Player) runStep(ctx context.Context, number int) error {
+func (p *Runner) runStep(ctx context.Context, number int) error {
 	started := time.Now()
 	path := fmt.Sprintf("/v1/trainerJobs/%s/steps/%d", p.deployment.Job, number)
 	if err := p.postStep(ctx, path, number); err != nil {
@@ -73,7 +73,7 @@
 }
 
 // postStep posts the step until it is accepted.
-func (p *Player) postStep(ctx context.Context, path string, number int) error {
+func (p *Runner) postStep(ctx context.Context, path string, number int) error {
 	body := stepBody{MaxTokens: sampleTokens}
 	for group := range groupsPerStep {
 		body.Groups = append(body.Groups, stepGroup{
@@ -93,7 +93,7 @@
 
 // fetchBatchTwice fetches a batch twice, as a trainer that lost the first response would. It returns the batch, the next
 // cursor and whether both responses are identical.
-func (p *Player) fetchBatchTwice(ctx context.Context, path, cursor string) (batch trainerBatch, next string, identical bool, err error) {
+func (p *Runner) fetchBatchTwice(ctx context.Context, path, cursor string) (batch trainerBatch, next string, identical bool, err error) {
 	first, err := p.fetchBatch(ctx, path, cursor)
 	if err != nil {
 		return batch, "", false, err
@@ -107,7 +107,7 @@
 }
 
 // fetchBatch requests a batch until it is delivered.
-func (p *Player) fetchBatch(ctx context.Context, path, cursor string) (httpResponse, error) {
+func (p *Runner) fetchBatch(ctx context.Context, path, cursor string) (httpResponse, error) {
 	header := p.authorization(p.deployment.Trainer)
 	if cursor != "" {
 		header = append(header, headerCursor, cursor)
@@ -125,7 +125,7 @@
 }
 
 // publishWeights publishes version 2 of the model and waits until a generation uses only this version.
-func (p *Player) publishWeights(ctx context.Context) error {
+func (p *Runner) publishWeights(ctx context.Context) error {
 	sent := time.Now()
 	path := "/v1/trainerJobs/" + p.deployment.Job + "/modelVersions"
 	body := fmt.Sprintf(`{"version":2,"weights":"%s/2"}`, p.deployment.Model)
