--- a/internal/program/faults/bench_test.go
+++ b/internal/program/faults/bench_test.go
@@ -99,7 +99,7 @@
 	return b
 }
 
-// choose keeps the first place of the kind in each zone.
+// choose keeps the first agent of the kind in each zone.
 func (b *bench) choose(kind ticket.PoolKind) {
 	zones := map[string]bool{}
 	chosen := []scenario.Agent{}
--- a/internal/program/faults/withdrawal_test.go
+++ b/internal/program/faults/withdrawal_test.go
@@ -23,7 +23,7 @@
 	return have
 }
 
-// setKey grants the leaver's key or takes it away.
+// setKey grants the key of the organisation Withdrawn or withdraws it.
 func (b *bench) setKey(granted bool) {
 	b.t.Helper()
 	organisation := b.organisation(b.d.Withdrawn)
--- a/internal/program/scenario/accounting.go
+++ b/internal/program/scenario/accounting.go
@@ -19,45 +19,45 @@
 const loadCallers = 24
 
 // platformState returns what the platform stand-in has received.
-func (p *Runner) platformState(ctx context.Context) (standin.State, error) {
-	return decode[standin.State](p.platform.send(ctx, http.MethodGet, web.PathState, nil))
+func (r *Runner) platformState(ctx context.Context) (standin.State, error) {
+	return decode[standin.State](r.platform.send(ctx, http.MethodGet, web.PathState, nil))
 }
 
 // waitForScaleUp loads the model pool until more servers have been ordered for a zone.
-func (p *Runner) waitForScaleUp(ctx context.Context) error {
+func (r *Runner) waitForScaleUp(ctx context.Context) error {
 	loadCtx, stop := context.WithCancel(ctx)
 	var callers conc.WaitGroup
 	for range loadCallers {
-		callers.Go(func() { p.sendLoad(loadCtx) })
+		callers.Go(func() { r.sendLoad(loadCtx) })
 	}
 	err := waitUntil(ctx, "order of more model servers", serversTimeout, func(ctx context.Context) (bool, error) {
-		state, err := p.platformState(ctx)
+		state, err := r.platformState(ctx)
 		if err != nil {
 			return false, err
 		}
-		p.transcript.Servers = p.serverCounts(state)
-		return p.transcript.Servers.Max > p.transcript.Servers.Min, nil
+		r.transcript.Servers = r.serverCounts(state)
+		return r.transcript.Servers.Max > r.transcript.Servers.Min, nil
 	})
 	stop()
 	callers.Wait()
-	p.logf("model servers ordered for a zone under load: at least %d, at most %d", p.transcript.Servers.Min, p.transcript.Servers.Max)
+	r.logf("model servers ordered for a zone under load: at least %d, at most %d", r.transcript.Servers.Min, r.transcript.Servers.Max)
 	return err
 }
 
 // sendLoad sends generations one after the other until ctx is done.
-func (p *Runner) sendLoad(ctx context.Context) {
+func (r *Runner) sendLoad(ctx context.Context) {
 	for ctx.Err() == nil {
 		// Refusals are expected under overload.
-		_, _ = p.entry.send(ctx, http.MethodPost, "/v1/models/"+p.deployment.Model+"/generate",
-			[]byte(`{"prompt":"load","maxTokens":200}`), p.authorization(p.deployment.Trainer)...)
+		_, _ = r.entry.send(ctx, http.MethodPost, "/v1/models/"+r.deployment.Model+"/generate",
+			[]byte(`{"prompt":"load","maxTokens":200}`), r.authorization(r.deployment.Trainer)...)
 	}
 }
 
 // serverCounts returns the smallest and largest count of all orders for the model pool.
-func (p *Runner) serverCounts(state standin.State) ServerCounts {
+func (r *Runner) serverCounts(state standin.State) ServerCounts {
 	counts := ServerCounts{}
 	for _, order := range state.Orders {
-		if order.Pool != p.deployment.Model {
+		if order.Pool != r.deployment.Model {
 			continue
 		}
 		if counts.Min == 0 || order.Count < counts.Min {
@@ -69,11 +69,11 @@
 }
 
 // waitForUsageReports waits until the platform has received all usage of the caller, and records the total.
-func (p *Runner) waitForUsageReports(ctx context.Context) error {
+func (r *Runner) waitForUsageReports(ctx context.Context) error {
 	// One booking and two generations besides the lookups.
 	wantRequests := uint64(lookupCount + 1 + 2)
 	return waitUntil(ctx, "usage reports", usageTimeout, func(ctx context.Context) (bool, error) {
-		state, err := p.platformState(ctx)
+		state, err := r.platformState(ctx)
 		if err != nil {
 			return false, err
 		}
@@ -81,14 +81,14 @@
 		if err != nil {
 			return false, err
 		}
-		p.transcript.PlatformViolations = append([]string{}, state.Violations...)
+		r.transcript.PlatformViolations = append([]string{}, state.Violations...)
 		for _, sum := range sums {
-			if sum.Organisation != p.deployment.Caller {
+			if sum.Organisation != r.deployment.Caller {
 				continue
 			}
-			p.transcript.Usage = []UsageTotal{sum}
+			r.transcript.Usage = []UsageTotal{sum}
 			if sum.Requests >= wantRequests {
-				p.logf("usage of %s reported: %d requests, %d tokens; %d reports in total",
+				r.logf("usage of %s reported: %d requests, %d tokens; %d reports in total",
 					sum.Organisation, sum.Requests, sum.Tokens, len(state.Reports))
 				return true, nil
 			}
@@ -122,19 +122,19 @@
 }
 
 // findLeakedKeys searches everything that the plain services received for organisation keys.
-func (p *Runner) findLeakedKeys(ctx context.Context) error {
-	p.transcript.LeakedKeys = []string{}
-	for _, service := range p.services {
+func (r *Runner) findLeakedKeys(ctx context.Context) error {
+	r.transcript.LeakedKeys = []string{}
+	for _, service := range r.services {
 		response, err := service.send(ctx, http.MethodGet, web.PathState, nil)
 		if err != nil {
 			return err
 		}
-		for _, organisation := range []string{p.deployment.Caller, p.deployment.Trainer, p.deployment.Withdrawn} {
-			if strings.Contains(string(response.Body), p.deployment.Key(organisation)) {
-				p.transcript.LeakedKeys = append(p.transcript.LeakedKeys, organisation)
+		for _, organisation := range []string{r.deployment.Caller, r.deployment.Trainer, r.deployment.Withdrawn} {
+			if strings.Contains(string(response.Body), r.deployment.Key(organisation)) {
+				r.transcript.LeakedKeys = append(r.transcript.LeakedKeys, organisation)
 			}
 		}
 	}
-	p.logf("organisation keys received by plain services: %d", len(p.transcript.LeakedKeys))
+	r.logf("organisation keys received by plain services: %d", len(r.transcript.LeakedKeys))
 	return nil
 }
--- a/internal/program/scenario/deployment.go
+++ b/internal/program/scenario/deployment.go
@@ -17,11 +17,11 @@
 	Scoring string
 	// Job is the trainer job.
 	Job string
-	// Caller, Trainer and Leaver are organisations: Caller sends plain calls and generations, Trainer runs the job, and
-	// the only key of Leaver is withdrawn.
-	Caller  string
-	Trainer string
-	Withdrawn  string
+	// Caller, Trainer and Withdrawn are organisations: Caller sends plain calls and generations, Trainer runs the job,
+	// and the only key of Withdrawn is withdrawn during the run.
+	Caller    string
+	Trainer   string
+	Withdrawn string
 	// BookingPath and BookingBody are the path and body of the non-idempotent call.
 	BookingPath string
 	BookingBody string
@@ -42,7 +42,7 @@
 		Job:               "fee-lines",
 		Caller:            "salalah-ground",
 		Trainer:           "muscat-approach",
-		Withdrawn:            "sur-field",
+		Withdrawn:         "sur-field",
 		BookingPath:       "/bookings",
 		BookingBody:       `{"id":"invoice-A4O-BX-7","amount":120}`,
 		BookingID:         "invoice-A4O-BX-7",
@@ -61,7 +61,7 @@
 		Job:               "rider-answers",
 		Caller:            "begnas-families",
 		Trainer:           "lakeside-riders",
-		Withdrawn:            "fewa-school",
+		Withdrawn:         "fewa-school",
 		BookingPath:       "/bookings",
 		BookingBody:       `{"id":"ride-pony-3-0900","family":"Gurung"}`,
 		BookingID:         "ride-pony-3-0900",
@@ -113,7 +113,7 @@
 	}
 }
 
-// withdrawalTicket returns the ticket that withdraws the only key of Leaver.
+// withdrawalTicket returns the ticket that withdraws the only key of the organisation Withdrawn.
 func (d Deployment) withdrawalTicket() ticket.Ticket {
 	return ticket.Ticket{Organisations: []ticket.Organisation{{Name: d.Withdrawn, Weight: 1}}}
 }
--- a/internal/program/scenario/player.go
+++ b/internal/program/scenario/player.go
@@ -29,7 +29,7 @@
 
 // Targets holds the base URLs of the running processes.
 type Targets struct {
-	// Entry is the entry that receives all requests except those that Prepare and Play send to every entry.
+	// Entry is the entry that receives all requests except those that Prepare and Run send to every entry.
 	Entry string
 	// Entries are all entries.
 	Entries  []string
@@ -50,65 +50,65 @@
 	lastTicket int
 }
 
-// NewRunner returns a player for the processes at targets. It reports its progress to logf.
+// NewRunner returns a runner for the processes at targets. It reports its progress to logf.
 func NewRunner(d Deployment, targets Targets, logf func(format string, args ...any)) *Runner {
-	p := &Runner{deployment: d, entry: newClient(targets.Entry), platform: newClient(targets.Platform), logf: logf}
+	r := &Runner{deployment: d, entry: newClient(targets.Entry), platform: newClient(targets.Platform), logf: logf}
 	for _, url := range targets.Services {
-		p.services = append(p.services, newClient(url))
+		r.services = append(r.services, newClient(url))
 	}
 	for _, url := range targets.Entries {
-		p.entries = append(p.entries, newClient(url))
+		r.entries = append(r.entries, newClient(url))
 	}
-	p.transcript.Deployment = d.Name
-	return p
+	r.transcript.Deployment = d.Name
+	return r
 }
 
 // Run runs all stages in order and returns the transcript. It stops at the first error.
-func (p *Runner) Run(ctx context.Context) (Transcript, error) {
+func (r *Runner) Run(ctx context.Context) (Transcript, error) {
 	stages := []struct {
 		name string
 		run  func(context.Context) error
 	}{
-		{"apply tickets", p.applyTickets},
-		{"wait for servers", p.waitForServers},
-		{"send lookups", p.sendLookups},
-		{"book once", p.book},
-		{"generate", p.generate},
-		{"stream", p.stream},
-		{"send invalid requests", p.sendRefusedRequests},
-		{"train a step", func(ctx context.Context) error { return p.runStep(ctx, 1) }},
-		{"publish new weights", p.publishWeights},
-		{"train a step with new weights", func(ctx context.Context) error { return p.runStep(ctx, 2) }},
-		{"withdraw a key", p.withdrawKey},
-		{"scale up under load", p.waitForScaleUp},
-		{"wait for usage reports", p.waitForUsageReports},
-		{"search backend servers for keys", p.findLeakedKeys},
+		{"apply tickets", r.applyTickets},
+		{"wait for servers", r.waitForServers},
+		{"send lookups", r.sendLookups},
+		{"book once", r.book},
+		{"generate", r.generate},
+		{"stream", r.stream},
+		{"send invalid requests", r.sendRefusedRequests},
+		{"train a step", func(ctx context.Context) error { return r.runStep(ctx, 1) }},
+		{"publish new weights", r.publishWeights},
+		{"train a step with new weights", func(ctx context.Context) error { return r.runStep(ctx, 2) }},
+		{"withdraw a key", r.withdrawKey},
+		{"scale up under load", r.waitForScaleUp},
+		{"wait for usage reports", r.waitForUsageReports},
+		{"search backend servers for keys", r.findLeakedKeys},
 	}
 	for _, stage := range stages {
 		if err := stage.run(ctx); err != nil {
-			return p.transcript, errors.Wrapf(err, "%s: %s", p.deployment.Name, stage.name)
+			return r.transcript, errors.Wrapf(err, "%s: %s", r.deployment.Name, stage.name)
 		}
 	}
-	return p.transcript, nil
+	return r.transcript, nil
 }
 
 // Prepare applies the tickets and waits until the plain service and the model answer at every entry. Tests use it instead
-// of Play to send their own requests.
-func (p *Runner) Prepare(ctx context.Context) error {
-	if err := p.applyTickets(ctx); err != nil {
+// of Run to send their own requests.
+func (r *Runner) Prepare(ctx context.Context) error {
+	if err := r.applyTickets(ctx); err != nil {
 		return err
 	}
-	return p.waitForServers(ctx)
+	return r.waitForServers(ctx)
 }
 
 // authorization returns the Authorization header with the organisation's key, as a name-value pair.
-func (p *Runner) authorization(organisation string) []string {
-	return []string{"Authorization", "Bearer " + p.deployment.Key(organisation)}
+func (r *Runner) authorization(organisation string) []string {
+	return []string{"Authorization", "Bearer " + r.deployment.Key(organisation)}
 }
 
-func (p *Runner) applyTickets(ctx context.Context) error {
-	for _, t := range []ticket.Ticket{p.deployment.firstTicket(1, 2), p.deployment.secondTicket()} {
-		if err := p.applyTicket(ctx, t); err != nil {
+func (r *Runner) applyTickets(ctx context.Context) error {
+	for _, t := range []ticket.Ticket{r.deployment.firstTicket(1, 2), r.deployment.secondTicket()} {
+		if err := r.applyTicket(ctx, t); err != nil {
 			return err
 		}
 	}
@@ -116,9 +116,9 @@
 }
 
 // applyTicket applies the next ticket and waits until it is in force on all hosts.
-func (p *Runner) applyTicket(ctx context.Context, t ticket.Ticket) error {
-	p.lastTicket++
-	number := p.lastTicket
+func (r *Runner) applyTicket(ctx context.Context, t ticket.Ticket) error {
+	r.lastTicket++
+	number := r.lastTicket
 	body, err := json.Marshal(t)
 	if err != nil {
 		return errors.Wrapf(err, "ticket %d", number)
@@ -126,7 +126,7 @@
 	path := fmt.Sprintf("/v1/tickets/%d", number)
 	sent := time.Now()
 	err = waitUntil(ctx, "ticket to be accepted", ticketTimeout, func(ctx context.Context) (bool, error) {
-		status, err := decode[TicketStatus](p.entry.send(ctx, http.MethodPost, path, body))
+		status, err := decode[TicketStatus](r.entry.send(ctx, http.MethodPost, path, body))
 		return err == nil && status.Accepted, err
 	})
 	if err != nil {
@@ -135,34 +135,34 @@
 	var status TicketStatus
 	err = waitUntil(ctx, "ticket to be in force", ticketTimeout, func(ctx context.Context) (bool, error) {
 		var err error
-		status, err = decode[TicketStatus](p.entry.send(ctx, http.MethodGet, path, nil))
+		status, err = decode[TicketStatus](r.entry.send(ctx, http.MethodGet, path, nil))
 		return err == nil && status.Share >= 1, err
 	})
-	p.transcript.Tickets = append(p.transcript.Tickets, status)
-	p.logf("ticket %d accepted and in force on all hosts after %v", number, time.Since(sent).Round(time.Millisecond))
+	r.transcript.Tickets = append(r.transcript.Tickets, status)
+	r.logf("ticket %d accepted and in force on all hosts after %v", number, time.Since(sent).Round(time.Millisecond))
 	return err
 }
 
 // waitForServers waits until the plain service and the model answer at every entry, because hosts discover servers at
 // different times.
-func (p *Runner) waitForServers(ctx context.Context) error {
-	for _, entry := range p.entries {
-		if err := p.waitForServersAt(ctx, entry); err != nil {
+func (r *Runner) waitForServers(ctx context.Context) error {
+	for _, entry := range r.entries {
+		if err := r.waitForServersAt(ctx, entry); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (p *Runner) waitForServersAt(ctx context.Context, entry *client) error {
+func (r *Runner) waitForServersAt(ctx context.Context, entry *client) error {
 	return waitUntil(ctx, "backend servers", serversTimeout, func(ctx context.Context) (bool, error) {
-		response, err := entry.send(ctx, http.MethodGet, "/v1/services/"+p.deployment.Service+"/ready", nil,
-			p.authorization(p.deployment.Withdrawn)...)
+		response, err := entry.send(ctx, http.MethodGet, "/v1/services/"+r.deployment.Service+"/ready", nil,
+			r.authorization(r.deployment.Withdrawn)...)
 		if err != nil || response.Status != http.StatusOK {
 			return false, errors.Errorf("plain service: %d %s %v", response.Status, response.Body, err)
 		}
-		response, err = entry.send(ctx, http.MethodPost, "/v1/models/"+p.deployment.Model+"/generate",
-			[]byte(`{"prompt":"ready?","maxTokens":1}`), p.authorization(p.deployment.Withdrawn)...)
+		response, err = entry.send(ctx, http.MethodPost, "/v1/models/"+r.deployment.Model+"/generate",
+			[]byte(`{"prompt":"ready?","maxTokens":1}`), r.authorization(r.deployment.Withdrawn)...)
 		if err != nil || response.Status != http.StatusOK {
 			return false, errors.Errorf("model: %d %s %v", response.Status, response.Body, err)
 		}
@@ -171,19 +171,19 @@
 }
 
 // sendLookups sends the idempotent call lookupCount times and records the last response.
-func (p *Runner) sendLookups(ctx context.Context) error {
+func (r *Runner) sendLookups(ctx context.Context) error {
 	for range lookupCount {
-		response, err := p.entry.send(ctx, http.MethodGet, "/v1/services/"+p.deployment.Service+p.deployment.LookupPath, nil,
-			p.authorization(p.deployment.Caller)...)
+		response, err := r.entry.send(ctx, http.MethodGet, "/v1/services/"+r.deployment.Service+r.deployment.LookupPath, nil,
+			r.authorization(r.deployment.Caller)...)
 		if err != nil {
 			return err
 		}
-		p.transcript.Lookup, err = echoedRequest(response)
+		r.transcript.Lookup, err = echoedRequest(response)
 		if err != nil {
 			return err
 		}
 	}
-	p.logf("%d lookups sent, last status %d", lookupCount, p.transcript.Lookup.Status)
+	r.logf("%d lookups sent, last status %d", lookupCount, r.transcript.Lookup.Status)
 	return nil
 }
 
@@ -200,36 +200,36 @@
 }
 
 // book sends the non-idempotent call twice with the same Idempotency-Key and counts how often it ran.
-func (p *Runner) book(ctx context.Context) error {
-	for _, target := range []*ServiceResponse{&p.transcript.Booking.First, &p.transcript.Booking.Repeated} {
-		header := append(p.authorization(p.deployment.Caller), "Idempotency-Key", "booking-1", "Content-Type", "application/json")
-		response, err := p.entry.send(ctx, http.MethodPost, "/v1/services/"+p.deployment.Service+p.deployment.BookingPath,
-			[]byte(p.deployment.BookingBody), header...)
+func (r *Runner) book(ctx context.Context) error {
+	for _, target := range []*ServiceResponse{&r.transcript.Booking.First, &r.transcript.Booking.Repeated} {
+		header := append(r.authorization(r.deployment.Caller), "Idempotency-Key", "booking-1", "Content-Type", "application/json")
+		response, err := r.entry.send(ctx, http.MethodPost, "/v1/services/"+r.deployment.Service+r.deployment.BookingPath,
+			[]byte(r.deployment.BookingBody), header...)
 		if err != nil {
 			return err
 		}
 		*target = ServiceResponse{Status: response.Status, Body: string(response.Body)}
 	}
-	for _, service := range p.services {
+	for _, service := range r.services {
 		state, err := decode[struct {
 			Runs map[string]int `json:"runs"`
 		}](service.send(ctx, http.MethodGet, web.PathState, nil))
 		if err != nil {
 			return err
 		}
-		p.transcript.Booking.Runs += state.Runs[p.deployment.BookingID]
+		r.transcript.Booking.Runs += state.Runs[r.deployment.BookingID]
 	}
-	p.logf("a non-idempotent call sent twice with one Idempotency-Key ran %d time(s)", p.transcript.Booking.Runs)
+	r.logf("a non-idempotent call sent twice with one Idempotency-Key ran %d time(s)", r.transcript.Booking.Runs)
 	return nil
 }
 
 // generate requests a generation that is not streamed.
-func (p *Runner) generate(ctx context.Context) error {
-	body := fmt.Sprintf(`{"prompt":"summarise %s","maxTokens":%d}`, p.deployment.Name, generationMaxTokens)
-	generation, err := decode[Generation](p.entry.send(ctx, http.MethodPost, "/v1/models/"+p.deployment.Model+"/generate", []byte(body),
-		p.authorization(p.deployment.Caller)...))
-	p.transcript.Generation = generation
-	p.logf("received a generation of %d tokens by weight versions %v", generation.Tokens, spanVersions(generation.Spans))
+func (r *Runner) generate(ctx context.Context) error {
+	body := fmt.Sprintf(`{"prompt":"summarise %s","maxTokens":%d}`, r.deployment.Name, generationMaxTokens)
+	generation, err := decode[Generation](r.entry.send(ctx, http.MethodPost, "/v1/models/"+r.deployment.Model+"/generate", []byte(body),
+		r.authorization(r.deployment.Caller)...))
+	r.transcript.Generation = generation
+	r.logf("received a generation of %d tokens by weight versions %v", generation.Tokens, spanVersions(generation.Spans))
 	return err
 }
 
@@ -243,10 +243,10 @@
 }
 
 // stream requests a generation as server-sent events and concatenates the text.
-func (p *Runner) stream(ctx context.Context) error {
-	body := fmt.Sprintf(`{"prompt":"explain %s","maxTokens":%d,"stream":true}`, p.deployment.Name, generationMaxTokens)
-	response, err := p.entry.send(ctx, http.MethodPost, "/v1/models/"+p.deployment.Model+"/generate", []byte(body),
-		p.authorization(p.deployment.Caller)...)
+func (r *Runner) stream(ctx context.Context) error {
+	body := fmt.Sprintf(`{"prompt":"explain %s","maxTokens":%d,"stream":true}`, r.deployment.Name, generationMaxTokens)
+	response, err := r.entry.send(ctx, http.MethodPost, "/v1/models/"+r.deployment.Model+"/generate", []byte(body),
+		r.authorization(r.deployment.Caller)...)
 	if err != nil {
 		return err
 	}
@@ -256,54 +256,54 @@
 			continue
 		}
 		var event struct {
-			Text   string     `json:"text"`
-			Done   bool       `json:"done"`
-			Tokens int        `json:"tokens"`
+			Text   string        `json:"text"`
+			Done   bool          `json:"done"`
+			Tokens int           `json:"tokens"`
 			Spans  []VersionSpan `json:"spans"`
 		}
 		if err := json.Unmarshal([]byte(payload), &event); err != nil {
 			return errors.Wrapf(err, "event %q", payload)
 		}
-		p.transcript.Stream.Text += event.Text
+		r.transcript.Stream.Text += event.Text
 		if event.Done {
-			p.transcript.Stream.Tokens, p.transcript.Stream.Spans = event.Tokens, event.Spans
+			r.transcript.Stream.Tokens, r.transcript.Stream.Spans = event.Tokens, event.Spans
 		}
 	}
-	if p.transcript.Stream.Tokens == 0 {
+	if r.transcript.Stream.Tokens == 0 {
 		return errors.Errorf("the stream has no final event: status %d: %s", response.Status, response.Body)
 	}
-	p.logf("received a streamed generation of %d tokens", p.transcript.Stream.Tokens)
+	r.logf("received a streamed generation of %d tokens", r.transcript.Stream.Tokens)
 	return nil
 }
 
 // sendRefusedRequests sends requests that must be refused and records the refusals.
-func (p *Runner) sendRefusedRequests(ctx context.Context) error {
-	service := "/v1/services/" + p.deployment.Service + "/x"
+func (r *Runner) sendRefusedRequests(ctx context.Context) error {
+	service := "/v1/services/" + r.deployment.Service + "/x"
 	for _, test := range []struct {
 		what, method, path string
 		header             []string
 	}{
 		{"unknown key", http.MethodGet, service, []string{"Authorization", "Bearer nobody"}},
-		{"unknown pool", http.MethodGet, "/v1/services/nothing/x", p.authorization(p.deployment.Caller)},
+		{"unknown pool", http.MethodGet, "/v1/services/nothing/x", r.authorization(r.deployment.Caller)},
 		{
-			"another organisation's trainer job", http.MethodGet, "/v1/trainerJobs/" + p.deployment.Job + "/steps/1/batches/1",
-			p.authorization(p.deployment.Caller),
+			"another organisation's trainer job", http.MethodGet, "/v1/trainerJobs/" + r.deployment.Job + "/steps/1/batches/1",
+			r.authorization(r.deployment.Caller),
 		},
-		{"key in the path", http.MethodGet, service + "/" + p.deployment.Key(p.deployment.Caller), p.authorization(p.deployment.Caller)},
+		{"key in the path", http.MethodGet, service + "/" + r.deployment.Key(r.deployment.Caller), r.authorization(r.deployment.Caller)},
 	} {
-		refusal, err := p.sendRefused(ctx, test.what, test.method, test.path, test.header)
+		refusal, err := r.sendRefused(ctx, test.what, test.method, test.path, test.header)
 		if err != nil {
 			return err
 		}
-		p.transcript.Refusals = append(p.transcript.Refusals, refusal)
+		r.transcript.Refusals = append(r.transcript.Refusals, refusal)
 	}
-	p.logf("%d requests refused", len(p.transcript.Refusals))
+	r.logf("%d requests refused", len(r.transcript.Refusals))
 	return nil
 }
 
 // sendRefused sends one request and decodes the refusal.
-func (p *Runner) sendRefused(ctx context.Context, what, method, path string, header []string) (Refusal, error) {
-	response, err := p.entry.send(ctx, method, path, nil, header...)
+func (r *Runner) sendRefused(ctx context.Context, what, method, path string, header []string) (Refusal, error) {
+	response, err := r.entry.send(ctx, method, path, nil, header...)
 	if err != nil {
 		return Refusal{}, err
 	}
@@ -311,23 +311,23 @@
 	return refusal, errors.Wrapf(json.Unmarshal(response.Body, &refusal), "refusal %q", response.Body)
 }
 
-// withdrawKey withdraws the key of Leaver and waits until it is refused.
-func (p *Runner) withdrawKey(ctx context.Context) error {
+// withdrawKey withdraws the key of the organisation Withdrawn and waits until it is refused.
+func (r *Runner) withdrawKey(ctx context.Context) error {
 	sent := time.Now()
-	if err := p.applyTicket(ctx, p.deployment.withdrawalTicket()); err != nil {
+	if err := r.applyTicket(ctx, r.deployment.withdrawalTicket()); err != nil {
 		return err
 	}
 	var refusal Refusal
 	err := waitUntil(ctx, "key to be refused", withdrawalTimeout, func(ctx context.Context) (bool, error) {
-		response, err := p.entry.send(ctx, http.MethodGet, "/v1/services/"+p.deployment.Service+"/ready", nil,
-			p.authorization(p.deployment.Withdrawn)...)
+		response, err := r.entry.send(ctx, http.MethodGet, "/v1/services/"+r.deployment.Service+"/ready", nil,
+			r.authorization(r.deployment.Withdrawn)...)
 		if err != nil || response.Status == http.StatusOK {
 			return false, err
 		}
 		refusal = Refusal{What: "withdrawn key", Status: response.Status}
 		return true, errors.Wrap(json.Unmarshal(response.Body, &refusal), "refusal")
 	})
-	p.transcript.Refusals = append(p.transcript.Refusals, refusal)
-	p.logf("withdrawn key refused %v after its ticket was sent", time.Since(sent).Round(time.Millisecond))
+	r.transcript.Refusals = append(r.transcript.Refusals, refusal)
+	r.logf("withdrawn key refused %v after its ticket was sent", time.Since(sent).Round(time.Millisecond))
 	return err
 }
--- a/internal/program/scenario/topology.go
+++ b/internal/program/scenario/topology.go
@@ -116,7 +116,7 @@
 	return hosts
 }
 
-// Targets returns the base URLs that a player needs.
+// Targets returns the base URLs that a Runner needs.
 func (t Topology) Targets() Targets {
 	targets := Targets{
 		Entry:    "http://" + t.Entries[0].Listen.String(),
--- a/internal/program/scenario/training.go
+++ b/internal/program/scenario/training.go
@@ -29,16 +29,16 @@
 type trainerBatch struct {
 	Last    bool `json:"last"`
 	Samples []struct {
-		ID    string     `json:"sampleId"`
+		ID    string        `json:"sampleId"`
 		Spans []VersionSpan `json:"spans"`
 	} `json:"samples"`
 }
 
 // runStep posts a step, fetches all of its batches and records the result.
-func (p *Runner) runStep(ctx context.Context, number int) error {
+func (r *Runner) runStep(ctx context.Context, number int) error {
 	started := time.Now()
-	path := fmt.Sprintf("/v1/trainerJobs/%s/steps/%d", p.deployment.Job, number)
-	if err := p.postStep(ctx, path, number); err != nil {
+	path := fmt.Sprintf("/v1/trainerJobs/%s/steps/%d", r.deployment.Job, number)
+	if err := r.postStep(ctx, path, number); err != nil {
 		return err
 	}
 	result := StepResult{Step: number, RepeatIdentical: true}
@@ -46,7 +46,7 @@
 	cursor := ""
 	for last := false; !last; {
 		result.Batches++
-		batch, next, identical, err := p.fetchBatchTwice(ctx, fmt.Sprintf("%s/batches/%d", path, result.Batches), cursor)
+		batch, next, identical, err := r.fetchBatchTwice(ctx, fmt.Sprintf("%s/batches/%d", path, result.Batches), cursor)
 		if err != nil {
 			return err
 		}
@@ -66,18 +66,18 @@
 			result.Duplicates++
 		}
 	}
-	p.transcript.Steps = append(p.transcript.Steps, result)
-	p.logf("step %d: %d samples in %d batches by weight versions %v, took %v",
+	r.transcript.Steps = append(r.transcript.Steps, result)
+	r.logf("step %d: %d samples in %d batches by weight versions %v, took %v",
 		number, result.Samples, result.Batches, result.Versions, time.Since(started).Round(time.Millisecond))
 	return nil
 }
 
 // postStep posts the step until it is accepted.
-func (p *Runner) postStep(ctx context.Context, path string, number int) error {
+func (r *Runner) postStep(ctx context.Context, path string, number int) error {
 	body := stepBody{MaxTokens: sampleTokens}
 	for group := range groupsPerStep {
 		body.Groups = append(body.Groups, stepGroup{
-			Prompt:  fmt.Sprintf("%s step %d prompt %d", p.deployment.Job, number, group),
+			Prompt:  fmt.Sprintf("%s step %d prompt %d", r.deployment.Job, number, group),
 			Samples: samplesPerGroup,
 		})
 	}
@@ -86,19 +86,19 @@
 		return errors.Wrap(err, path)
 	}
 	return waitUntil(ctx, "step to be accepted", batchTimeout, func(ctx context.Context) (bool, error) {
-		_, err := decode[json.RawMessage](p.entry.send(ctx, http.MethodPost, path, raw, p.authorization(p.deployment.Trainer)...))
+		_, err := decode[json.RawMessage](r.entry.send(ctx, http.MethodPost, path, raw, r.authorization(r.deployment.Trainer)...))
 		return err == nil, err
 	})
 }
 
 // fetchBatchTwice fetches a batch twice, as a trainer that lost the first response would. It returns the batch, the next
 // cursor and whether both responses are identical.
-func (p *Runner) fetchBatchTwice(ctx context.Context, path, cursor string) (batch trainerBatch, next string, identical bool, err error) {
-	first, err := p.fetchBatch(ctx, path, cursor)
+func (r *Runner) fetchBatchTwice(ctx context.Context, path, cursor string) (batch trainerBatch, next string, identical bool, err error) {
+	first, err := r.fetchBatch(ctx, path, cursor)
 	if err != nil {
 		return batch, "", false, err
 	}
-	repeat, err := p.fetchBatch(ctx, path, cursor)
+	repeat, err := r.fetchBatch(ctx, path, cursor)
 	if err != nil {
 		return batch, "", false, err
 	}
@@ -107,15 +107,15 @@
 }
 
 // fetchBatch requests a batch until it is delivered.
-func (p *Runner) fetchBatch(ctx context.Context, path, cursor string) (httpResponse, error) {
-	header := p.authorization(p.deployment.Trainer)
+func (r *Runner) fetchBatch(ctx context.Context, path, cursor string) (httpResponse, error) {
+	header := r.authorization(r.deployment.Trainer)
 	if cursor != "" {
 		header = append(header, headerCursor, cursor)
 	}
 	var response httpResponse
 	err := waitUntil(ctx, "batch", batchTimeout, func(ctx context.Context) (bool, error) {
 		var err error
-		response, err = p.entry.send(ctx, http.MethodGet, path, nil, header...)
+		response, err = r.entry.send(ctx, http.MethodGet, path, nil, header...)
 		if err == nil && response.Status != http.StatusOK {
 			err = errors.Errorf("%s: status %d: %s", path, response.Status, response.Body)
 		}
@@ -125,26 +125,26 @@
 }
 
 // publishWeights publishes version 2 of the model and waits until a generation uses only this version.
-func (p *Runner) publishWeights(ctx context.Context) error {
+func (r *Runner) publishWeights(ctx context.Context) error {
 	sent := time.Now()
-	path := "/v1/trainerJobs/" + p.deployment.Job + "/modelVersions"
-	body := fmt.Sprintf(`{"version":2,"weights":"%s/2"}`, p.deployment.Model)
+	path := "/v1/trainerJobs/" + r.deployment.Job + "/modelVersions"
+	body := fmt.Sprintf(`{"version":2,"weights":"%s/2"}`, r.deployment.Model)
 	err := waitUntil(ctx, "model version to be accepted", versionTimeout, func(ctx context.Context) (bool, error) {
-		_, err := decode[json.RawMessage](p.entry.send(ctx, http.MethodPost, path, []byte(body), p.authorization(p.deployment.Trainer)...))
+		_, err := decode[json.RawMessage](r.entry.send(ctx, http.MethodPost, path, []byte(body), r.authorization(r.deployment.Trainer)...))
 		return err == nil, err
 	})
 	if err != nil {
 		return err
 	}
 	err = waitUntil(ctx, "new weights to be served", versionTimeout, func(ctx context.Context) (bool, error) {
-		generation, err := decode[Generation](p.entry.send(ctx, http.MethodPost, "/v1/models/"+p.deployment.Model+"/generate",
-			[]byte(`{"prompt":"which weights?","maxTokens":2}`), p.authorization(p.deployment.Trainer)...))
+		generation, err := decode[Generation](r.entry.send(ctx, http.MethodPost, "/v1/models/"+r.deployment.Model+"/generate",
+			[]byte(`{"prompt":"which weights?","maxTokens":2}`), r.authorization(r.deployment.Trainer)...))
 		if err != nil {
 			return false, err
 		}
 		found := spanVersions(generation.Spans)
 		return len(found) == 1 && found[0] == 2, nil
 	})
-	p.logf("new weights were served %v after they were published", time.Since(sent).Round(time.Millisecond))
+	r.logf("new weights were served %v after they were published", time.Since(sent).Round(time.Millisecond))
 	return err
 }
--- a/internal/program/scenario/transcript.go
+++ b/internal/program/scenario/transcript.go
@@ -8,7 +8,7 @@
 // between runs.
 type Transcript struct {
 	Deployment         string          `json:"deployment"`
-	Tickets            []TicketStatus    `json:"tickets"`
+	Tickets            []TicketStatus  `json:"tickets"`
 	Lookup             ServiceResponse `json:"lookup"`
 	Booking            BookingResult   `json:"booking"`
 	Generation         Generation      `json:"generation"`
@@ -53,8 +53,8 @@
 
 // Generation is a generation as its caller received it.
 type Generation struct {
-	Text   string     `json:"text"`
-	Tokens int        `json:"tokens"`
+	Text   string        `json:"text"`
+	Tokens int           `json:"tokens"`
 	Spans  []VersionSpan `json:"spans"`
 }
 
