--- a/internal/program/faults/table_test.go
+++ b/internal/program/faults/table_test.go
@@ -10,7 +10,7 @@
 	// Requests of callers.
 	{steps: atEachStep, faults: one(doubled, killed, frozen, cutOneWay, cutBothWays, answerLost, answerLate, platformSlow, killedInDown, wokenInDown, lostAndDead), tests: one("program/faults.TestRequestAtEachStep")},
 	{steps: one(requestAdmitted), faults: one(doubled, killed, frozen, cutOneWay, cutBothWays, answerLost, answerLate, platformSlow, killedInDown, lostAndDead), tests: one("program/faults.TestRequestAdmitted")},
-	{steps: one(requestStarted), faults: one(killed, frozen, answerLost), tests: one("program/e2e.TestCallsTellTheTruthWhileThingsFail")},
+	{steps: one(requestStarted), faults: one(killed, frozen, answerLost), tests: one("program/e2e.TestVerdictsMatchRunsDuringFaults")},
 	{steps: one(requestSent), faults: one(frozen), tests: one("edge/peer.TestWokenProcessActsOnNoOldFrame")},
 	{steps: one(requestSent), faults: one(answerLate), tests: one("edge/agent.TestLateFrameAfterSettle", "core/execution.TestLateFrameAfterSettleNeverRuns")},
 	{steps: one(requestSent), faults: one(doubled), tests: one("edge/agent.TestDoubledExecuteRunsOnce", "edge/peer.TestDoubledRequestRunsOnce")},
@@ -18,7 +18,7 @@
 	{steps: one(requestAnswered), faults: one(crossed), tests: one("edge/peer.TestTamperedAnswerIsNeverWhole", "edge/exchange.TestSurplusAnswerIsNotGivenToTheNextCall", "edge/entry.TestCallersGetTheirOwnAnswers")},
 	{steps: one(requestAnswered), faults: one(short), tests: one("edge/entry.TestHalfAnswerIsNotPassedOn", "edge/peer.TestConnectionFailsMidAnswer")},
 	{steps: one(requestAnswered), faults: one(answerLate, doubled), tests: one("edge/peer.TestTamperedAnswerIsNeverWhole")},
-	{steps: requests, faults: one(platformDown, downForLong), tests: one("program/e2e.TestCallsTellTheTruthWhileThingsFail")},
+	{steps: requests, faults: one(platformDown, downForLong), tests: one("program/e2e.TestVerdictsMatchRunsDuringFaults")},
 	{steps: one(requestAdmitted), faults: one(wokenInDown), tests: one("edge/configuration.TestIsolatedHostInOutage")},
 	{steps: one(requestAdmitted), faults: one(cutBothWays), tests: one("edge/entry.TestIsolatedHostRefuses", "edge/configuration.TestIsolatedHostRefuses")},
 	{steps: one(requestAdmitted), faults: one(withdrawn), tests: one("program/e2e.TestWithdrawnKeyStopsEverywhere")},
