--- a/internal/program/e2e/control_test.go
+++ b/internal/program/e2e/control_test.go
@@ -168,7 +168,7 @@
 // Each entry in turn is frozen for longer than its leases last, so that the other takes over its duties, and resumes
 // in the middle of its work as if it still held them. The platform must never receive an order with an older fencing
 // number after a newer one, nor two different usage reports for one window.
-func TestWokenHolderDoesNoHarm(t *testing.T) {
+func TestResumedDutyHolderIsFenced(t *testing.T) {
 	t.Parallel()
 	d := scenario.Sahil()
 	c := newPreparedCluster(t, d)
