--- a/internal/program/e2e/trainer_test.go
+++ b/internal/program/e2e/trainer_test.go
@@ -227,7 +227,7 @@
 // makes progress again. In the middle of a step the entry that coordinates the job is killed, or frozen for longer than
 // its lease lasts and resumed, or the platform is down for 30 s, during which the coordinator may also be killed or
 // frozen. The trainer continues with whichever entry answers.
-func TestTrainerGetsEachSampleOnceWhileThingsFail(t *testing.T) {
+func TestTrainerGetsEachSampleOnceDuringFaults(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
 		name   string
--- a/internal/program/faults/table_control_test.go
+++ b/internal/program/faults/table_control_test.go
@@ -40,7 +40,7 @@
 	{steps: one(sampleBatched, sampleDelivered), faults: one(platformDown, downForLong), tests: one("edge/trainer.TestOutageWithCursor", "edge/trainer.TestOutageWithoutCursor")},
 	{steps: one(sampleDelivered), faults: one(killed, frozen, cutOneWay, cutBothWays, answerLost, answerLate, short, platformDown, platformSlow, downForLong, killedInDown, wokenInDown, lostAndDead), tests: one("edge/trainer.TestDeliveryUnderFaults")},
 	{steps: one(sampleDelivered), faults: one(killed, answerLost, answerLate, doubled, crossed, killedInDown, wokenInDown, lostAndDead), tests: one("core/delivery.TestEverySampleIsDeliveredOnce")},
-	{steps: one(sampleDelivered), faults: one(killed, frozen, platformDown, downForLong, killedInDown, wokenInDown), tests: one("program/e2e.TestTrainerGetsEachSampleOnceWhileThingsFail")},
+	{steps: one(sampleDelivered), faults: one(killed, frozen, platformDown, downForLong, killedInDown, wokenInDown), tests: one("program/e2e.TestTrainerGetsEachSampleOnceDuringFaults")},
 	{steps: one(sampleDelivered), faults: one(platformDown, downForLong, killedInDown, wokenInDown), tests: one("edge/trainer.TestBatchOfAnOutageIsRepeatedBySuccessors")},
 	{steps: samples, faults: one(withdrawn), tests: one("edge/trainer.TestKeyWithdrawnWhileWaiting")},
 	{steps: one(sampleBatched, sampleDelivered), faults: one(frozen, wokenInDown), tests: one("core/delivery.TestUnsentWriteIsNoOutage", "edge/trainer.TestOutageCountsOnlySinceTheTerm")},
