--- a/internal/program/e2e/leave_test.go
+++ b/internal/program/e2e/leave_test.go
@@ -70,7 +70,7 @@
 
 // An agent is frozen during an outage of the platform and resumes in the same outage with usage counts that were never
 // stored. Calls that ran before and after the freeze must be reported exactly once after the platform is back.
-func TestAgentWokenInAnOutageKeepsItsCounts(t *testing.T) {
+func TestAgentResumedInAnOutageKeepsItsCounts(t *testing.T) {
 	t.Parallel()
 	d := scenario.Sahil()
 	c := newPreparedCluster(t, d)
--- a/internal/program/faults/table_control_test.go
+++ b/internal/program/faults/table_control_test.go
@@ -81,7 +81,7 @@
 	{steps: orders, faults: one(race, withdrawn, swapFails), because: "orders follow load and one accepted configuration; no key or weight is part of them"},
 
 	// Usage.
-	{steps: one(usageCounted), faults: one(wokenInDown), tests: one("program/e2e.TestAgentWokenInAnOutageKeepsItsCounts")},
+	{steps: one(usageCounted), faults: one(wokenInDown), tests: one("program/e2e.TestAgentResumedInAnOutageKeepsItsCounts")},
 	{steps: one(usageCounted), faults: one(killed, cutOneWay, cutBothWays, answerLost, answerLate, doubled, short, killedInDown, lostAndDead), tests: one("edge/billing.TestCountIsInTwoPlaces")},
 	{steps: one(usageCounted), faults: one(doubled, crossed, answerLate), tests: one("core/usage.TestMergeIgnoresOrderAndRepeats")},
 	{steps: one(usageCounted), faults: one(frozen), tests: one("program/e2e.TestUsageIsReportedOnceForEachWindow")},
