--- a/internal/program/e2e/calls_test.go
+++ b/internal/program/e2e/calls_test.go
@@ -143,8 +143,8 @@
 	return ""
 }
 
-// Callers send non-idempotent calls while a process on the request path is killed, frozen, shut down or cut off from
-// the platform. A call answered 201 must have run exactly once. A call refused as not run must never run, not even
+// Callers send non-idempotent calls while a process on the request path is killed, frozen or shut down, closes
+// connections early, or loses the platform. A call answered 201 must have run exactly once. A call refused as not run must never run, not even
 // after a frozen process resumes. A call whose outcome is unknown must have run at most once.
 func TestVerdictsMatchRunsDuringFaults(t *testing.T) {
 	t.Parallel()
