--- a/internal/program/capacity/capacity.go
+++ b/internal/program/capacity/capacity.go
@@ -1,9 +1,10 @@
-// Package capacity measures on one machine how the cost of the system's parts grows with their sizes, for docs/CAPACITY.md.
+// Package capacity measures, on one machine, how the cost of the system's parts grows with their sizes. The results are
+// the basis of docs/CAPACITY.md.
 //
-// Each slope drives real parts over loopback against the in-process stand-ins at several sizes and fits a
-// line through each figure. All ends of a connection run in this process, so processor time and memory of
-// a slope are those of both ends together, stand-ins included, unless its notes say otherwise: figures for
-// one end that are taken from them are upper bounds.
+// Each experiment, which the command line and the report call a slope, runs real parts over loopback against in-process
+// stand-ins of external services, at several sizes, and fits a line through each metric. Both ends of every connection run
+// in this process, so processor time and memory include both ends and the stand-ins unless the notes of the experiment
+// say otherwise. Taken for one end alone, such values are upper bounds.
 package capacity
 
 import (
@@ -17,64 +18,64 @@
 )
 
 const (
-	// window is how long a running part is observed. Parts whose timers run every 2 or 3 seconds are observed for
-	// two windows, a multiple of both, since all of them start at once and a part of a period would count whole.
-	window = 3 * time.Second
-	// settle is how long a part runs before it is observed, so that starting it isn't counted.
-	settle = 1500 * time.Millisecond
+	// observationTime is how long a running part is observed. Parts with timers of 2 or 3 seconds are observed for twice
+	// as long, a multiple of both periods: all timers start together, so a partial period would count as a whole one.
+	observationTime = 3 * time.Second
+	// settleTime is how long a part runs before it is observed, so that the cost of starting it isn't counted.
+	settleTime = 1500 * time.Millisecond
 
 	tableFile = "slopes.md"
 	dirMode   = 0o755
 	fileMode  = 0o644
 )
 
-// measurements are all slopes, in the order in which they are measured.
+// measurements returns all experiments in the order in which they run.
 func measurements() []measurement {
 	return []measurement{
-		slope(connections{}),
-		slope(followers{}),
-		slope(keys{}),
-		slope(organisations{}),
-		slope(hostList{}),
-		slope(listFollowers{}),
-		slope(duties{}),
-		slope(zone{}),
-		slope(entryAtRest{}),
-		slope(streams{}),
-		slope(placements{}),
-		slope(samples{}),
-		slope(usageCells{}),
-		slope(closings{}),
+		measurementOf(connectionExperiment{}),
+		measurementOf(followerExperiment{}),
+		measurementOf(keyExperiment{}),
+		measurementOf(organisationExperiment{}),
+		measurementOf(hostListExperiment{}),
+		measurementOf(listFollowerExperiment{}),
+		measurementOf(dutyExperiment{}),
+		measurementOf(zoneExperiment{}),
+		measurementOf(idleEntryExperiment{}),
+		measurementOf(streamExperiment{}),
+		measurementOf(placementExperiment{}),
+		measurementOf(sampleExperiment{}),
+		measurementOf(usageCellExperiment{}),
+		measurementOf(closingExperiment{}),
 	}
 }
 
-// slope binds a slope of any size type to its measurement.
-func slope[S Size](s Slope[S]) measurement {
+// measurementOf wraps an experiment of any size type.
+func measurementOf[S Size](e Experiment[S]) measurement {
 	return measurement{
-		name:    s.About().Name,
-		measure: func(ctx context.Context) (Table, error) { return Measure(ctx, s) },
+		name:    e.Description().Name,
+		measure: func(ctx context.Context) (Table, error) { return Measure(ctx, e) },
 	}
 }
 
-// measurement is a slope whose type of size is hidden.
+// measurement is an experiment without its size type, so that all experiments fit into one list.
 type measurement struct {
 	name    string
 	measure func(context.Context) (Table, error)
 }
 
-// Run measures all slopes, or only those named, and writes their table and plots into the directory.
-// tell hears of each slope.
-func Run(ctx context.Context, directory string, only []string, tell func(name string, took time.Duration)) error {
+// Run runs all experiments, or only the named ones, and writes a table of the results and a plot of each experiment into
+// the directory. It calls report with the name and the duration of each finished experiment.
+func Run(ctx context.Context, directory string, only []string, report func(name string, elapsed time.Duration)) error {
 	if err := os.MkdirAll(directory, dirMode); err != nil {
-		return errors.Wrap(err, "directory of the slopes")
+		return errors.Wrap(err, "create the output directory")
 	}
 	tables := []Table{}
-	for _, slope := range measurements() {
-		if len(only) > 0 && !slices.Contains(only, slope.name) {
+	for _, m := range measurements() {
+		if len(only) > 0 && !slices.Contains(only, m.name) {
 			continue
 		}
 		started := time.Now()
-		table, err := slope.measure(ctx)
+		table, err := m.measure(ctx)
 		if err != nil {
 			return err
 		}
@@ -82,7 +83,7 @@
 			return err
 		}
 		tables = append(tables, table)
-		tell(table.Name, time.Since(started))
+		report(table.Name, time.Since(started))
 	}
 	path := filepath.Join(directory, tableFile)
 	return errors.Wrap(os.WriteFile(path, []byte(Markdown(tables)), fileMode), path)
--- a/internal/program/capacity/capacity_test.go
+++ b/internal/program/capacity/capacity_test.go
@@ -33,22 +33,24 @@
 	}
 }
 
-type colour int
+type customSize int
 
-// doubled is a slope with a size type of its own.
-type doubled struct{ name string }
+// doubleExperiment is an experiment with its own size type. Its metrics are proportional to the size.
+type doubleExperiment struct{ name string }
 
-func (d doubled) About() About    { return About{Name: d.name, Axis: "colour", Notes: "Twice the size."} }
-func (d doubled) Sizes() []colour { return []colour{1, 2, 3, 1000} }
+func (d doubleExperiment) Description() Description {
+	return Description{Name: d.name, SizeUnit: "colour", Notes: "Twice the size."}
+}
+func (d doubleExperiment) Sizes() []customSize { return []customSize{1, 2, 3, 1000} }
 
-func (d doubled) Measure(_ context.Context, size colour) ([]Figure, error) {
-	return []Figure{{Name: "twice", Unit: "B", Value: float64(2 * size)}, {Name: "small", Unit: "µs", Value: float64(size) / 3e4}}, nil
+func (d doubleExperiment) Measure(_ context.Context, size customSize) ([]Metric, error) {
+	return []Metric{{Name: "twice", Unit: "B", Value: float64(2 * size)}, {Name: "small", Unit: "µs", Value: float64(size) / 3e4}}, nil
 }
 
 func TestTableAndPlot(t *testing.T) {
 	tables := []Table{}
 	for _, name := range []string{"second", "first"} {
-		table, err := Measure(context.Background(), doubled{name: name})
+		table, err := Measure(context.Background(), doubleExperiment{name: name})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -75,29 +77,29 @@
 		_, err = decoder.Token()
 	}
 	if !errors.Is(err, io.EOF) {
-		t.Errorf("the plot is no XML: %v", err)
+		t.Errorf("the plot is not valid XML: %v", err)
 	}
 }
 
-// TestSmallSizesMeasure measures the parts that need no time of observation at a small size.
-func TestSmallSizesMeasure(t *testing.T) {
+// TestMeasureSmallSizes runs the experiments that observe nothing over time, at a small size.
+func TestMeasureSmallSizes(t *testing.T) {
 	ctx := context.Background()
 	cases := []struct {
 		name    string
-		measure func() ([]Figure, error)
+		measure func() ([]Metric, error)
 	}{
-		{name: "keys", measure: func() ([]Figure, error) { return keys{}.Measure(ctx, 10) }},
-		{name: "organisations", measure: func() ([]Figure, error) { return organisations{}.Measure(ctx, 8) }},
-		{name: "placement", measure: func() ([]Figure, error) { return placements{}.Measure(ctx, 10) }},
-		{name: "samples", measure: func() ([]Figure, error) { return samples{}.Measure(ctx, 16) }},
-		{name: "usage counts", measure: func() ([]Figure, error) { return usageCells{}.Measure(ctx, 8) }},
-		{name: "closings", measure: func() ([]Figure, error) { return closings{}.Measure(ctx, 8) }},
+		{name: "keys", measure: func() ([]Metric, error) { return keyExperiment{}.Measure(ctx, 10) }},
+		{name: "organisations", measure: func() ([]Metric, error) { return organisationExperiment{}.Measure(ctx, 8) }},
+		{name: "placement", measure: func() ([]Metric, error) { return placementExperiment{}.Measure(ctx, 10) }},
+		{name: "samples", measure: func() ([]Metric, error) { return sampleExperiment{}.Measure(ctx, 16) }},
+		{name: "usage counts", measure: func() ([]Metric, error) { return usageCellExperiment{}.Measure(ctx, 8) }},
+		{name: "closings", measure: func() ([]Metric, error) { return closingExperiment{}.Measure(ctx, 8) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			figures, err := c.measure()
-			if err != nil || len(figures) == 0 {
-				t.Errorf("%v, %v", figures, err)
+			metrics, err := c.measure()
+			if err != nil || len(metrics) == 0 {
+				t.Errorf("Measure() = %v, %v, want metrics and no error", metrics, err)
 			}
 		})
 	}
--- a/internal/program/capacity/connections.go
+++ b/internal/program/capacity/connections.go
@@ -12,45 +12,46 @@
 
 const methodEcho peer.Method = "capacity.echo"
 
-var secret = []byte("secret of the measured processes")
+var peerSecret = []byte("secret of the measured processes")
 
+// echo is the request and the response of methodEcho.
 type echo struct {
 	Number int `msgpack:"n"`
 }
 
-// addressOf is the address of a loopback listener.
-func addressOf(text string) netip.AddrPort {
+// parseAddress parses the address of a loopback listener.
+func parseAddress(text string) netip.AddrPort {
 	address, _ := netip.ParseAddrPort(text) // a listener's own address always parses
 	return address
 }
 
-// connections is the cost of open peer connections that carry nothing but heartbeats.
-type connections struct{}
+// connectionExperiment measures the cost of open peer connections that carry only heartbeats.
+type connectionExperiment struct{}
 
-// About implements Slope.
-func (connections) About() About {
-	return About{
-		Name: "connections", Axis: "connection",
-		Notes: "Idle peer connections with a heartbeat a second each way; both ends. Opening includes the handshake and one request.",
+// Description implements Experiment.
+func (connectionExperiment) Description() Description {
+	return Description{
+		Name: "connections", SizeUnit: "connection",
+		Notes: "Idle peer connections with one heartbeat per second in each direction; both ends. Opening includes the handshake and one request.",
 	}
 }
 
-// Sizes implements Slope.
-func (connections) Sizes() []int { return []int{1, 75, 150, 300} }
+// Sizes implements Experiment.
+func (connectionExperiment) Sizes() []int { return []int{1, 75, 150, 300} }
 
-// Measure implements Slope.
-func (connections) Measure(ctx context.Context, count int) ([]Figure, error) {
+// Measure implements Experiment.
+func (connectionExperiment) Measure(ctx context.Context, count int) ([]Metric, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	before := usedMemory()
-	w := &wire{}
-	l, err := w.listen(ctx)
+	memoryBefore := memoryInUse()
+	traffic := &trafficCounter{}
+	l, err := traffic.listen(ctx)
 	if err != nil {
 		cancel()
 		return nil, err
 	}
 	registry := peer.NewRegistry()
-	peer.Handle(registry, methodEcho, func(_ context.Context, q echo) (echo, error) { return q, nil })
-	server := peer.NewServer(ctx, l, registry, secret)
+	peer.Handle(registry, methodEcho, func(_ context.Context, request echo) (echo, error) { return request, nil })
+	server := peer.NewServer(ctx, l, registry, peerSecret)
 	clients := make([]*peer.Client, count)
 	defer func() {
 		cancel()
@@ -59,41 +60,41 @@
 		}
 		_ = server.Close()
 	}()
-	began, used := time.Now(), usedTime()
+	started, processorStart := time.Now(), processorTime()
 	for i := range clients {
-		clients[i] = peer.NewClient(ctx, secret)
+		clients[i] = peer.NewClient(ctx, peerSecret)
 	}
-	if err := askAll(ctx, clients, addressOf(l.Addr().String())); err != nil {
+	if err := callAll(ctx, clients, parseAddress(l.Addr().String())); err != nil {
 		return nil, err
 	}
-	opened, opening := time.Since(began), usedTime()-used
-	memory := usedMemory() - before
-	if err := pause(ctx, settle); err != nil {
+	openTime, openProcessorTime := time.Since(started), processorTime()-processorStart
+	memory := memoryInUse() - memoryBefore
+	if err := pause(ctx, settleTime); err != nil {
 		return nil, err
 	}
-	seen, err := observe(ctx, w, window)
-	return []Figure{
-		seen.processorFigure(),
-		seen.bytesFigure(),
+	observed, err := observe(ctx, traffic, observationTime)
+	return []Metric{
+		observed.processorMetric(),
+		observed.bytesMetric(),
 		{Name: nameMemory, Unit: unitBytes, Value: memory},
-		{Name: "processor time to open", Unit: "µs", Value: float64(opening.Microseconds())},
-		{Name: "time to open all at once", Unit: "ms", Value: float64(opened.Microseconds()) / 1e3},
+		{Name: "processor time to open", Unit: "µs", Value: float64(openProcessorTime.Microseconds())},
+		{Name: "time to open all at once", Unit: "ms", Value: float64(openTime.Microseconds()) / 1e3},
 	}, err
 }
 
-// askAll opens a connection from each client.
-func askAll(ctx context.Context, clients []*peer.Client, to netip.AddrPort) error {
-	failures := make([]error, len(clients))
-	var asks conc.WaitGroup
+// callAll sends one request from each client at the same time, which opens the clients' connections.
+func callAll(ctx context.Context, clients []*peer.Client, to netip.AddrPort) error {
+	errs := make([]error, len(clients))
+	var calls conc.WaitGroup
 	for i, client := range clients {
-		asks.Go(func() { _, failures[i] = peer.Call[echo, echo](ctx, client, to, methodEcho, echo{Number: i}) })
+		calls.Go(func() { _, errs[i] = peer.Call[echo, echo](ctx, client, to, methodEcho, echo{Number: i}) })
 	}
-	asks.Wait()
-	return firstError(failures)
+	calls.Wait()
+	return firstError(errs)
 }
 
-func firstError(failures []error) error {
-	for _, err := range failures {
+func firstError(errs []error) error {
+	for _, err := range errs {
 		if err != nil {
 			return err
 		}
--- a/internal/program/capacity/duties.go
+++ b/internal/program/capacity/duties.go
@@ -10,27 +10,27 @@
 	standin "github.com/oleandershelf/oleandershelf/internal/standin/platform"
 )
 
-const contendersOfDuty = 3
+const contendersPerDuty = 3
 
-// duties is the cost of leases: each duty has three contenders, one of which holds it.
-type duties struct{}
+// dutyExperiment measures the cost of leases: each duty has three contenders, one of which holds it.
+type dutyExperiment struct{}
 
-// About implements Slope.
-func (duties) About() About {
-	return About{
-		Name: "duties", Axis: "duty",
-		Notes: "Leases with three contenders each over HTTP against the stand-in; holder, observers and stand-in together.",
+// Description implements Experiment.
+func (dutyExperiment) Description() Description {
+	return Description{
+		Name: "duties", SizeUnit: "duty",
+		Notes: "Leases with three contenders each, over HTTP against the stand-in; holders, other contenders and stand-in together.",
 	}
 }
 
-// Sizes implements Slope.
-func (duties) Sizes() []int { return []int{1, 8, 24, 48} }
+// Sizes implements Experiment.
+func (dutyExperiment) Sizes() []int { return []int{1, 8, 24, 48} }
 
-// Measure implements Slope.
-func (duties) Measure(ctx context.Context, count int) ([]Figure, error) {
+// Measure implements Experiment.
+func (dutyExperiment) Measure(ctx context.Context, count int) ([]Metric, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &wire{}
-	l, err := w.listen(ctx)
+	traffic := &trafficCounter{}
+	l, err := traffic.listen(ctx)
 	if err != nil {
 		cancel()
 		return nil, err
@@ -40,7 +40,7 @@
 		cancel()
 		return nil, err
 	}
-	before := usedMemory()
+	memoryBefore := memoryInUse()
 	var keepers []*duty.Keeper
 	defer func() {
 		cancel()
@@ -48,34 +48,34 @@
 			keeper.Wait()
 		}
 	}()
-	for host := range contendersOfDuty {
+	for host := range contendersPerDuty {
 		client := platform.NewClient("http://" + l.Addr().String())
 		for i := range count {
 			keepers = append(keepers, duty.NewKeeper(ctx, client, fmt.Sprintf("measured/%d", i),
 				duty.Holder{HostID: fmt.Sprintf("host-%d", host), Incarnation: uint64(host + 1)}))
 		}
 	}
-	if err := pause(ctx, settle); err != nil {
+	if err := pause(ctx, settleTime); err != nil {
 		return nil, err
 	}
-	memory := usedMemory() - before
+	memory := memoryInUse() - memoryBefore
 	calls := server.Calls()
-	seen, err := observe(ctx, w, 2*window)
-	rate := func(kind standin.CallKind) Figure {
-		return Figure{Name: "calls " + string(kind), Unit: unitCalls, Value: float64(server.Calls()[kind]-calls[kind]) / seen.seconds}
+	observed, err := observe(ctx, traffic, 2*observationTime)
+	rate := func(kind standin.CallKind) Metric {
+		return Metric{Name: "calls " + string(kind), Unit: unitCalls, Value: float64(server.Calls()[kind]-calls[kind]) / observed.seconds}
 	}
-	return []Figure{
-		seen.processorFigure(),
-		seen.bytesFigure(),
+	return []Metric{
+		observed.processorMetric(),
+		observed.bytesMetric(),
 		{Name: nameMemory, Unit: unitBytes, Value: memory},
 		rate(standin.KindPut),
 		rate(standin.KindGet),
 		rate(standin.KindWatch),
-		{Name: "held duties", Unit: "duties", Value: float64(heldOf(keepers))},
+		{Name: "held duties", Unit: "duties", Value: float64(countHeld(keepers))},
 	}, err
 }
 
-func heldOf(keepers []*duty.Keeper) int {
+func countHeld(keepers []*duty.Keeper) int {
 	held := 0
 	for _, keeper := range keepers {
 		if _, ok := keeper.Held(time.Now()); ok {
--- a/internal/program/capacity/followed.go
+++ b/internal/program/capacity/followed.go
@@ -9,61 +9,61 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// relayID is the host id of the only relay of a slope.
+// relayID is the host ID of the only relay in an experiment.
 const relayID = "relay"
 
-// follower is a part that asks a relay, and serves its own followers where it is one.
+// follower keeps a copy of data that it fetches from a relay. If it is a relay itself, it serves its own followers.
 type follower interface {
 	Register(registry *peer.Registry)
 	Wait()
 }
 
-// followed is a relay with its followers, each with a client of its own.
-type followed[F follower] struct {
-	// parts holds the relay first.
-	parts   []F
+// relayGroup is a relay with its followers, each with its own peer client.
+type relayGroup[F follower] struct {
+	// members holds the relay first, then the followers.
+	members []F
 	clients []*peer.Client
 	server  *peer.Server
 }
 
-// relayHost is the row of the relay behind the listener.
+// relayHost returns the host list row of the relay that serves the listener.
 func relayHost(l net.Listener) platform.Host {
 	return platform.Host{
 		ID: relayID, Role: platform.RoleEntry, AvailabilityZone: measuredZone,
-		PeerAddress: addressOf(l.Addr().String()), State: platform.HostLive,
+		PeerAddress: parseAddress(l.Addr().String()), State: platform.HostLive,
 	}
 }
 
-// serve starts the relay behind the listener and then its followers.
-func (f *followed[F]) serve(ctx context.Context, l net.Listener, followers int, start func(id string, client *peer.Client) F) {
+// startAll starts the relay, which serves the listener, and then its followers.
+func (g *relayGroup[F]) startAll(ctx context.Context, l net.Listener, followers int, newMember func(id string, client *peer.Client) F) {
 	registry := peer.NewRegistry()
-	f.start(ctx, relayID, start).Register(registry)
-	f.server = peer.NewServer(ctx, l, registry, secret)
-	f.follow(ctx, followers, start)
+	g.startMember(ctx, relayID, newMember).Register(registry)
+	g.server = peer.NewServer(ctx, l, registry, peerSecret)
+	g.startFollowers(ctx, followers, newMember)
 }
 
-// follow starts so many followers.
-func (f *followed[F]) follow(ctx context.Context, followers int, start func(id string, client *peer.Client) F) {
+// startFollowers starts the given number of followers.
+func (g *relayGroup[F]) startFollowers(ctx context.Context, followers int, newMember func(id string, client *peer.Client) F) {
 	for i := range followers {
-		f.start(ctx, fmt.Sprintf("host-%03d", i), start)
+		g.startMember(ctx, fmt.Sprintf("host-%03d", i), newMember)
 	}
 }
 
-func (f *followed[F]) start(ctx context.Context, id string, start func(id string, client *peer.Client) F) F {
-	client := peer.NewClient(ctx, secret)
-	part := start(id, client)
-	f.clients = append(f.clients, client)
-	f.parts = append(f.parts, part)
-	return part
+func (g *relayGroup[F]) startMember(ctx context.Context, id string, newMember func(id string, client *peer.Client) F) F {
+	client := peer.NewClient(ctx, peerSecret)
+	member := newMember(id, client)
+	g.clients = append(g.clients, client)
+	g.members = append(g.members, member)
+	return member
 }
 
-// wait returns when all have ended, after their context has.
-func (f *followed[F]) wait() {
-	for i, part := range f.parts {
-		part.Wait()
-		f.clients[i].Wait()
+// wait waits until all members have stopped. The context that they were started with must have ended.
+func (g *relayGroup[F]) wait() {
+	for i, member := range g.members {
+		member.Wait()
+		g.clients[i].Wait()
 	}
-	if f.server != nil {
-		_ = f.server.Close()
+	if g.server != nil {
+		_ = g.server.Close()
 	}
 }
--- a/internal/program/capacity/keys.go
+++ b/internal/program/capacity/keys.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	repeats      = 20
-	authenticate = 2000
+	// repeats is how often a short operation is run for one value.
+	repeats         = 20
+	authentications = 2000
 )
 
 func keyHash(key string) string {
@@ -21,91 +22,93 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// keys is the cost of the view as the number of keys grows.
-type keys struct{}
+// keyExperiment measures the cost of a host's view of the configuration as the number of keys grows.
+type keyExperiment struct{}
 
-// About implements Slope.
-func (keys) About() About {
-	return About{
-		Name: "keys", Axis: "key",
-		Notes: "The view of 10 organisations that share the keys: memory of head, parts and view, the time to build it, and the time of one authentication. One end, nothing else runs.",
+// Description implements Experiment.
+func (keyExperiment) Description() Description {
+	return Description{
+		Name: "keys", SizeUnit: "key",
+		Notes: "The configuration view of 10 organisations with an equal number of keys each: memory of head, parts and view, the time to build the view, and the time of one authentication. One host; nothing else runs.",
 	}
 }
 
-// Sizes implements Slope.
-func (keys) Sizes() []int { return []int{10, 100, 1000, 5000} }
+// Sizes implements Experiment.
+func (keyExperiment) Sizes() []int { return []int{10, 100, 1000, 5000} }
 
-// Measure implements Slope.
-func (keys) Measure(ctx context.Context, count int) ([]Figure, error) {
-	const shared = 10
-	return measureView(ctx, ticketOf(shared, count/shared))
+// Measure implements Experiment.
+func (keyExperiment) Measure(ctx context.Context, count int) ([]Metric, error) {
+	const organisationCount = 10
+	return measureView(ctx, newTicket(organisationCount, count/organisationCount))
 }
 
-// organisations is the cost of the head and the view as the number of organisations grows.
-type organisations struct{}
+// organisationExperiment measures the cost of the head of the configuration and of a host's view as the number of
+// organisations grows.
+type organisationExperiment struct{}
 
-// About implements Slope.
-func (organisations) About() About {
-	return About{
-		Name: "organisations", Axis: "organisation",
-		Notes: "The view of organisations with two keys each. Each change of any part sends the whole head to every host. One end, nothing else runs.",
+// Description implements Experiment.
+func (organisationExperiment) Description() Description {
+	return Description{
+		Name: "organisations", SizeUnit: "organisation",
+		Notes: "The configuration view of organisations with two keys each. A change of any part sends the whole head to every host. One host; nothing else runs.",
 	}
 }
 
-// Sizes implements Slope.
-func (organisations) Sizes() []int { return []int{8, 64, 250, 1000} }
+// Sizes implements Experiment.
+func (organisationExperiment) Sizes() []int { return []int{8, 64, 250, 1000} }
 
-// Measure implements Slope.
-func (organisations) Measure(ctx context.Context, count int) ([]Figure, error) {
-	return measureView(ctx, ticketOf(count, 2))
+// Measure implements Experiment.
+func (organisationExperiment) Measure(ctx context.Context, count int) ([]Metric, error) {
+	return measureView(ctx, newTicket(count, 2))
 }
 
-// measureView applies the ticket and measures the view that a host builds of it.
-func measureView(ctx context.Context, t ticket.Ticket) ([]Figure, error) {
+// measureView applies the ticket and measures the view that a host builds from it.
+func measureView(ctx context.Context, t ticket.Ticket) ([]Metric, error) {
 	store := standin.NewMemory()
-	if _, err := applySteady(ctx, store, t); err != nil {
+	if _, err := applyWithFullDigests(ctx, store, t); err != nil {
 		return nil, err
 	}
 	head, parts, err := readConfiguration(ctx, store)
 	if err != nil {
 		return nil, err
 	}
-	before := usedMemory()
-	used := usedTime()
+	memoryBefore := memoryInUse()
+	processorStart := processorTime()
 	var view *ticket.View
 	for range repeats {
 		if view, err = ticket.NewView(1, head.head, parts); err != nil {
 			return nil, err
 		}
 	}
-	building := usedTime() - used
-	memory := usedMemory() - before
-	used = usedTime()
-	for range authenticate {
+	buildTime := processorTime() - processorStart
+	memory := memoryInUse() - memoryBefore
+	processorStart = processorTime()
+	for range authentications {
 		view.Authenticate("key-0-0")
 	}
-	authenticating := usedTime() - used
-	return []Figure{
+	authenticationTime := processorTime() - processorStart
+	return []Metric{
 		{Name: "head", Unit: unitBytes, Value: float64(head.bytes)},
 		{Name: "parts", Unit: unitBytes, Value: float64(totalLength(parts))},
 		{Name: "memory of the view beside the parts", Unit: unitBytes, Value: max(memory, 0)},
-		{Name: "time to build the view", Unit: "µs", Value: building.Seconds() * microsecondsPerSecond / repeats},
-		{Name: "time of an authentication", Unit: "µs", Value: authenticating.Seconds() * microsecondsPerSecond / authenticate},
+		{Name: "time to build the view", Unit: "µs", Value: buildTime.Seconds() * microsecondsPerSecond / repeats},
+		{Name: "time of an authentication", Unit: "µs", Value: authenticationTime.Seconds() * microsecondsPerSecond / authentications},
 	}, nil
 }
 
-// applySteady applies the ticket after as many others as the head keeps digests of, as after the first hour
-// of running, and returns the ticket's number.
-func applySteady(ctx context.Context, store platform.Store, t ticket.Ticket) (int, error) {
+// applyWithFullDigests applies other tickets first, so that the head holds as many digests as it keeps, as it does after
+// the first hour of a deployment. Then it applies the given ticket and returns its number.
+func applyWithFullDigests(ctx context.Context, store platform.Store, t ticket.Ticket) (int, error) {
 	publisher := configuration.NewPublisher(store)
 	for number := 1; number < ticket.KeptDigests; number++ {
-		if err := publisher.Apply(ctx, number, changedKey(number)); err != nil {
+		if err := publisher.Apply(ctx, number, keyChangeTicket(number)); err != nil {
 			return number, err
 		}
 	}
 	return ticket.KeptDigests, publisher.Apply(ctx, ticket.KeptDigests, t)
 }
 
+// storedHead is a head with the length of its stored object.
 type storedHead struct {
 	head  ticket.Head
 	bytes int
--- a/internal/program/capacity/listfollowers.go
+++ b/internal/program/capacity/listfollowers.go
@@ -10,77 +10,77 @@
 	standin "github.com/oleandershelf/oleandershelf/internal/standin/platform"
 )
 
-// listRows is the length of the list at the size to design for.
-const listRows = 2580
+// designHosts is the number of hosts that the system is designed for.
+const designHosts = 2580
 
-// listFollowers is the cost of the hosts that follow a relay for the host list.
-type listFollowers struct{}
+// listFollowerExperiment measures the cost of the hosts that follow the host list at one relay.
+type listFollowerExperiment struct{}
 
-// About implements Slope.
-func (listFollowers) About() About {
-	return About{
-		Name: "listFollowers", Axis: "follower",
+// Description implements Experiment.
+func (listFollowerExperiment) Description() Description {
+	return Description{
+		Name: "listFollowers", SizeUnit: "follower",
 		Notes: "Hosts that follow one relay for a host list of 2,580 rows that does not change; relay and followers together, over connections that carry nothing else.",
 	}
 }
 
-// Sizes implements Slope.
-func (listFollowers) Sizes() []int { return []int{5, 20, 40, 60} }
+// Sizes implements Experiment.
+func (listFollowerExperiment) Sizes() []int { return []int{5, 20, 40, 60} }
 
-// Measure implements Slope.
-func (listFollowers) Measure(ctx context.Context, count int) ([]Figure, error) {
+// Measure implements Experiment.
+func (listFollowerExperiment) Measure(ctx context.Context, count int) ([]Metric, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	before := usedMemory()
-	f := &followedList{store: standin.NewMemory()}
+	memoryBefore := memoryInUse()
+	g := &hostListGroup{store: standin.NewMemory()}
 	defer func() {
 		cancel()
-		f.wait()
+		g.wait()
 	}()
-	if err := f.start(ctx, count); err != nil {
+	if err := g.start(ctx, count); err != nil {
 		return nil, err
 	}
-	// The first questions come before the relay's next read and are repeated after it.
-	if err := pause(ctx, window+settle); err != nil {
+	// The followers' first requests reach the relay before its next read of the list and are repeated after it.
+	if err := pause(ctx, observationTime+settleTime); err != nil {
 		return nil, err
 	}
-	memory := usedMemory() - before
-	reads := f.store.Calls()[standin.KindHosts]
-	seen, err := observe(ctx, &f.wire, 2*window)
-	reads = f.store.Calls()[standin.KindHosts] - reads
-	return []Figure{
-		seen.processorFigure(),
-		seen.bytesFigure(),
+	memory := memoryInUse() - memoryBefore
+	reads := g.store.Calls()[standin.KindHosts]
+	observed, err := observe(ctx, &g.traffic, 2*observationTime)
+	reads = g.store.Calls()[standin.KindHosts] - reads
+	return []Metric{
+		observed.processorMetric(),
+		observed.bytesMetric(),
 		{Name: nameMemory, Unit: unitBytes, Value: memory},
-		{Name: "reads of the platform by all", Unit: unitCalls, Value: float64(reads) / seen.seconds},
+		{Name: "reads of the platform by all", Unit: unitCalls, Value: float64(reads) / observed.seconds},
 	}, err
 }
 
-// followedList is a relay with its followers.
-type followedList struct {
-	followed[*membership.List]
-	store *standin.Memory
-	wire  wire
+// hostListGroup is a relay of the host list with its followers.
+type hostListGroup struct {
+	relayGroup[*membership.List]
+	store   *standin.Memory
+	traffic trafficCounter
 }
 
-// start makes the only entry of the list the relay of all followers.
-func (f *followedList) start(ctx context.Context, count int) error {
-	l, err := f.wire.listen(ctx)
+// start starts the group. The only entry in the host list is the relay of all followers.
+func (g *hostListGroup) start(ctx context.Context, count int) error {
+	l, err := g.traffic.listen(ctx)
 	if err != nil {
 		return err
 	}
 	hosts := []platform.Host{relayHost(l)}
-	for _, host := range rowsOf(listRows-1, netip.AddrPortFrom(hosts[0].PeerAddress.Addr(), 1)) {
+	for _, host := range generateHosts(designHosts-1, netip.AddrPortFrom(hosts[0].PeerAddress.Addr(), 1)) {
 		host.Role, host.Pool = platform.RoleAgent, modelPool
 		hosts = append(hosts, host)
 	}
-	f.store.SetHosts(hosts)
-	for _, order := range ordersOf(hosts) {
-		if err := f.store.Order(ctx, order); err != nil {
+	g.store.SetHosts(hosts)
+	for _, order := range agentOrders(hosts) {
+		if err := g.store.Order(ctx, order); err != nil {
 			return err
 		}
 	}
-	f.serve(ctx, l, count, func(id string, client *peer.Client) *membership.List {
-		return membership.NewList(ctx, f.store, membership.WithRelays(membership.NewPeerExchange(client),
+	g.startAll(ctx, l, count, func(id string, client *peer.Client) *membership.List {
+		return membership.NewList(ctx, g.store, membership.WithRelays(membership.NewPeerExchange(client),
 			membership.Self{HostID: id, AvailabilityZone: measuredZone}))
 	})
 	return nil
--- a/internal/program/capacity/world.go
+++ b/internal/program/capacity/platform.go
@@ -9,13 +9,13 @@
 	standin "github.com/oleandershelf/oleandershelf/internal/standin/platform"
 )
 
-// newPlatform serves a stand-in of the platform on which all hosts of the list run.
+// newPlatform serves a stand-in of the platform that has the given host list and the orders that start its agents.
 func newPlatform(ctx context.Context, l net.Listener, hosts []platform.Host) (*standin.Server, error) {
 	server, err := standin.New(ctx, l, standin.WithHosts(hosts))
 	if err != nil {
 		return nil, err
 	}
-	for _, order := range ordersOf(hosts) {
+	for _, order := range agentOrders(hosts) {
 		if err := server.Order(ctx, order); err != nil {
 			return nil, err
 		}
@@ -23,19 +23,19 @@
 	return server, nil
 }
 
-// ordersOf returns the orders that start all agents of the list.
-func ordersOf(hosts []platform.Host) []platform.ServerOrder {
+// agentOrders returns the orders that start all agents of the list, one per availability zone and pool.
+func agentOrders(hosts []platform.Host) []platform.ServerOrder {
 	var orders []platform.ServerOrder
-	at := map[[2]string]int{}
+	indexes := map[[2]string]int{}
 	for _, host := range hosts {
 		if host.Role != platform.RoleAgent {
 			continue
 		}
 		group := [2]string{host.AvailabilityZone, host.Pool}
-		i, ok := at[group]
+		i, ok := indexes[group]
 		if !ok {
 			i = len(orders)
-			at[group] = i
+			indexes[group] = i
 			orders = append(orders, platform.ServerOrder{AvailabilityZone: host.AvailabilityZone, Pool: host.Pool})
 		}
 		orders[i].Count++
@@ -43,9 +43,10 @@
 	return orders
 }
 
-// modelTicket creates an organisation, a pool of engines in the zone and so many trainer jobs.
+// modelTicket returns a ticket that creates eight organisations, a pool of engines in the measured zone and the given
+// number of trainer jobs.
 func modelTicket(servers, jobs int) ticket.Ticket {
-	t := ticketOf(8, 1)
+	t := newTicket(8, 1)
 	t.Pools = []ticket.Pool{{
 		Name: modelPool, Kind: ticket.KindModel, Model: modelPool, AvailabilityZones: []string{measuredZone},
 		MinServers: servers, MaxServers: servers, Concurrency: maxStreams,
--- a/internal/program/capacity/plot.go
+++ b/internal/program/capacity/plot.go
@@ -20,18 +20,18 @@
 
 var lineColor = color.RGBA{R: 200, G: 60, B: 40, A: 255}
 
-// plotTable draws one panel a figure: the points and the fitted line.
+// plotTable writes an SVG file with one panel per metric, which shows the measured points and the fitted line.
 func plotTable(directory string, t Table) error {
 	canvas := vgsvg.New(panelWidth*vg.Length(len(t.Series)), panelHeight)
-	whole := draw.New(canvas)
+	area := draw.New(canvas)
 	for i, series := range t.Series {
 		panel, err := t.panel(series)
 		if err != nil {
 			return errors.Wrap(err, t.Name)
 		}
 		left := panelWidth * vg.Length(i)
-		right := left + panelWidth - whole.Max.X
-		panel.Draw(draw.Crop(whole, left, right, 0, 0))
+		right := left + panelWidth - area.Max.X
+		panel.Draw(draw.Crop(area, left, right, 0, 0))
 	}
 	path := filepath.Join(directory, t.Name+".svg")
 	file, err := os.Create(path)
@@ -48,7 +48,7 @@
 func (t Table) panel(series Series) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = t.Name + ": " + series.Name
-	p.X.Label.Text = t.Axis + "s"
+	p.X.Label.Text = t.SizeUnit + "s"
 	p.Y.Label.Text = series.Unit
 	points := make(plotter.XYs, len(t.Sizes))
 	for i, size := range t.Sizes {
--- a/internal/program/capacity/report.go
+++ b/internal/program/capacity/report.go
@@ -11,7 +11,7 @@
 
 const significantDigits = 4
 
-// Markdown writes the tables sorted by name, one section each.
+// Markdown returns a report with one section per table, sorted by name.
 func Markdown(tables []Table) string {
 	sorted := slices.Clone(tables)
 	slices.SortFunc(sorted, func(a, b Table) int { return cmp.Compare(a.Name, b.Name) })
@@ -27,21 +27,22 @@
 func (t Table) write(out *strings.Builder) {
 	fmt.Fprintf(out, "\n## %s\n\n%s\n\n| figure | unit |", t.Name, t.Notes)
 	for _, size := range t.Sizes {
-		fmt.Fprintf(out, " at %s |", number(size))
+		fmt.Fprintf(out, " at %s |", formatNumber(size))
 	}
-	fmt.Fprintf(out, " slope a %s | intercept | residual |\n|---|---|%s---|---|---|\n", t.Axis, strings.Repeat("---|", len(t.Sizes)))
+	fmt.Fprintf(out, " slope a %s | intercept | residual |\n|---|---|%s---|---|---|\n", t.SizeUnit, strings.Repeat("---|", len(t.Sizes)))
 	for _, series := range t.Series {
 		fmt.Fprintf(out, "| %s | %s |", series.Name, series.Unit)
 		for _, value := range series.Values {
-			fmt.Fprintf(out, " %s |", number(value))
+			fmt.Fprintf(out, " %s |", formatNumber(value))
 		}
-		fmt.Fprintf(out, " %s | %s | %s |\n", number(series.Line.Slope), number(series.Line.Intercept), number(series.Line.Residual))
+		fmt.Fprintf(out, " %s | %s | %s |\n", formatNumber(series.Line.Slope), formatNumber(series.Line.Intercept), formatNumber(series.Line.Residual))
 	}
 	fmt.Fprintf(out, "\n![%s](%s.svg)\n", t.Name, t.Name)
 }
 
-// number writes four significant digits, without an exponent.
-func number(value float64) string {
+// formatNumber formats a value with four significant digits, at most eight decimals and no exponent. NaN and infinities
+// are shown as 0.
+func formatNumber(value float64) string {
 	if value == 0 || math.IsNaN(value) || math.IsInf(value, 0) {
 		return "0"
 	}
--- a/internal/program/capacity/samples.go
+++ b/internal/program/capacity/samples.go
@@ -29,7 +29,7 @@
 
 func jobName(number int) string { return fmt.Sprintf("job-%02d", number) }
 
-// instantEngines answer each sample at once with all its tokens: what is left is the coordinator's own work.
+// instantEngines answers each sample at once with all its tokens, so that only the coordinator's own work is measured.
 type instantEngines struct{}
 
 // Generate implements trainer.Generator.
@@ -41,8 +41,8 @@
 	return tokens, nil
 }
 
-// soleLease is held by this host all the time.
-type soleLease struct{ never chan struct{} }
+// soleLease is a lease that this host always holds.
+type soleLease struct{ changed chan struct{} }
 
 // Held implements trainer.Lease.
 func (soleLease) Held(now time.Time) (trainer.Fence, bool) {
@@ -53,9 +53,9 @@
 func (soleLease) Holder() (netip.AddrPort, bool) { return netip.AddrPort{}, false }
 
 // Changed implements trainer.Lease.
-func (l soleLease) Changed() <-chan struct{} { return l.never }
+func (l soleLease) Changed() <-chan struct{} { return l.changed }
 
-// soleJob is a configuration of one job.
+// soleJob is a configuration with a single trainer job.
 type soleJob struct{ job ticket.TrainerJob }
 
 // Authenticate implements trainer.Configuration.
@@ -69,35 +69,35 @@
 // TrainerJobs implements trainer.Configuration.
 func (s soleJob) TrainerJobs() []ticket.TrainerJob { return []ticket.TrainerJob{s.job} }
 
-// samples is the cost of a step at the coordinator of a trainer job.
-type samples struct{}
+// sampleExperiment measures the cost of one step at the coordinator of a trainer job.
+type sampleExperiment struct{}
 
-// About implements Slope.
-func (samples) About() About {
-	return About{
-		Name: "samples", Axis: "sample",
-		Notes: "One step of a trainer job over HTTP: 512 tokens a sample, groups of 8, batches of 64. Engines answer at once and nothing is scored or copied, so this is the " +
-			"coordinator's own work, with the trainer's client and the stand-in of the platform. Memory is what the step leaves until the next one.",
+// Description implements Experiment.
+func (sampleExperiment) Description() Description {
+	return Description{
+		Name: "samples", SizeUnit: "sample",
+		Notes: "One step of a trainer job over HTTP: 512 tokens per sample, groups of 8 samples, batches of 64 samples. Engines answer at once and nothing is scored or copied, so this is the coordinator's own work, with the trainer's client and the stand-in of the platform. " +
+			"Memory is what stays in use after the step until the next one.",
 	}
 }
 
-// Sizes implements Slope.
-func (samples) Sizes() []int { return []int{16, 64, 256, 1024} }
+// Sizes implements Experiment.
+func (sampleExperiment) Sizes() []int { return []int{16, 64, 256, 1024} }
 
-// Measure implements Slope.
-func (samples) Measure(ctx context.Context, count int) ([]Figure, error) {
+// Measure implements Experiment.
+func (sampleExperiment) Measure(ctx context.Context, count int) ([]Metric, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &wire{}
-	l, err := w.listen(ctx)
+	traffic := &trafficCounter{}
+	l, err := traffic.listen(ctx)
 	if err != nil {
 		cancel()
 		return nil, err
 	}
-	before := usedMemory()
+	memoryBefore := memoryInUse()
 	store := standin.NewMemory()
 	job := ticket.TrainerJob{Name: jobName(0), Organisation: "measured", Model: modelPool, BatchSize: batchSize, StalenessBound: 1, MaxTokens: sampleTokens}
 	coordinator := trainer.New(ctx, trainer.Deps{
-		Store: store, Secret: secret, Generator: instantEngines{},
+		Store: store, Secret: peerSecret, Generator: instantEngines{},
 		View:  func() trainer.Configuration { return soleJob{job} },
 		Lease: func(context.Context, string) trainer.Lease { return soleLease{make(chan struct{})} },
 		PublishModelVersion: func(context.Context, ticket.ModelVersion) error {
@@ -114,28 +114,30 @@
 	}()
 	client := trainerClient{base: "http://" + l.Addr().String(), http: &http.Client{Timeout: trainerTimeout}}
 	defer client.http.CloseIdleConnections()
-	began, used := time.Now(), usedTime()
+	started, processorStart := time.Now(), processorTime()
 	if err := client.step(ctx, count); err != nil {
 		return nil, err
 	}
-	took, spent := time.Since(began), usedTime()-used
-	return []Figure{
-		{Name: nameProcessor + " of a step", Unit: "ms", Value: spent.Seconds() * 1e3},
-		{Name: "time of a step", Unit: "ms", Value: took.Seconds() * 1e3},
-		{Name: nameMemory, Unit: unitBytes, Value: max(usedMemory()-before, 0)},
-		{Name: "bytes to the trainer", Unit: unitBytes, Value: float64(w.bytes.Load())},
+	elapsed, processorUsed := time.Since(started), processorTime()-processorStart
+	return []Metric{
+		{Name: nameProcessor + " of a step", Unit: "ms", Value: processorUsed.Seconds() * 1e3},
+		{Name: "time of a step", Unit: "ms", Value: elapsed.Seconds() * 1e3},
+		{Name: nameMemory, Unit: unitBytes, Value: max(memoryInUse()-memoryBefore, 0)},
+		{Name: "bytes to the trainer", Unit: unitBytes, Value: float64(traffic.bytes.Load())},
 		{Name: "writes", Unit: unitCount, Value: float64(store.Calls()[standin.KindPut])},
 		{Name: "reads", Unit: unitCount, Value: float64(store.Calls()[standin.KindGet] + store.Calls()[standin.KindList])},
 	}, nil
 }
 
-// trainerClient is a trainer that takes a whole step.
+// trainerClient makes the requests of a trainer.
 type trainerClient struct {
-	base   string
-	http   *http.Client
+	base string
+	http *http.Client
+	// cursor is the delivery cursor of the latest response. The next request sends it back.
 	cursor string
 }
 
+// step posts one step and fetches all its batches.
 func (c *trainerClient) step(ctx context.Context, count int) error {
 	type group struct {
 		Prompt  string `json:"prompt"`
@@ -162,27 +164,27 @@
 	return nil
 }
 
-// call repeats a request until the coordinator runs the job.
+// call repeats a request until it succeeds, because the coordinator refuses requests until it runs the job.
 func (c *trainerClient) call(ctx context.Context, method, path, body string) error {
 	const tries = 50
-	var last error
+	var lastErr error
 	for range tries {
-		status, answer, err := c.once(ctx, method, path, body)
+		status, content, err := c.send(ctx, method, path, body)
 		if err != nil {
 			return err
 		}
 		if status == http.StatusOK {
 			return nil
 		}
-		last = errors.Errorf("%s %s: %d %s", method, path, status, answer)
-		if err := pause(ctx, settle/20); err != nil {
+		lastErr = errors.Errorf("%s %s: %d %s", method, path, status, content)
+		if err := pause(ctx, settleTime/20); err != nil {
 			return err
 		}
 	}
-	return last
+	return lastErr
 }
 
-func (c *trainerClient) once(ctx context.Context, method, path, body string) (int, string, error) {
+func (c *trainerClient) send(ctx context.Context, method, path, body string) (int, string, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+"/v1/trainerJobs/"+jobName(0)+path, strings.NewReader(body))
 	if err != nil {
 		return 0, "", err
@@ -196,9 +198,9 @@
 		return 0, "", err
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
+	content, err := io.ReadAll(response.Body)
 	if cursor := response.Header.Get(trainer.HeaderCursor); cursor != "" {
 		c.cursor = cursor
 	}
-	return response.StatusCode, string(answer[:min(len(answer), 200)]), err
+	return response.StatusCode, string(content[:min(len(content), 200)]), err
 }
--- a/internal/program/capacity/streams.go
+++ b/internal/program/capacity/streams.go
@@ -19,40 +19,40 @@
 
 const (
 	streamAgents = 8
-	// streamToken makes each stream emit ten tokens a second.
-	streamToken  = 100 * time.Millisecond
-	streamTokens = 4000
-	streamSlots  = 512
-	streamReady  = 10 * time.Second
+	// streamTokenTime gives each stream ten tokens per second.
+	streamTokenTime   = 100 * time.Millisecond
+	streamMaxTokens   = 4000
+	streamSlots       = 512
+	streamOpenTimeout = 10 * time.Second
 )
 
-// streams is the cost of open streams of tokens through a whole entry and agents.
-type streams struct{}
+// streamExperiment measures the cost of open token streams through a complete entry and complete agents.
+type streamExperiment struct{}
 
-// About implements Slope.
-func (streams) About() About {
-	return About{
-		Name: "streams", Axis: "stream",
-		Notes: "Serving: streams of ten tokens a second each from engines through eight whole agents and one whole entry to callers. Callers, engines, agents, entry and the deployment's control together.",
+// Description implements Experiment.
+func (streamExperiment) Description() Description {
+	return Description{
+		Name: "streams", SizeUnit: "stream",
+		Notes: "Serving: streams of ten tokens per second each from engines through eight complete agents and one complete entry to callers. Callers, engines, agents, entry and the control traffic of the deployment together.",
 	}
 }
 
-// Sizes implements Slope.
-func (streams) Sizes() []int { return []int{1, 100, 400, 1000} }
+// Sizes implements Experiment.
+func (streamExperiment) Sizes() []int { return []int{1, 100, 400, 1000} }
 
-// Measure implements Slope.
-func (streams) Measure(ctx context.Context, count int) ([]Figure, error) {
+// Measure implements Experiment.
+func (streamExperiment) Measure(ctx context.Context, count int) ([]Metric, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d, err := deploy(ctx, 1, streamAgents, 0, 0, engine.WithTokenTime(streamToken, 0), engine.WithSlots(streamSlots, streamSlots))
+	d, err := deploy(ctx, 1, streamAgents, 0, 0, engine.WithTokenTime(streamTokenTime, 0), engine.WithSlots(streamSlots, streamSlots))
 	if err != nil {
 		return nil, err
 	}
 	defer d.close()
-	if err := pause(ctx, settle); err != nil {
+	if err := pause(ctx, settleTime); err != nil {
 		return nil, err
 	}
-	before := usedMemory()
+	memoryBefore := memoryInUse()
 	callers := newCallers("http://" + d.entries[0].Listen.String())
 	var running conc.WaitGroup
 	defer running.Wait()
@@ -63,28 +63,28 @@
 	if err := callers.await(ctx, int64(count)); err != nil {
 		return nil, err
 	}
-	memory := usedMemory() - before
-	chunks, sent, engines := callers.chunks.Load(), sentBytes(), d.engines.bytes.Load()
-	seen, err := observe(ctx, &d.platforms, window)
-	tokens := float64(callers.chunks.Load()-chunks) / seen.seconds
-	all := float64(sentBytes()-sent) / seen.seconds
-	return []Figure{
+	memory := memoryInUse() - memoryBefore
+	events, sent, engineBytes := callers.events.Load(), sentBytes(), d.engineTraffic.bytes.Load()
+	observed, err := observe(ctx, &d.platformTraffic, observationTime)
+	tokens := float64(callers.events.Load()-events) / observed.seconds
+	sentRate := float64(sentBytes()-sent) / observed.seconds
+	return []Metric{
 		{Name: "tokens", Unit: "tokens/s", Value: tokens},
-		seen.processorFigure(),
-		{Name: "bytes, engine to agent to entry to caller", Unit: unitRate, Value: all - seen.bytes},
-		{Name: "bytes, engine to agent", Unit: unitRate, Value: float64(d.engines.bytes.Load()-engines) / seen.seconds},
+		observed.processorMetric(),
+		{Name: "bytes, engine to agent to entry to caller", Unit: unitRate, Value: sentRate - observed.bytes},
+		{Name: "bytes, engine to agent", Unit: unitRate, Value: float64(d.engineTraffic.bytes.Load()-engineBytes) / observed.seconds},
 		{Name: nameMemory, Unit: unitBytes, Value: max(memory, 0)},
 		{Name: "refused", Unit: "streams", Value: float64(callers.refused.Load())},
 	}, err
 }
 
-// callers read streams.
+// callers reads streams and counts those that are open or refused and the events received.
 type callers struct {
 	url     string
 	http    *http.Client
 	open    atomic.Int64
 	refused atomic.Int64
-	chunks  atomic.Int64
+	events  atomic.Int64
 }
 
 func newCallers(base string) *callers {
@@ -96,19 +96,19 @@
 
 // await waits until all streams are open or refused.
 func (c *callers) await(ctx context.Context, count int64) error {
-	ctx, cancel := context.WithTimeout(ctx, streamReady)
+	ctx, cancel := context.WithTimeout(ctx, streamOpenTimeout)
 	defer cancel()
 	for c.open.Load()+c.refused.Load() < count {
-		if err := pause(ctx, settle/20); err != nil {
+		if err := pause(ctx, settleTime/20); err != nil {
 			return errors.Wrapf(err, "%d of %d streams are open, %d refused", c.open.Load(), count, c.refused.Load())
 		}
 	}
 	return nil
 }
 
-// read reads one stream until the context ends.
+// read opens one stream and reads it until the stream or the context ends.
 func (c *callers) read(ctx context.Context, number int) {
-	body, err := json.Marshal(map[string]any{"prompt": fmt.Sprintf("question %d", number), "maxTokens": streamTokens, "stream": true})
+	body, err := json.Marshal(map[string]any{"prompt": fmt.Sprintf("question %d", number), "maxTokens": streamMaxTokens, "stream": true})
 	if err != nil {
 		return
 	}
@@ -125,16 +125,17 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	c.open.Add(1)
-	c.count(response.Body)
+	c.countEvents(response.Body)
 }
 
 var eventEnd = []byte("\n\n")
 
-func (c *callers) count(body io.Reader) {
+// countEvents counts the events of a stream until it ends.
+func (c *callers) countEvents(body io.Reader) {
 	buffer := make([]byte, 4<<10)
 	for {
 		n, err := body.Read(buffer)
-		c.chunks.Add(int64(bytes.Count(buffer[:n], eventEnd)))
+		c.events.Add(int64(bytes.Count(buffer[:n], eventEnd)))
 		if err != nil {
 			return
 		}
--- a/internal/program/capacity/zone.go
+++ b/internal/program/capacity/zone.go
@@ -18,28 +18,28 @@
 )
 
 const (
-	zoneEntries = 2
-	// restJobs are the trainer jobs at the size to design for.
-	restJobs   = 18
-	maxStreams = 2000
+	entriesPerZone = 2
+	// designTrainerJobs is the number of trainer jobs that the system is designed for.
+	designTrainerJobs = 18
+	maxStreams        = 2000
 )
 
-// part is a running process.
-type part interface{ Close() }
+// instance is a running entry or agent.
+type instance interface{ Close() }
 
-// deployment is whole entries and agents of one availability zone with their stand-ins, in this process.
+// deployment holds complete entries and agents of one availability zone with their stand-ins, all in this process.
 type deployment struct {
-	platform  *standin.Server
-	platforms wire
-	engines   wire
-	entries   []settings.Settings
-	agents    []settings.Settings
-	parts     []part
-	cancel    context.CancelFunc
+	platform        *standin.Server
+	platformTraffic trafficCounter
+	engineTraffic   trafficCounter
+	entries         []settings.Settings
+	agents          []settings.Settings
+	instances       []instance
+	cancel          context.CancelFunc
 }
 
-// deploy starts the entries, the agents with an engine each, and the platform with the hosts' rows and more rows of hosts
-// that don't run; those have the address of the last entry.
+// deploy starts the platform, the entries, and the agents with an engine each. The host list is filled up to the given
+// number of rows with hosts that don't run and have the address of the last entry.
 func deploy(ctx context.Context, entries, agents, jobs, rows int, opts ...engine.Option) (*deployment, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	d := &deployment{cancel: cancel}
@@ -51,17 +51,17 @@
 }
 
 func (d *deployment) start(ctx context.Context, entries, agents, jobs, rows int, opts []engine.Option) error {
-	l, err := d.platforms.listen(ctx)
+	l, err := d.platformTraffic.listen(ctx)
 	if err != nil {
 		return err
 	}
 	next := loopback.NewAllocator()
-	if err := d.layOut(next, "http://"+l.Addr().String(), entries, agents); err != nil {
+	if err := d.addSettings(next, "http://"+l.Addr().String(), entries, agents); err != nil {
 		return err
 	}
 	hosts := d.hosts()
 	if rows > len(hosts) {
-		hosts = append(hosts, rowsOf(rows-len(hosts), d.entries[entries-1].PeerListen)...)
+		hosts = append(hosts, generateHosts(rows-len(hosts), d.entries[entries-1].PeerListen)...)
 	}
 	if d.platform, err = newPlatform(ctx, l, hosts); err != nil {
 		return err
@@ -69,19 +69,19 @@
 	if err := configuration.NewPublisher(d.platform).Apply(ctx, 1, modelTicket(max(agents, 1), jobs)); err != nil {
 		return err
 	}
-	for _, set := range d.entries {
-		entry, err := process.StartEntry(ctx, set, zerolog.Nop())
+	for _, config := range d.entries {
+		entry, err := process.StartEntry(ctx, config, zerolog.Nop())
 		if err != nil {
-			return errors.Wrap(err, set.HostID)
+			return errors.Wrap(err, config.HostID)
 		}
-		d.parts = append(d.parts, entry)
+		d.instances = append(d.instances, entry)
 	}
 	return d.startAgents(ctx, opts)
 }
 
 func (d *deployment) startAgents(ctx context.Context, opts []engine.Option) error {
 	for i := range d.agents {
-		l, err := d.engines.listen(ctx)
+		l, err := d.engineTraffic.listen(ctx)
 		if err != nil {
 			return err
 		}
@@ -93,12 +93,13 @@
 		if err != nil {
 			return errors.Wrap(err, d.agents[i].HostID)
 		}
-		d.parts = append(d.parts, agent)
+		d.instances = append(d.instances, agent)
 	}
 	return nil
 }
 
-func (d *deployment) layOut(next func() (netip.AddrPort, error), platformURL string, entries, agents int) error {
+// addSettings adds the settings of the entries and agents, with listen addresses from next.
+func (d *deployment) addSettings(next func() (netip.AddrPort, error), platformURL string, entries, agents int) error {
 	for i := range entries + agents {
 		addresses := [3]netip.AddrPort{}
 		for j := range addresses {
@@ -108,121 +109,122 @@
 			}
 			addresses[j] = address
 		}
-		set := settings.Settings{
+		config := settings.Settings{
 			HostID: fmt.Sprintf("measured-%04d", i), AvailabilityZone: measuredZone,
-			PeerListen: addresses[0], AdminListen: addresses[1], PlatformURL: platformURL, PeerSecret: string(secret),
+			PeerListen: addresses[0], AdminListen: addresses[1], PlatformURL: platformURL, PeerSecret: string(peerSecret),
 			LogLevel: zerolog.Disabled, UsageWindow: settings.DefaultUsageWindow,
 			LeaveDelay: settings.DefaultLeaveDelay, DrainTime: settings.DefaultDrainTime,
 		}
 		if i < entries {
-			set.Listen = addresses[2]
-			set.BodyLimitBytes = settings.DefaultBodyLimitBytes
-			d.entries = append(d.entries, set)
+			config.Listen = addresses[2]
+			config.BodyLimitBytes = settings.DefaultBodyLimitBytes
+			d.entries = append(d.entries, config)
 			continue
 		}
-		set.Pool = modelPool
-		d.agents = append(d.agents, set)
+		config.Pool = modelPool
+		d.agents = append(d.agents, config)
 	}
 	return nil
 }
 
+// hosts returns the host list rows of the entries and agents.
 func (d *deployment) hosts() []platform.Host {
 	var hosts []platform.Host
-	for _, set := range d.entries {
+	for _, config := range d.entries {
 		hosts = append(hosts, platform.Host{
-			ID: set.HostID, Role: platform.RoleEntry, AvailabilityZone: measuredZone, PeerAddress: set.PeerListen, State: platform.HostLive,
+			ID: config.HostID, Role: platform.RoleEntry, AvailabilityZone: measuredZone, PeerAddress: config.PeerListen, State: platform.HostLive,
 		})
 	}
-	for _, set := range d.agents {
+	for _, config := range d.agents {
 		hosts = append(hosts, platform.Host{
-			ID: set.HostID, Role: platform.RoleAgent, Pool: modelPool, AvailabilityZone: measuredZone,
-			PeerAddress: set.PeerListen, State: platform.HostLive,
+			ID: config.HostID, Role: platform.RoleAgent, Pool: modelPool, AvailabilityZone: measuredZone,
+			PeerAddress: config.PeerListen, State: platform.HostLive,
 		})
 	}
 	return hosts
 }
 
-// close ends the processes side by side: each waits for its own goroutines.
+// close cancels all entries and agents at once and then waits until each has stopped.
 func (d *deployment) close() {
 	d.cancel()
-	for _, p := range d.parts {
-		p.Close()
+	for _, inst := range d.instances {
+		inst.Close()
 	}
 }
 
-// zone is the control cost of an availability zone at rest.
-type zone struct{}
+// zoneExperiment measures the control cost of an idle availability zone: what its hosts do without any requests.
+type zoneExperiment struct{}
 
-// About implements Slope.
-func (zone) About() About {
-	return About{
-		Name: "zone", Axis: "agent",
-		Notes: "A zone at rest: two whole entries, which are its relays, and whole agents with an engine each. Everything runs: heartbeats, configuration, host list, leases, " +
-			"probes of the holder of the server orders, gathering of usage, polls of the engine. Processor time and memory hold the stand-ins too. " +
-			"Bytes between processes leave out those to platform and engines.",
+// Description implements Experiment.
+func (zoneExperiment) Description() Description {
+	return Description{
+		Name: "zone", SizeUnit: "agent",
+		Notes: "An idle zone: two complete entries, which are its relays, and complete agents with an engine each. Everything runs: heartbeats, " +
+			"configuration, host list, leases, probes of the holder of the server orders, gathering of usage, polls of the engine. " +
+			"Processor time and memory include the stand-ins. Bytes between processes exclude those to platform and engines.",
 	}
 }
 
-// Sizes implements Slope.
-func (zone) Sizes() []int { return []int{5, 25, 50, 100} }
+// Sizes implements Experiment.
+func (zoneExperiment) Sizes() []int { return []int{5, 25, 50, 100} }
 
-// Measure implements Slope.
-func (zone) Measure(ctx context.Context, agents int) ([]Figure, error) {
-	before := usedMemory()
-	d, err := deploy(ctx, zoneEntries, agents, 0, 0)
+// Measure implements Experiment.
+func (zoneExperiment) Measure(ctx context.Context, agents int) ([]Metric, error) {
+	memoryBefore := memoryInUse()
+	d, err := deploy(ctx, entriesPerZone, agents, 0, 0)
 	if err != nil {
 		return nil, err
 	}
 	defer d.close()
-	return d.atRest(ctx, before)
+	return d.measureIdle(ctx, memoryBefore)
 }
 
-// atRest measures a deployment to which nothing is sent.
-func (d *deployment) atRest(ctx context.Context, before float64) ([]Figure, error) {
-	if err := pause(ctx, 4*settle/3); err != nil {
+// measureIdle measures a deployment that receives no requests.
+func (d *deployment) measureIdle(ctx context.Context, memoryBefore float64) ([]Metric, error) {
+	if err := pause(ctx, 4*settleTime/3); err != nil {
 		return nil, err
 	}
-	memory := usedMemory() - before
-	calls, sent, engines := d.platform.Calls(), sentBytes(), d.engines.bytes.Load()
-	seen, err := observe(ctx, &d.platforms, 2*window)
-	all := float64(sentBytes()-sent) / seen.seconds
-	toEngines := float64(d.engines.bytes.Load()-engines) / seen.seconds
-	figures := []Figure{
-		seen.processorFigure(),
-		{Name: "bytes between processes", Unit: unitRate, Value: all - seen.bytes - toEngines},
-		{Name: "bytes to the platform", Unit: unitRate, Value: seen.bytes},
-		{Name: "bytes to the engines", Unit: unitRate, Value: toEngines},
+	memory := memoryInUse() - memoryBefore
+	calls, sent, engineBytes := d.platform.Calls(), sentBytes(), d.engineTraffic.bytes.Load()
+	observed, err := observe(ctx, &d.platformTraffic, 2*observationTime)
+	sentRate := float64(sentBytes()-sent) / observed.seconds
+	engineRate := float64(d.engineTraffic.bytes.Load()-engineBytes) / observed.seconds
+	metrics := []Metric{
+		observed.processorMetric(),
+		{Name: "bytes between processes", Unit: unitRate, Value: sentRate - observed.bytes - engineRate},
+		{Name: "bytes to the platform", Unit: unitRate, Value: observed.bytes},
+		{Name: "bytes to the engines", Unit: unitRate, Value: engineRate},
 		{Name: nameMemory, Unit: unitBytes, Value: memory},
 	}
 	for _, kind := range []standin.CallKind{standin.KindHosts, standin.KindWatch, standin.KindGet, standin.KindPut, standin.KindOrder} {
-		rate := float64(d.platform.Calls()[kind]-calls[kind]) / seen.seconds
-		figures = append(figures, Figure{Name: "calls " + string(kind), Unit: unitCalls, Value: rate})
+		rate := float64(d.platform.Calls()[kind]-calls[kind]) / observed.seconds
+		metrics = append(metrics, Metric{Name: "calls " + string(kind), Unit: unitCalls, Value: rate})
 	}
-	return figures, err
+	return metrics, err
 }
 
-// entryAtRest is the control cost of one entry as the deployment around it grows.
-type entryAtRest struct{}
+// idleEntryExperiment measures the control cost of an idle entry as the deployment around it grows.
+type idleEntryExperiment struct{}
 
-// About implements Slope.
-func (entryAtRest) About() About {
-	return About{
-		Name: "entryAtRest", Axis: "row",
-		Notes: "Two whole entries at rest, relays of their zone, with 18 trainer jobs and a host list of so many rows; the rows beside the two bear the second entry's address. " +
-			"Processor time and memory are those of both and of the stand-in of the platform.",
+// Description implements Experiment.
+func (idleEntryExperiment) Description() Description {
+	return Description{
+		Name: "entryAtRest", SizeUnit: "row",
+		Notes: "Two complete idle entries, the relays of their zone, with 18 trainer jobs and a host list of the given number of rows; " +
+			"all other rows have the second entry's address. Processor time and memory are those of both entries and of the stand-in of the platform.",
 	}
 }
 
-// Sizes implements Slope.
-func (entryAtRest) Sizes() []int { return []int{10, 300, 1000, 2580} }
+// Sizes implements Experiment.
+func (idleEntryExperiment) Sizes() []int { return []int{10, 300, 1000, 2580} }
 
-// Measure implements Slope.
-func (entryAtRest) Measure(ctx context.Context, rows int) ([]Figure, error) {
-	before := usedMemory()
-	d, err := deploy(ctx, zoneEntries, 0, restJobs, rows)
+// Measure implements Experiment.
+func (idleEntryExperiment) Measure(ctx context.Context, rows int) ([]Metric, error) {
+	memoryBefore := memoryInUse()
+	d, err := deploy(ctx, entriesPerZone, 0, designTrainerJobs, rows)
 	if err != nil {
 		return nil, err
 	}
 	defer d.close()
-	return d.atRest(ctx, before)
+	return d.measureIdle(ctx, memoryBefore)
 }
