--- a/internal/program/capacity/keys.go
+++ b/internal/program/capacity/keys.go
@@ -50,7 +50,7 @@
 func (organisationExperiment) Description() Description {
 	return Description{
 		Name: "organisations", SizeUnit: "organisation",
-		Notes: "The configuration view of organisations with two keys each. A change of any part sends the whole head to every host. One host; nothing else runs.",
+		Notes: "The configuration view of organisations with two keys each. After a change of any part, the relays and all hosts without the previous revision read the whole head. One host; nothing else runs.",
 	}
 }
 
--- a/internal/program/capacity/placement.go
+++ b/internal/program/capacity/placement.go
@@ -7,7 +7,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/placement"
 )
 
-// subsetSize is the number of servers of a pool that an entry uses.
+// subsetSize is the number of servers of a pool that an entry uses, the same as in the package entry.
 const subsetSize = 24
 
 // placementExperiment measures the cost of choosing an entry's subset of the servers of a pool, which is done for each
