--- a/internal/program/cmd/root.go
+++ b/internal/program/cmd/root.go
@@ -20,7 +20,7 @@
 const (
 	// ExitOK: the command succeeded.
 	ExitOK = 0
-	// ExitFailure: the command failed for a reason without an exit code of its own; the message on standard error names it.
+	// ExitFailure: the command failed for any other reason; standard error says why.
 	ExitFailure = 1
 	// ExitUsage: the command line, a settings file or a ticket file is invalid; nothing was done.
 	ExitUsage = 2
