--- a/internal/program/settings/field.go
+++ b/internal/program/settings/field.go
@@ -65,7 +65,7 @@
 // gatewayFields apply to gateways only.
 var gatewayFields = []string{"peerAdvertise", "processorCores", "reportsUrl", "seeds"}
 
-// knownFields returns the fields that may be set for the role, sorted.
+// knownFields returns the names of all fields, sorted. Fields for gateways only are left out for other roles.
 func knownFields(role Role) []string {
 	names := make([]string, 0, len(fields))
 	for name := range fields {
