--- a/internal/edge/duty/keeper.go
+++ b/internal/edge/duty/keeper.go
@@ -56,7 +56,7 @@
 }
 
 // WithContendIf lets a keeper take the duty over only while may returns true, for example while the host is among the first
-// few by rendezvous hashing (membership.Among). A holder keeps the duty even when may returns false.
+// few by rendezvous hashing (membership.IsTopRanked). A holder keeps the duty even when may returns false.
 func WithContendIf(may func() bool) Option {
 	return func(k *Keeper) { k.mayContend = may }
 }
--- a/internal/edge/membership/exchange.go
+++ b/internal/edge/membership/exchange.go
@@ -9,50 +9,50 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// MethodChanges asks a relay for what has changed in the host list.
+// MethodChanges asks a relay for the changes of the host list.
 const MethodChanges peer.Method = "membership.changes"
 
-// noAge stands for "never" in the age of a ChangesAnswer.
-const noAge = time.Duration(-1)
+// neverRead is the age of a list that was never read from the platform.
+const neverRead = time.Duration(-1)
 
-// ChangesAsk asks for the list after the one that the asking host holds.
-type ChangesAsk struct {
-	// Digest is that of the held list; 0 asks for the whole list.
+// ChangesRequest asks for the list that replaces the one that the requesting host holds.
+type ChangesRequest struct {
+	// Digest is the digest of the held list; 0 asks for the whole list.
 	Digest uint64 `msgpack:"d"`
-	// Age is that of the held list; noAge if it was never read from the platform.
+	// Age is the time since the held list was read from the platform, or neverRead.
 	Age time.Duration `msgpack:"a"`
-	// Wait is how long the relay may keep the question until it has read the list again.
+	// Wait is how long the relay may hold the request until it has read the list again.
 	Wait time.Duration `msgpack:"w"`
 }
 
-// ChangesAnswer leads from one list to another.
+// ChangesAnswer holds the changes from one list to another.
 type ChangesAnswer struct {
-	// Base is the digest of the list to which the changes apply; 0 is the empty list.
-	Base uint64 `msgpack:"b"`
-	// Digest is that of the list after the changes.
+	// BaseDigest is the digest of the list to which the changes apply; 0 stands for the empty list.
+	BaseDigest uint64 `msgpack:"b"`
+	// Digest is the digest of the list after the changes.
 	Digest uint64 `msgpack:"d"`
-	// Age is the time since the list was read from the platform; noAge for never.
+	// Age is the time from the read of the list from the platform to the answer, or neverRead.
 	Age time.Duration `msgpack:"a"`
-	// Held is how long the relay kept the question; Age counts back from the same moment.
-	Held time.Duration `msgpack:"w"`
-	// Due is the time until the relay reads the list again; 0 where that isn't known.
-	Due time.Duration `msgpack:"n"`
-	// Changed holds the rows that are new or different, sorted by host id.
+	// HeldFor is how long the relay held the request before it answered.
+	HeldFor time.Duration `msgpack:"w"`
+	// UntilNextRead is the time until the relay reads the list again; 0 if that is unknown.
+	UntilNextRead time.Duration `msgpack:"n"`
+	// Changed holds the hosts that are new or different, sorted by host ID.
 	Changed []row `msgpack:"c"`
-	// Gone holds the ids of the hosts that are no longer listed.
-	Gone []string `msgpack:"g"`
+	// Removed holds the IDs of the hosts that are no longer listed.
+	Removed []string `msgpack:"g"`
 }
 
-// read turns the answer's age into a moment of this host's clock. The relay answered at asked+Held at the
-// earliest, so the moment is never too late, however long the answer was under way.
-func (a ChangesAnswer) read(asked time.Time) time.Time {
+// readAt converts the answer's age into a time by this host's clock. The relay answered at requestedAt+HeldFor at the
+// earliest, so the result is never too late, however long the answer was in transit.
+func (a ChangesAnswer) readAt(requestedAt time.Time) time.Time {
 	if a.Age < 0 {
 		return time.Time{}
 	}
-	return asked.Add(a.Held - a.Age)
+	return requestedAt.Add(a.HeldFor - a.Age)
 }
 
-// row is a host on the wire: an array, since field names would take more room than the values.
+// row is the encoding of a host. It is an array, because field names would take more space than the values.
 type row struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 
@@ -61,7 +61,7 @@
 	State                            string
 }
 
-func rowOf(h platform.Host) row {
+func newRow(h platform.Host) row {
 	return row{
 		ID: h.ID, Role: string(h.Role), Pool: h.Pool, AvailabilityZone: h.AvailabilityZone,
 		PeerAddress: h.PeerAddress, State: string(h.State),
@@ -75,17 +75,17 @@
 	}
 }
 
-// Exchange asks other hosts for the list.
-type Exchange interface {
-	Changes(ctx context.Context, to netip.AddrPort, ask ChangesAsk) (ChangesAnswer, error)
+// RelayClient requests changes of the list from relays.
+type RelayClient interface {
+	Changes(ctx context.Context, relay netip.AddrPort, request ChangesRequest) (ChangesAnswer, error)
 }
 
-// NewPeerExchange returns an exchange over peer connections.
-func NewPeerExchange(client *peer.Client) Exchange { return peerExchange{client: client} }
+// NewPeerExchange returns a RelayClient that uses peer connections.
+func NewPeerExchange(client *peer.Client) RelayClient { return peerRelayClient{client: client} }
 
-type peerExchange struct{ client *peer.Client }
+type peerRelayClient struct{ client *peer.Client }
 
-// Changes implements Exchange.
-func (e peerExchange) Changes(ctx context.Context, to netip.AddrPort, ask ChangesAsk) (ChangesAnswer, error) {
-	return peer.Call[ChangesAsk, ChangesAnswer](ctx, e.client, to, MethodChanges, ask)
+// Changes implements RelayClient.
+func (c peerRelayClient) Changes(ctx context.Context, relay netip.AddrPort, request ChangesRequest) (ChangesAnswer, error) {
+	return peer.Call[ChangesRequest, ChangesAnswer](ctx, c.client, relay, MethodChanges, request)
 }
--- a/internal/edge/membership/follow.go
+++ b/internal/edge/membership/follow.go
@@ -10,150 +10,153 @@
 	"github.com/pkg/errors"
 )
 
+// The factors are multiples of the interval.
 const (
-	// waitShare of the interval is how long a relay keeps a question that came before its read has ended. It
-	// is short, since a relay that drains waits for the questions it keeps.
-	waitShare = 1.0 / 8
-	// spreadShare of the interval spreads the questions of a relay's followers after its read.
-	spreadShare = 1.0 / 20
-	// staleShare of the interval is the age from which a relay is passed over: it missed two reads.
-	staleShare = 3
-	// directShare of the interval is the mean time between the tries of a host that no relay helps, each a
-	// round of questions and a read. In an outage 2,580 hosts then make about 280 reads a second of the two
-	// thousand that the platform takes, and a relay is asked about 40 times a second.
-	directShare = 3
-	// missedShare of the interval is the age from which a relay concludes that a turn was missed.
-	missedShare = 1.5
-	// relaySlack is added to a wait before the question counts as failed.
-	relaySlack = time.Second
+	// waitFactor gives how long a relay holds a request that arrives before its read has ended. It is short,
+	// because a relay that drains waits for the requests that it holds.
+	waitFactor = 1.0 / 8
+	// spreadFactor gives the time over which the requests of a relay's followers are spread after its read.
+	spreadFactor = 1.0 / 20
+	// staleFactor gives the age at which a list is too old to be taken from a relay: it has missed two reads.
+	staleFactor = 3
+	// directFactor gives the mean time between the attempts of a host that gets no list from any relay. Each attempt sends
+	// requests to its relays and reads the platform. In an outage 2,580 hosts then make about 280 reads a second, of the two
+	// thousand that the platform can take, and each relay receives about 40 requests a second.
+	directFactor = 3
+	// missedFactor gives the age of the list at which a relay concludes that another one has missed its turn.
+	missedFactor = 1.5
+	// requestTimeoutMargin is added to the wait of a request to get its timeout.
+	requestTimeoutMargin = time.Second
 )
 
-// errOlder says that a relay's list is not newer than the held one.
-var errOlder = errors.New("relay's list is not newer")
+// errNotNewer is returned if a relay's list was not read later than the held one.
+var errNotNewer = errors.New("relay's list is not newer")
 
-// search is what the polling goroutine remembers between steps.
-type search struct {
-	// relay is the one that is followed; invalid while none is.
+// followState is the state that the polling goroutine keeps between refreshes.
+type followState struct {
+	// relay is the relay that this host follows; invalid if there is none.
 	relay netip.AddrPort
 }
 
-// step brings the list up to date once and returns the pause until the next step.
-func (l *List) step(ctx context.Context, s *search) time.Duration {
+// refresh brings the list up to date once and returns the pause until the next refresh.
+func (l *List) refresh(ctx context.Context, s *followState) time.Duration {
 	r := l.route()
 	switch {
-	case l.current.Load().digest == 0, len(r.near) == 0:
-		if l.poll(ctx) {
+	case l.current.Load().digest == 0, len(r.nearby) == 0:
+		if l.readPlatform(ctx) {
 			return jitter(l.interval)
 		}
-		return jitter(share(l.interval, retryShare))
-	case r.relay:
-		l.takeTurn(ctx, r)
-		return l.untilTurn(time.Now(), r)
+		return jitter(scale(l.interval, retryFactor))
+	case r.isRelay:
+		l.refreshAsRelay(ctx, r)
+		return l.untilNextTurn(time.Now(), r)
 	}
-	if due, ok := l.follow(ctx, s, r.near); ok {
-		return max(due, share(l.interval, retryShare)) + rand.N(share(l.interval, spreadShare))
+	if untilNextRead, ok := l.follow(ctx, s, r.nearby); ok {
+		return max(untilNextRead, scale(l.interval, retryFactor)) + rand.N(scale(l.interval, spreadFactor))
 	}
-	l.poll(ctx)
-	return jitter(directShare * l.interval)
+	l.readPlatform(ctx)
+	return jitter(directFactor * l.interval)
 }
 
-// turn is the place of the relay that reads now. Relays take turns by the wall clock. A relay whose clock is
-// off asks one that has not read yet, and is helped like one whose reader died.
-func (l *List) turn(now time.Time, r route) int {
-	return int(now.UnixNano()/int64(l.interval)) % len(r.readers)
+// readerIndex returns the index of the relay whose turn it is to read the platform. Relays take turns by the wall clock.
+// A relay whose clock is wrong asks one that has not read yet, and then gets the list as if the reader had failed.
+func (l *List) readerIndex(now time.Time, r route) int {
+	return int(now.UnixNano()/int64(l.interval)) % len(r.relays)
 }
 
-// takeTurn reads the platform's list if it is this relay's turn, and otherwise asks the relay whose turn it
-// is. Of 44 relays that read 342 KB each one reads every 132 s, which is 2.6 KB/s; were all of them to read
-// every 3 s, each would receive 114 KB/s.
+// refreshAsRelay reads the platform's list if it is this relay's turn, and otherwise asks the relay whose turn it is. Of 44
+// relays that read 342 KB each, every one reads every 132 s, which is 2.6 KB/s. If all of them read every 3 s, each
+// would receive 114 KB/s.
 //
-// Guard: a reader that is gone or cut off, which shows as a list that missed a read. The relays then ask
-// those near by after a moment of random length and read themselves if none of these has read meanwhile.
-func (l *List) takeTurn(ctx context.Context, r route) {
-	turn := l.turn(time.Now(), r)
-	if turn == r.self {
-		l.poll(ctx)
+// A reader that has failed or is cut off is noticed because the list gets older than the time between two reads. The other
+// relays then ask nearby relays after a random delay, and read the platform themselves if none of these has read it meanwhile.
+func (l *List) refreshAsRelay(ctx context.Context, r route) {
+	reader := l.readerIndex(time.Now(), r)
+	if reader == r.selfIndex {
+		l.readPlatform(ctx)
 		return
 	}
-	_, _ = l.ask(ctx, r.readers[turn], share(l.interval, waitShare)) // the age tells whether it helped
-	if l.younger(missedShare) {
+	_, _ = l.requestChanges(ctx, r.relays[reader], scale(l.interval, waitFactor)) // the list's age shows whether it succeeded
+	if l.isYoungerThan(missedFactor) {
 		return
 	}
-	rest(ctx, rand.N(share(l.interval, waitShare)))
-	l.askAround(ctx, r.near)
-	if !l.younger(missedShare) {
-		l.poll(ctx)
+	sleep(ctx, rand.N(scale(l.interval, waitFactor)))
+	l.tryRelays(ctx, r.nearby)
+	if !l.isYoungerThan(missedFactor) {
+		l.readPlatform(ctx)
 	}
 }
 
-// untilTurn is the time until the next turn begins, with the time that its reader needs.
-func (l *List) untilTurn(now time.Time, r route) time.Duration {
+// untilNextTurn returns the time until the next turn begins. If it is another relay's turn, the result includes the time that
+// the reader needs.
+func (l *List) untilNextTurn(now time.Time, r route) time.Duration {
 	left := l.interval - time.Duration(now.UnixNano()%int64(l.interval))
-	if l.turn(now.Add(left), r) == r.self {
+	if l.readerIndex(now.Add(left), r) == r.selfIndex {
 		return left
 	}
-	return left + share(l.interval, spreadShare) + rand.N(share(l.interval, spreadShare))
+	return left + scale(l.interval, spreadFactor) + rand.N(scale(l.interval, spreadFactor))
 }
 
-// follow asks the relay that is followed, and the others where it doesn't answer or its list is stale. It
-// returns when the relay reads the list again, and false if no relay has a list that is recent enough.
-func (l *List) follow(ctx context.Context, s *search, near []netip.AddrPort) (time.Duration, bool) {
-	if !slices.Contains(near, s.relay) {
-		s.relay = near[0]
+// follow requests changes from the followed relay, and from the other ones if it doesn't answer or its list is stale. It returns
+// the time until the relay reads the list again, and false if no relay has a recent list.
+func (l *List) follow(ctx context.Context, s *followState, nearby []netip.AddrPort) (time.Duration, bool) {
+	if !slices.Contains(nearby, s.relay) {
+		s.relay = nearby[0]
 	}
-	due, err := l.ask(ctx, s.relay, share(l.interval, waitShare))
-	if (err == nil || errors.Is(err, errOlder)) && l.recent() {
-		return due, true
+	untilNextRead, err := l.requestChanges(ctx, s.relay, scale(l.interval, waitFactor))
+	if (err == nil || errors.Is(err, errNotNewer)) && l.isRecent() {
+		return untilNextRead, true
 	}
-	others := slices.DeleteFunc(slices.Clone(near), func(a netip.AddrPort) bool { return a == s.relay })
-	s.relay, due = l.askAround(ctx, others)
-	return due, s.relay.IsValid()
+	others := slices.DeleteFunc(slices.Clone(nearby), func(a netip.AddrPort) bool { return a == s.relay })
+	s.relay, untilNextRead = l.tryRelays(ctx, others)
+	return untilNextRead, s.relay.IsValid()
 }
 
-// askAround asks the relays in turn until one has a list that is recent and newer, and returns that one
-// and when it reads the list again.
-func (l *List) askAround(ctx context.Context, relays []netip.AddrPort) (netip.AddrPort, time.Duration) {
+// tryRelays asks one relay after the other until one has a list that is recent and newer than the held one. It returns that
+// relay and the time until it reads the list again.
+func (l *List) tryRelays(ctx context.Context, relays []netip.AddrPort) (netip.AddrPort, time.Duration) {
 	for _, relay := range relays {
-		if due, err := l.ask(ctx, relay, 0); err == nil && l.recent() {
-			return relay, due
+		if untilNextRead, err := l.requestChanges(ctx, relay, 0); err == nil && l.isRecent() {
+			return relay, untilNextRead
 		}
 	}
 	return netip.AddrPort{}, 0
 }
 
-// recent reports whether the held list was read from the platform not long ago.
-func (l *List) recent() bool { return l.younger(staleShare) }
+// isRecent reports whether the held list is not stale.
+func (l *List) isRecent() bool { return l.isYoungerThan(staleFactor) }
 
-// younger reports whether the held list's age is below that share of the interval.
-func (l *List) younger(part float64) bool {
+// isYoungerThan reports whether the age of the held list is at most the given multiple of the interval.
+func (l *List) isYoungerThan(factor float64) bool {
 	s := l.current.Load()
-	return !s.read.IsZero() && age(time.Now(), s.read) <= share(l.interval, part)
+	return !s.readAt.IsZero() && age(time.Now(), s.readAt) <= scale(l.interval, factor)
 }
 
-// ask puts one question to a relay and takes its list if that was read later than the held one.
+// requestChanges sends one request to a relay and takes over its list if that was read later than the held one. It returns the
+// time until the relay reads the list again.
 //
-// Guard: a relay that was cut off or paused answers with an old list; without the comparison a host that
-// was stopped would be live again here and get requests. The age travels along, and a list only ever
-// gives way to one that was read from the platform later.
-func (l *List) ask(ctx context.Context, relay netip.AddrPort, wait time.Duration) (time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+relaySlack)
+// A relay that was cut off or paused answers with an old list. Without the comparison a host that was stopped would be live
+// again here and get requests. The age is part of the answer, so that a list is only replaced by one that was read from
+// the platform later.
+func (l *List) requestChanges(ctx context.Context, relay netip.AddrPort, wait time.Duration) (time.Duration, error) {
+	ctx, cancel := context.WithTimeout(ctx, wait+requestTimeoutMargin)
 	defer cancel()
 	held := l.current.Load()
-	asked := time.Now()
-	answer, err := l.exchange.Changes(ctx, relay, ChangesAsk{Digest: held.digest, Age: age(asked, held.read), Wait: wait})
+	requestedAt := time.Now()
+	answer, err := l.relayClient.Changes(ctx, relay, ChangesRequest{Digest: held.digest, Age: age(requestedAt, held.readAt), Wait: wait})
 	if err != nil {
 		return 0, errors.Wrapf(err, "relay %s", relay)
 	}
-	read := answer.read(asked)
-	if answer.Digest == 0 || !read.After(held.read) && held.digest != 0 {
-		return answer.Due, errors.Wrapf(errOlder, "relay %s", relay)
+	readAt := answer.readAt(requestedAt)
+	if answer.Digest == 0 || !readAt.After(held.readAt) && held.digest != 0 {
+		return answer.UntilNextRead, errors.Wrapf(errNotNewer, "relay %s", relay)
 	}
-	next, err := held.apply(answer, read)
+	next, err := held.apply(answer, readAt)
 	if err != nil {
 		return 0, errors.Wrapf(err, "relay %s", relay)
 	}
 	l.publish(next)
-	return answer.Due, nil
+	return answer.UntilNextRead, nil
 }
 
-func share(of time.Duration, part float64) time.Duration { return time.Duration(float64(of) * part) }
+func scale(d time.Duration, factor float64) time.Duration { return time.Duration(float64(d) * factor) }
--- a/internal/edge/membership/list.go
+++ b/internal/edge/membership/list.go
@@ -1,12 +1,13 @@
-// Package membership keeps the platform's lagging list of hosts.
+// Package membership keeps a copy of the platform's list of hosts.
 //
-// Load pattern: thousands of hosts that come and go, a list that lags by seconds, and a platform
-// that counts each read. Without a kept copy each placement would read the platform, and an outage
-// would leave a host without peers. Were each of 2,580 hosts to read the list every 5 seconds, they
-// would make 516 reads a second of the two thousand that the platform takes, and each would receive
-// 68 KB/s. So only two entries an availability zone, its relays, read the platform, in turns, one every
-// three seconds; the other hosts ask a relay right after that and receive what changed, or only that
-// the list was read again. The time of the read travels along, so the list's age is known on every host.
+// The list holds thousands of hosts that join and leave, it lags by seconds, and the platform counts each read. Without a
+// copy each placement would read the platform, and an outage would leave a host without peers. If each of 2,580 hosts
+// read the list every 5 seconds, they would make 516 reads a second, of the two thousand that the platform can take, and each
+// would receive 68 KB/s.
+//
+// So only two entries per availability zone, its relays, read the platform. They take turns, one every three seconds. Each
+// other host requests the changes from a relay right after that, and learns at least that the list was read again. The age of
+// the list is part of the answer, so every host knows how old its list is.
 package membership
 
 import (
@@ -21,84 +22,87 @@
 )
 
 const (
-	// defaultInterval keeps the list's age below the 5 s beyond which no backend servers are ordered.
+	// defaultInterval keeps the list's age below 5 s. No backend servers are ordered on the basis of an older list.
 	defaultInterval = 3 * time.Second
-	// jitterShare spreads the reads of hosts that started together.
-	jitterShare = 0.2
-	// retryShare makes a failed read come again sooner, so that the first list is had soon after an outage.
-	retryShare = 0.2
-	// readTimeout is not above the interval, so that a slow platform doesn't pile up reads.
+	// jitterFactor is the largest deviation of a jittered pause from its mean, relative to the mean. It spreads
+	// the reads of hosts that started at the same time.
+	jitterFactor = 0.2
+	// retryFactor is the pause after a failed read, and the shortest pause of a follower, as a fraction of the interval. It is
+	// small, so that a host without a list gets one soon after an outage.
+	retryFactor = 0.2
+	// readTimeout is not longer than the default interval, so that reads don't pile up at a slow platform.
 	readTimeout = 3 * time.Second
 )
 
-// Option changes a List.
+// Option configures a List.
 type Option func(*List)
 
-// WithInterval sets the time between reads of the platform by any relay; all hosts must use the same.
+// WithInterval sets the time between two reads of the platform, whichever relays make them. All hosts must use the same interval.
 func WithInterval(interval time.Duration) Option {
 	return func(l *List) { l.interval = interval }
 }
 
-// WithFallback names another source, asked where the platform can't be read and no list is held yet:
-// a host that starts in an outage has no other way to find its peers.
+// WithFallback sets a second source, which is read if the platform can't be read and no list is held yet. A host that
+// starts in an outage has no other way to find its peers.
 func WithFallback(fallback platform.HostList) Option {
 	return func(l *List) { l.fallback = fallback }
 }
 
-// WithRelays makes the host follow the relays of its availability zone, or of neighbour zones, and read the
-// platform's list itself only where it is a relay or no relay has a recent one.
-func WithRelays(exchange Exchange, self Self) Option {
+// WithRelays makes the host follow the relays of its availability zone or of neighbour zones. It reads the platform's list
+// itself only if it is a relay or if no relay has a recent list.
+func WithRelays(client RelayClient, self Self) Option {
 	return func(l *List) {
-		l.exchange = exchange
+		l.relayClient = client
 		l.self = self
 	}
 }
 
-// List is the kept host list. An outage keeps the last one.
+// List is a copy of the host list that is refreshed regularly. In an outage of the platform it keeps the last list.
 type List struct {
-	source   platform.HostList
-	fallback platform.HostList
-	exchange Exchange
-	self     Self
-	interval time.Duration
-	current  atomic.Pointer[snapshot]
-	routes   PerList[route]
-	// due is when the next step comes; nil during a step.
-	due    atomic.Pointer[time.Time]
-	loaded chan struct{}
-	wg     conc.WaitGroup
+	source      platform.HostList
+	fallback    platform.HostList
+	relayClient RelayClient
+	self        Self
+	interval    time.Duration
+	current     atomic.Pointer[snapshot]
+	routes      PerList[route]
+	// nextRefresh is the time of the next refresh; nil during a refresh.
+	nextRefresh atomic.Pointer[time.Time]
+	loaded      chan struct{}
+	wg          conc.WaitGroup
 }
 
-// NewList starts to poll the list until ctx ends.
+// NewList returns a List that is refreshed until ctx ends.
 func NewList(ctx context.Context, source platform.HostList, opts ...Option) *List {
 	l := &List{source: source, interval: defaultInterval, loaded: make(chan struct{})}
 	for _, opt := range opts {
 		opt(l)
 	}
-	l.current.Store(&snapshot{changed: make(chan struct{})})
+	l.current.Store(&snapshot{replaced: make(chan struct{})})
 	l.wg.Go(func() { l.run(ctx) })
 	return l
 }
 
-// Wait returns when the polling has ended, after the context has.
+// Wait blocks until the context has ended and the polling goroutine has returned.
 func (l *List) Wait() { l.wg.Wait() }
 
-// Loaded is closed once a first list is held.
+// Loaded returns a channel that is closed when the first list is held.
 func (l *List) Loaded() <-chan struct{} { return l.loaded }
 
 func (l *List) run(ctx context.Context) {
-	s := search{}
+	s := followState{}
 	for ctx.Err() == nil {
-		length := l.step(ctx, &s)
-		due := time.Now().Add(length)
-		l.due.Store(&due)
-		rest(ctx, length)
-		l.due.Store(nil)
+		pause := l.refresh(ctx, &s)
+		next := time.Now().Add(pause)
+		l.nextRefresh.Store(&next)
+		sleep(ctx, pause)
+		l.nextRefresh.Store(nil)
 	}
 }
 
-func rest(ctx context.Context, length time.Duration) {
-	timer := time.NewTimer(length)
+// sleep blocks for the given time, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -107,41 +111,43 @@
 }
 
 func jitter(mean time.Duration) time.Duration {
-	return time.Duration(float64(mean) * (1 - jitterShare + 2*jitterShare*rand.Float64()))
+	return time.Duration(float64(mean) * (1 - jitterFactor + 2*jitterFactor*rand.Float64()))
 }
 
-// poll reads the list once and reports whether the platform answered.
-func (l *List) poll(ctx context.Context) bool {
+// readPlatform reads the list from the platform once and reports whether that succeeded. If it fails and no list is held, it
+// reads the fallback.
+func (l *List) readPlatform(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	asked := time.Now()
+	requestedAt := time.Now()
 	hosts, err := l.source.Hosts(ctx)
 	if err == nil {
-		l.publish(l.current.Load().after(newSnapshot(hosts, asked)))
+		l.publish(l.current.Load().successor(newSnapshot(hosts, requestedAt)))
 		return true
 	}
-	failed := *l.current.Load()
-	failed.failures++
-	l.current.Store(&failed)
-	if failed.digest == 0 && l.fallback != nil {
-		l.pollFallback(ctx)
+	updated := *l.current.Load()
+	updated.failures++
+	l.current.Store(&updated)
+	if updated.digest == 0 && l.fallback != nil {
+		l.readFallback(ctx)
 	}
 	return false
 }
 
-func (l *List) pollFallback(ctx context.Context) {
+// readFallback takes over the list of the fallback. Its time of reading is unknown.
+func (l *List) readFallback(ctx context.Context) {
 	hosts, err := l.fallback.Hosts(ctx)
 	if err != nil || len(hosts) == 0 {
 		return
 	}
-	taken := newSnapshot(hosts, time.Time{})
-	taken.handedOn = true
-	l.publish(taken)
+	next := newSnapshot(hosts, time.Time{})
+	next.fromPeer = true
+	l.publish(next)
 }
 
-// publish is called by the polling goroutine only.
+// publish replaces the held list. Only the polling goroutine may call it.
 func (l *List) publish(next *snapshot) {
-	close(l.current.Swap(next).changed)
+	close(l.current.Swap(next).replaced)
 	select {
 	case <-l.loaded:
 	default:
@@ -149,37 +155,39 @@
 	}
 }
 
-// Hosts returns all hosts, sorted by host id. The slice must not be changed.
+// Hosts returns all hosts, sorted by host ID. The slice must not be changed.
 func (l *List) Hosts() []platform.Host { return l.current.Load().hosts }
 
-// Entries returns the live and leaving entries, sorted by host id. The slice must not be changed.
+// Entries returns the live and leaving entries, sorted by host ID. The slice must not be changed.
 func (l *List) Entries() []platform.Host { return l.current.Load().entries }
 
-// Servers returns the live and leaving agents of a pool, sorted by host id. The slice must not be changed.
+// Servers returns the live and leaving agents of a pool, sorted by host ID. The slice must not be changed.
 func (l *List) Servers(pool string) []platform.Host { return l.current.Load().servers[pool] }
 
-// Age is the time since the list was last read from the platform; it is very long if it never was.
+// Age returns the time since the list was last read from the platform. It is very long if the list was never read.
 func (l *List) Age(now time.Time) time.Duration {
-	read := l.current.Load().read
-	return max(now.Sub(read), age(now, read))
+	readAt := l.current.Load().readAt
+	return max(now.Sub(readAt), age(now, readAt))
 }
 
-// State is the list's state in the dump.
+// State is the list's state as shown by /debug/state.
 type State struct {
 	Entries  int            `json:"entries"`
 	Servers  map[string]int `json:"servers"`
-	Read     time.Time      `json:"read"`
+	ReadAt   time.Time      `json:"read"`
 	Failures int            `json:"failuresSince"`
-	HandedOn bool           `json:"fromPeer"`
-	Relay    bool           `json:"relay"`
+	FromPeer bool           `json:"fromPeer"`
+	IsRelay  bool           `json:"relay"`
 }
 
-// State returns the list's state for the dump.
+// State returns the list's state as shown by /debug/state.
 func (l *List) State() any {
 	s := l.current.Load()
 	counts := map[string]int{}
 	for pool, servers := range s.servers {
 		counts[pool] = len(servers)
 	}
-	return State{Entries: len(s.entries), Servers: counts, Read: s.read, Failures: s.failures, HandedOn: s.handedOn, Relay: l.route().relay}
+	return State{
+		Entries: len(s.entries), Servers: counts, ReadAt: s.readAt, Failures: s.failures, FromPeer: s.fromPeer, IsRelay: l.route().isRelay,
+	}
 }
--- a/internal/edge/membership/handover.go
+++ b/internal/edge/membership/peersource.go
@@ -13,33 +13,33 @@
 // MethodHosts asks a host for the list that it holds.
 const MethodHosts peer.Method = "membership.hosts"
 
-// ErrNoList is returned if no known peer holds a list.
-var ErrNoList = errors.New("no peer holds a host list")
+// ErrNoList is returned if none of the configured peers holds a list.
+var ErrNoList = errors.New("no configured peer holds a host list")
 
-// HostsAsk asks for the host list.
-type HostsAsk struct{}
+// HostsRequest asks for the host list.
+type HostsRequest struct{}
 
 // HostsAnswer is the host list as last read from the platform.
 type HostsAnswer struct {
 	Hosts []platform.Host `msgpack:"h"`
 }
 
-// NewPeerSource returns a host list that asks hosts known from the settings, one after the other, for use
+// NewPeerSource returns a host list that asks the peers at the configured addresses one after the other, for use
 // with WithFallback.
-func NewPeerSource(client *peer.Client, known []netip.AddrPort) platform.HostList {
-	return peerSource{client: client, known: known}
+func NewPeerSource(client *peer.Client, addresses []netip.AddrPort) platform.HostList {
+	return peerSource{client: client, addresses: addresses}
 }
 
 type peerSource struct {
-	client *peer.Client
-	known  []netip.AddrPort
+	client    *peer.Client
+	addresses []netip.AddrPort
 }
 
 // Hosts implements platform.HostList.
 func (s peerSource) Hosts(ctx context.Context) ([]platform.Host, error) {
 	failure := ErrNoList
-	for _, address := range s.known {
-		answer, err := peer.Call[HostsAsk, HostsAnswer](ctx, s.client, address, MethodHosts, HostsAsk{})
+	for _, address := range s.addresses {
+		answer, err := peer.Call[HostsRequest, HostsAnswer](ctx, s.client, address, MethodHosts, HostsRequest{})
 		if err == nil && len(answer.Hosts) > 0 {
 			return answer.Hosts, nil
 		}
--- a/internal/edge/membership/perlist.go
+++ b/internal/edge/membership/perlist.go
@@ -6,35 +6,35 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// PerList remembers what was worked out from a list of hosts for as long as the list is the same. Its zero value
-// remembers nothing yet.
+// PerList caches a value that is computed from a list of hosts, until it is asked for another list. The zero value is
+// an empty cache. It is safe for concurrent use.
 //
-// Load pattern: each host looks several times a second which entries are relays or contenders, among 380 entries that
-// change about once a minute. Ranking them anew each time took two thirds of the memory that an idle entry allocates, and with
-// the collections that this made necessary a good part of its processor time.
+// Each host looks up several times a second which entries are relays or may contend for a duty, among 380 entries that
+// change about once a minute. Ranking them each time caused two thirds of the memory that an idle entry allocates, and the
+// garbage collections that followed took a good part of its processor time.
 type PerList[T any] struct {
-	last atomic.Pointer[workedOut[T]]
+	last atomic.Pointer[cacheEntry[T]]
 }
 
-// workedOut is what was worked out from one list. It holds on to the list, so that no other one can come to lie
-// at the same place in memory and be taken for it.
-type workedOut[T any] struct {
+// cacheEntry is a list and the value computed from it. It keeps the list reachable, so that no other list can get
+// the same address in memory and be mistaken for it.
+type cacheEntry[T any] struct {
 	hosts []platform.Host
 	value T
 }
 
-// Of returns what work makes of the hosts. Neither the list, once published, nor the value may be changed. Callers
-// that come at the same time may each do the work.
-func (p *PerList[T]) Of(hosts []platform.Host, work func([]platform.Host) T) T {
+// Of returns the value that compute returns for the hosts. Neither the list, once published, nor the value may be changed.
+// Concurrent callers may each compute the value.
+func (p *PerList[T]) Of(hosts []platform.Host, compute func([]platform.Host) T) T {
 	if last := p.last.Load(); last != nil && isSameList(last.hosts, hosts) {
 		return last.value
 	}
-	next := &workedOut[T]{hosts: hosts, value: work(hosts)}
+	next := &cacheEntry[T]{hosts: hosts, value: compute(hosts)}
 	p.last.Store(next)
 	return next.value
 }
 
-// isSameList says whether both are the same list; lists of hosts never change once published.
+// isSameList reports whether both slices are the same memory, which is enough because a published list never changes.
 func isSameList(a, b []platform.Host) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
--- a/internal/edge/membership/rank.go
+++ b/internal/edge/membership/rank.go
@@ -9,8 +9,8 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// Rank orders hosts for a purpose by rendezvous hashing: each host with the same list finds the same
-// order, and a host that comes or goes moves only its own place.
+// Rank orders hosts for a purpose by rendezvous hashing. Hosts with the same list compute the same order, and adding or
+// removing a host doesn't change the order of the others.
 func Rank(purpose string, hosts []platform.Host) []platform.Host {
 	type weighted struct {
 		host   platform.Host
@@ -30,40 +30,39 @@
 	return ranked
 }
 
-// Among reports whether the host is one of the first count live hosts for the purpose.
-func Among(purpose, hostID string, hosts []platform.Host, count int) bool {
+// IsTopRanked reports whether the host is one of the first count live hosts in the order of Rank.
+func IsTopRanked(purpose, hostID string, hosts []platform.Host, count int) bool {
 	live := slices.DeleteFunc(slices.Clone(hosts), func(h platform.Host) bool { return h.State != platform.HostLive })
 	ranked := Rank(purpose, live)
-	first := ranked[:min(count, len(ranked))]
-	return slices.ContainsFunc(first, func(h platform.Host) bool { return h.ID == hostID })
+	top := ranked[:min(count, len(ranked))]
+	return slices.ContainsFunc(top, func(h platform.Host) bool { return h.ID == hostID })
 }
 
-// First returns the first count ids for the purpose, in the order of Rank. It hashes each id once and sorts
-// none but the first, for callers that look again and again: 18 trainer jobs at each entry rank 380 entries
-// several times a second.
+// First returns the first count IDs in the order of Rank. It hashes each ID once and keeps only the first count sorted,
+// for frequent callers: at each entry 18 trainer jobs rank 380 entries several times a second.
 func First(purpose string, ids []string, count int) []string {
 	type weighted struct {
 		id     string
 		weight uint64
 	}
-	heavier := func(a, b weighted) int { return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.id, b.id)) }
-	first := make([]weighted, 0, count+1)
+	compare := func(a, b weighted) int { return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.id, b.id)) }
+	top := make([]weighted, 0, count+1)
 	for _, id := range ids {
 		candidate := weighted{id: id, weight: xxhash.Sum64String(purpose + "\x00" + id)}
-		at, _ := slices.BinarySearchFunc(first, candidate, heavier)
+		at, _ := slices.BinarySearchFunc(top, candidate, compare)
 		if at < count {
-			first = slices.Insert(first, at, candidate)
-			first = first[:min(count, len(first))]
+			top = slices.Insert(top, at, candidate)
+			top = top[:min(count, len(top))]
 		}
 	}
-	found := make([]string, len(first))
-	for i, entry := range first {
-		found[i] = entry.id
+	topIDs := make([]string, len(top))
+	for i, candidate := range top {
+		topIDs[i] = candidate.id
 	}
-	return found
+	return topIDs
 }
 
-// ZoneRelays returns the first count live entries of each availability zone for the purpose.
+// ZoneRelays returns, by availability zone, the first count live entries of the zone in an order that depends on the purpose.
 func ZoneRelays(purpose string, entries []platform.Host, count int) map[string][]platform.Host {
 	zones := map[string][]platform.Host{}
 	for _, entry := range entries {
--- a/internal/edge/membership/relay.go
+++ b/internal/edge/membership/relay.go
@@ -12,104 +12,104 @@
 )
 
 const (
-	// relaysPerZone lets one relay of a zone die without a host of the zone looking elsewhere.
+	// relaysPerZone is 2 so that the hosts of a zone still have a relay in it if one fails.
 	relaysPerZone = 2
-	// neighbourZones is how many other zones' relays are the second choice.
+	// neighbourZones is the number of other zones whose relays are used if those of the own zone fail.
 	neighbourZones = 2
-	// relayPurpose is another than that of the configuration's relays: a host that serves both to 58 others
-	// would send and receive about 20 KB/s, with 15 KB/s allowed.
+	// relayPurpose differs from the purpose of the configuration's relays, so that different hosts are chosen. A host that
+	// serves both to 58 others would send and receive about 20 KB/s, and 15 KB/s are allowed.
 	relayPurpose = "hostList/"
-	// maxWait bounds how long a relay keeps a question, and with it how long its drain may wait for one.
+	// maxWait limits how long a relay holds a request, and thus how long requests can delay its drain.
 	maxWait = time.Second
 )
 
-// Self is this host's place among the others.
+// Self identifies this host.
 type Self struct {
 	HostID           string
 	AvailabilityZone string
 }
 
-// Register serves the list to hosts that start in an outage of the platform, and its changes to the hosts
-// that follow this one. Every host serves both: which hosts are relays changes with the list.
+// Register registers the handlers that serve the list to hosts that start in an outage of the platform, and its changes to
+// the hosts that follow this one. Every host serves both, because which hosts are relays changes with the list.
 func (l *List) Register(registry *peer.Registry) {
-	peer.Handle(registry, MethodHosts, func(context.Context, HostsAsk) (HostsAnswer, error) {
+	peer.Handle(registry, MethodHosts, func(context.Context, HostsRequest) (HostsAnswer, error) {
 		return HostsAnswer{Hosts: l.Hosts()}, nil
 	})
 	peer.Handle(registry, MethodChanges, l.HandleChanges)
 }
 
-// HandleChanges answers at once if this host holds another list than the asking one or has read it later,
-// and otherwise when it has read the list again or the wait is over.
-func (l *List) HandleChanges(ctx context.Context, ask ChangesAsk) (ChangesAnswer, error) {
-	came := time.Now()
-	timer := time.NewTimer(min(max(ask.Wait, 0), maxWait))
+// HandleChanges answers at once if this host's list differs from the requesting host's or was read later. Otherwise it
+// answers when this host has received a list that was read later, or when the wait has ended.
+func (l *List) HandleChanges(ctx context.Context, request ChangesRequest) (ChangesAnswer, error) {
+	receivedAt := time.Now()
+	timer := time.NewTimer(min(max(request.Wait, 0), maxWait))
 	defer timer.Stop()
-	if s := l.current.Load(); s.digest == ask.Digest && !l.later(s, came, ask.Age) {
+	if s := l.current.Load(); s.digest == request.Digest && !l.isNewer(s, receivedAt, request.Age) {
 		select {
-		case <-s.changed:
+		case <-s.replaced:
 		case <-timer.C:
 		case <-ctx.Done():
 			return ChangesAnswer{}, context.Cause(ctx)
 		}
 	}
 	now := time.Now()
-	answer := l.current.Load().answer(ask.Digest, now.Sub(came), now)
-	if due := l.due.Load(); due != nil {
-		answer.Due = max(due.Sub(now), 0)
+	answer := l.current.Load().changesSince(request.Digest, now.Sub(receivedAt), now)
+	if next := l.nextRefresh.Load(); next != nil {
+		answer.UntilNextRead = max(next.Sub(now), 0)
 	}
 	return answer, nil
 }
 
-// later reports whether the list was read later than the one of that age. The age of one and the same read
-// grows by the time of its messages on each way, which is far below the time between two reads.
-func (l *List) later(s *snapshot, now time.Time, than time.Duration) bool {
-	own := age(now, s.read)
-	return own >= 0 && (than < 0 || own+share(l.interval, waitShare) < than)
+// isNewer reports whether the list was read later than a list of the given age. Two hosts compute slightly different ages
+// for the same read, because of the time that messages take. That is far less than the time between two reads, so
+// only a larger difference counts.
+func (l *List) isNewer(s *snapshot, now time.Time, otherAge time.Duration) bool {
+	own := age(now, s.readAt)
+	return own >= 0 && (otherAge < 0 || own+scale(l.interval, waitFactor) < otherAge)
 }
 
-// route is where the list comes from, by the list held now; it never changes.
+// route is where this host gets the list from, computed from the list that it holds. It never changes.
 type route struct {
-	// relay says that this host serves the list to the other hosts of its zone.
-	relay bool
-	// readers holds all relays, this one included, in the order in which they read the platform's list.
-	readers []netip.AddrPort
-	// self is this host's place among the readers.
-	self int
-	// near holds the relays of the own zone, then those of neighbour zones, without this host.
-	near []netip.AddrPort
+	// isRelay reports whether this host is a relay, which reads the platform's list and serves it to the hosts of its zone.
+	isRelay bool
+	// relays holds all relays, this host included, in the order in which they read the platform's list.
+	relays []netip.AddrPort
+	// selfIndex is this host's index in relays.
+	selfIndex int
+	// nearby holds the relays of the own zone and then those of neighbour zones, without this host.
+	nearby []netip.AddrPort
 }
 
 func (l *List) route() route {
-	if l.exchange == nil {
+	if l.relayClient == nil {
 		return route{}
 	}
-	return l.routes.Of(l.current.Load().entries, l.routeAmong)
+	return l.routes.Of(l.current.Load().entries, l.computeRoute)
 }
 
-// routeAmong works the route out from a list of entries.
-func (l *List) routeAmong(entries []platform.Host) route {
+func (l *List) computeRoute(entries []platform.Host) route {
 	r := route{}
-	relays := ZoneRelays(relayPurpose, entries, relaysPerZone)
-	zones := slices.Sorted(maps.Keys(relays))
-	at, own := slices.BinarySearch(zones, l.self.AvailabilityZone)
+	zoneRelays := ZoneRelays(relayPurpose, entries, relaysPerZone)
+	zones := slices.Sorted(maps.Keys(zoneRelays))
+	ownIndex, ownHasRelays := slices.BinarySearch(zones, l.self.AvailabilityZone)
 	for _, zone := range zones {
-		for _, host := range relays[zone] {
+		for _, host := range zoneRelays[zone] {
 			if host.ID == l.self.HostID {
-				r.relay, r.self = true, len(r.readers)
+				r.isRelay, r.selfIndex = true, len(r.relays)
 			}
-			r.readers = append(r.readers, host.PeerAddress)
+			r.relays = append(r.relays, host.PeerAddress)
 		}
 	}
-	zones = slices.Concat(zones[at:], zones[:at])
+	zones = slices.Concat(zones[ownIndex:], zones[:ownIndex])
 	count := neighbourZones
-	if own {
+	if ownHasRelays {
 		count++
 	}
 	for _, zone := range zones[:min(count, len(zones))] {
-		// The order by the own id spreads the followers over the relays.
-		for _, host := range Rank(l.self.HostID, relays[zone]) {
+		// Ranking by the own ID distributes the followers over the relays.
+		for _, host := range Rank(l.self.HostID, zoneRelays[zone]) {
 			if host.ID != l.self.HostID {
-				r.near = append(r.near, host.PeerAddress)
+				r.nearby = append(r.nearby, host.PeerAddress)
 			}
 		}
 	}
--- a/internal/edge/membership/relay_test.go
+++ b/internal/edge/membership/relay_test.go
@@ -23,11 +23,11 @@
 const testInterval = 100 * time.Millisecond
 
 var (
-	errCut     = errors.New("connection is cut")
-	compareAny = cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })
+	errUnreachable   = errors.New("relay is unreachable")
+	compareAddresses = cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })
 )
 
-// network connects the lists of a test, with cuts.
+// network connects the lists of a test and can interrupt the connections between them and to the platform.
 type network struct {
 	t     *testing.T
 	store *standin.Memory
@@ -35,44 +35,45 @@
 
 	mutex sync.Mutex
 	lists map[netip.AddrPort]*List
-	// cut hosts are reached by nobody; apart hosts can't read the platform; mute hosts reach nobody.
-	cut, apart, mute map[netip.AddrPort]bool
-	// reads counts the reads of the platform by host.
+	// isolated hosts neither reach other hosts nor are reached by them. Hosts in noPlatform can't read the platform. Hosts in
+	// noOutbound can't send requests to other hosts.
+	isolated, noPlatform, noOutbound map[netip.AddrPort]bool
+	// reads counts the reads of the platform by each host.
 	reads map[netip.AddrPort]int
 }
 
-// member is one host's way to the platform and to its peers.
-type member struct {
+// hostConn is one host's connection to the platform and to its peers.
+type hostConn struct {
 	*network
 	address netip.AddrPort
 }
 
-func (m member) Hosts(ctx context.Context) ([]platform.Host, error) {
-	m.mutex.Lock()
-	m.reads[m.address]++
-	apart := m.apart[m.address]
-	m.mutex.Unlock()
-	if apart {
+func (c hostConn) Hosts(ctx context.Context) ([]platform.Host, error) {
+	c.mutex.Lock()
+	c.reads[c.address]++
+	noPlatform := c.noPlatform[c.address]
+	c.mutex.Unlock()
+	if noPlatform {
 		return nil, platform.ErrUnavailable
 	}
-	return m.store.Hosts(ctx)
+	return c.store.Hosts(ctx)
 }
 
-func (m member) Changes(ctx context.Context, to netip.AddrPort, ask ChangesAsk) (ChangesAnswer, error) {
-	m.mutex.Lock()
-	list, cut := m.lists[to], m.cut[to] || m.cut[m.address] || m.mute[m.address]
-	m.mutex.Unlock()
-	if list == nil || cut {
-		return ChangesAnswer{}, errCut
+func (c hostConn) Changes(ctx context.Context, relay netip.AddrPort, request ChangesRequest) (ChangesAnswer, error) {
+	c.mutex.Lock()
+	list, unreachable := c.lists[relay], c.isolated[relay] || c.isolated[c.address] || c.noOutbound[c.address]
+	c.mutex.Unlock()
+	if list == nil || unreachable {
+		return ChangesAnswer{}, errUnreachable
 	}
-	return list.HandleChanges(ctx, ask)
+	return list.HandleChanges(ctx, request)
 }
 
-// newNetwork has three availability zones of four entries.
+// newNetwork returns a network of three availability zones with four entries each.
 func newNetwork(t *testing.T) *network {
 	n := &network{
-		t: t, lists: map[netip.AddrPort]*List{}, cut: map[netip.AddrPort]bool{},
-		apart: map[netip.AddrPort]bool{}, mute: map[netip.AddrPort]bool{}, reads: map[netip.AddrPort]int{},
+		t: t, lists: map[netip.AddrPort]*List{}, isolated: map[netip.AddrPort]bool{},
+		noPlatform: map[netip.AddrPort]bool{}, noOutbound: map[netip.AddrPort]bool{}, reads: map[netip.AddrPort]int{},
 	}
 	for i := range 12 {
 		n.hosts = append(n.hosts, platform.Host{
@@ -85,7 +86,7 @@
 	return n
 }
 
-// start starts all hosts and waits until each has a list. The lists end with the test.
+// start starts all hosts and waits until each has a list. The hosts stop when the test ends.
 func (n *network) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	for _, host := range n.hosts {
@@ -104,19 +105,19 @@
 }
 
 func (n *network) add(ctx context.Context, host platform.Host, opts ...Option) *List {
-	m := member{network: n, address: host.PeerAddress}
+	conn := hostConn{network: n, address: host.PeerAddress}
 	self := Self{HostID: host.ID, AvailabilityZone: host.AvailabilityZone}
-	list := NewList(ctx, m, append(opts, WithInterval(testInterval), WithRelays(m, self))...)
+	list := NewList(ctx, conn, append(opts, WithInterval(testInterval), WithRelays(conn, self))...)
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.lists[host.PeerAddress] = list
 	return list
 }
 
-func (n *network) set(where map[netip.AddrPort]bool, address netip.AddrPort, on bool) {
+func (n *network) set(hosts map[netip.AddrPort]bool, address netip.AddrPort, on bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	where[address] = on
+	hosts[address] = on
 }
 
 func (n *network) readsBy(address netip.AddrPort) int {
@@ -125,54 +126,52 @@
 	return n.reads[address]
 }
 
-// split returns the relays and the others of lakeside.
-func (n *network) split() (relays, others []*List, addresses []netip.AddrPort) {
+// lakeside returns the lists of the relays and of the other hosts of this zone, and the addresses of the relays.
+func (n *network) lakeside() (relays, followers []*List, addresses []netip.AddrPort) {
 	for _, host := range ZoneRelays(relayPurpose, n.hosts, relaysPerZone)["lakeside"] {
 		addresses = append(addresses, host.PeerAddress)
 		relays = append(relays, n.lists[host.PeerAddress])
 	}
 	for _, host := range n.hosts {
 		if host.AvailabilityZone == "lakeside" && !slices.Contains(addresses, host.PeerAddress) {
-			others = append(others, n.lists[host.PeerAddress])
+			followers = append(followers, n.lists[host.PeerAddress])
 		}
 	}
-	return relays, others, addresses
+	return relays, followers, addresses
 }
 
-// stop takes a host off the platform's list.
-func (n *network) stop(id string) {
+// removeHost removes a host from the platform's list.
+func (n *network) removeHost(id string) {
 	n.store.SetHosts(slices.DeleteFunc(slices.Clone(n.hosts), func(h platform.Host) bool { return h.ID == id }))
 }
 
-func lists(l *List, id string) bool { return slices.Contains(names(l.Hosts()), id) }
+func hasHost(l *List, id string) bool { return slices.Contains(idsOf(l.Hosts()), id) }
 
-// TestFollowersReadOnce is the load of 2,580 hosts.
-//
-// What an operator would see: 516 reads of the host list a second, a quarter of what the platform takes, and
-// 68 KB/s at each host. Each host reads once when it starts; after that the relays alone read, and the
-// others still learn each change and know the list's age.
-func TestFollowersReadOnce(t *testing.T) {
+// Guards against hosts that all keep reading the platform. With 2,580 hosts that would be 516 reads of the host list a second, a
+// quarter of what the platform can take, and 68 KB/s at each host. Each host must read once when it starts. After that only the
+// relays may read, and the other hosts must still learn each change and know the list's age.
+func TestFollowersReadThePlatformOnce(t *testing.T) {
 	n := newNetwork(t)
 	n.start()
-	_, others, _ := n.split()
-	n.stop("entry-00")
-	for _, l := range others {
-		eventually(t, "the follower learns the change", func() bool { return !lists(l, "entry-00") })
-		eventually(t, "the list is handed on", func() bool { return l.State().(State).HandedOn })
+	_, followers, _ := n.lakeside()
+	n.removeHost("entry-00")
+	for _, l := range followers {
+		eventually(t, "the follower learns the change", func() bool { return !hasHost(l, "entry-00") })
+		eventually(t, "the follower has a list from a peer", func() bool { return l.State().(State).FromPeer })
 		if age := l.Age(time.Now()); age > 20*testInterval {
-			t.Errorf("age %v", age)
+			t.Errorf("age %v, want at most 20 intervals", age)
 		}
 	}
 	before := map[netip.AddrPort]int{}
 	for address := range n.lists {
 		before[address] = n.readsBy(address)
 	}
-	relays, _, _ := n.split()
-	first := n.readsOf(relays)
-	eventually(t, "the relays read on", func() bool { return n.readsOf(relays) > first+4 })
+	relays, _, _ := n.lakeside()
+	readsBefore := n.readsOf(relays)
+	eventually(t, "the relays have read again", func() bool { return n.readsOf(relays) > readsBefore+4 })
 	for address, l := range n.lists {
-		if reads := n.readsBy(address) - before[address]; !l.State().(State).Relay && reads > 0 {
-			t.Errorf("%s is no relay and read %d times", address, reads)
+		if reads := n.readsBy(address) - before[address]; !l.State().(State).IsRelay && reads > 0 {
+			t.Errorf("%s is not a relay but read the platform %d times", address, reads)
 		}
 	}
 }
@@ -187,228 +186,223 @@
 	return sum
 }
 
-// TestRelayGone is the death of a relay.
-//
-// What a caller would see: a third of a zone's hosts go on sending to a server that was stopped. The
-// followers of the dead relay turn to the other one.
-func TestRelayGone(t *testing.T) {
-	for _, which := range []int{0, 1} {
-		t.Run(fmt.Sprint("relay ", which), func(t *testing.T) { relayGone(t, which) })
+// Guards against followers that stay with a failed relay. A third of a zone's hosts would go on sending requests to a server that
+// was stopped. They must switch to the other relay.
+func TestFollowersSwitchFromAFailedRelay(t *testing.T) {
+	for _, index := range []int{0, 1} {
+		t.Run(fmt.Sprint("relay ", index), func(t *testing.T) { testFailedRelay(t, index) })
 	}
 }
 
-func relayGone(t *testing.T, which int) {
+func testFailedRelay(t *testing.T, index int) {
 	n := newNetwork(t)
 	n.start()
-	_, others, addresses := n.split()
-	for _, l := range others {
-		eventually(t, "the list is handed on", func() bool { return l.State().(State).HandedOn })
+	_, followers, addresses := n.lakeside()
+	for _, l := range followers {
+		eventually(t, "the follower has a list from a peer", func() bool { return l.State().(State).FromPeer })
 	}
-	n.set(n.cut, addresses[which], true)
-	n.stop("entry-00")
-	for _, l := range others {
-		eventually(t, "the follower learns the change", func() bool { return !lists(l, "entry-00") })
+	n.set(n.isolated, addresses[index], true)
+	n.removeHost("entry-00")
+	for _, l := range followers {
+		eventually(t, "the follower learns the change", func() bool { return !hasHost(l, "entry-00") })
 	}
 }
 
-// TestBothRelaysGone is the death of both relays of a zone at once: the neighbour zones' relays help.
-func TestBothRelaysGone(t *testing.T) {
+// Guards against followers that get no more changes when both relays of their zone fail at once. They must use the relays of the
+// neighbour zones.
+func TestFollowersUseNeighbourZonesIfBothRelaysFail(t *testing.T) {
 	n := newNetwork(t)
 	n.start()
-	_, others, addresses := n.split()
+	_, followers, addresses := n.lakeside()
 	for _, address := range addresses {
-		n.set(n.cut, address, true)
+		n.set(n.isolated, address, true)
 	}
-	for _, l := range others {
-		eventually(t, "the list comes from a neighbour", func() bool { return l.State().(State).HandedOn })
+	for _, l := range followers {
+		eventually(t, "the follower has a list from a peer", func() bool { return l.State().(State).FromPeer })
 	}
-	n.stop("entry-00")
-	for _, l := range others {
-		eventually(t, "the follower learns the change", func() bool { return !lists(l, "entry-00") })
+	n.removeHost("entry-00")
+	for _, l := range followers {
+		eventually(t, "the follower learns the change", func() bool { return !hasHost(l, "entry-00") })
 	}
 }
 
-// TestStaleRelay is a relay that can't reach the platform any more, nor the other relays.
-//
-// What a caller would see: a server that was stopped is live again and gets requests. The relay's list stays
-// behind; its followers turn away from it as it ages, and never take the old list for a newer one.
-func TestStaleRelay(t *testing.T) {
-	for _, which := range []int{0, 1} {
-		t.Run(fmt.Sprint("relay ", which), func(t *testing.T) { staleRelay(t, which) })
+// Guards against a relay that reaches neither the platform nor the other relays, so that its list gets old. A server that was
+// stopped would be live again for its followers and get requests. They must leave the relay as its list ages, and must never
+// replace a newer list by the old one.
+func TestFollowersLeaveAStaleRelay(t *testing.T) {
+	for _, index := range []int{0, 1} {
+		t.Run(fmt.Sprint("relay ", index), func(t *testing.T) { testStaleRelay(t, index) })
 	}
 }
 
-func staleRelay(t *testing.T, which int) {
+func testStaleRelay(t *testing.T, index int) {
 	n := newNetwork(t)
 	n.start()
-	relays, others, addresses := n.split()
-	n.set(n.apart, addresses[which], true)
-	n.set(n.mute, addresses[which], true)
-	stale := relays[which]
-	old := stale.current.Load()
-	n.stop("entry-00")
-	for _, l := range others {
-		eventually(t, "the follower learns the change", func() bool { return !lists(l, "entry-00") })
-	}
-	reads := n.readsBy(addresses[1-which])
-	eventually(t, "the other relay reads on", func() bool {
-		for _, l := range others {
-			if lists(l, "entry-00") {
-				t.Fatal("the stopped host came back")
+	relays, followers, addresses := n.lakeside()
+	n.set(n.noPlatform, addresses[index], true)
+	n.set(n.noOutbound, addresses[index], true)
+	stale := relays[index]
+	staleList := stale.current.Load()
+	n.removeHost("entry-00")
+	for _, l := range followers {
+		eventually(t, "the follower learns the change", func() bool { return !hasHost(l, "entry-00") })
+	}
+	reads := n.readsBy(addresses[1-index])
+	eventually(t, "the other relay has read eight more times", func() bool {
+		for _, l := range followers {
+			if hasHost(l, "entry-00") {
+				t.Fatal("a follower lists the stopped host again")
 			}
 		}
-		return n.readsBy(addresses[1-which]) > reads+8
+		return n.readsBy(addresses[1-index]) > reads+8
 	})
-	if old.digest != stale.current.Load().digest {
-		t.Error("the stale relay learnt the change; the test shows nothing")
+	if staleList.digest != stale.current.Load().digest {
+		t.Error("the relay that should be stale has learned the change, so the test proves nothing")
 	}
 }
 
-// TestRelayApartAsksOthers is a relay that can't reach the platform and can reach other relays.
-//
-// What an operator would see: a zone whose hosts keep an old list although the next zone has a new one.
-func TestRelayApartAsksOthers(t *testing.T) {
+// Guards against a zone that keeps an old list although the next zone has a new one, because its relays can't reach the platform.
+// They must ask the relays of other zones.
+func TestRelayWithoutPlatformAsksOtherRelays(t *testing.T) {
 	n := newNetwork(t)
 	n.start()
-	relays, _, addresses := n.split()
+	relays, _, addresses := n.lakeside()
 	for _, address := range addresses {
-		n.set(n.apart, address, true)
+		n.set(n.noPlatform, address, true)
 	}
-	n.stop("entry-00")
+	n.removeHost("entry-00")
 	for _, l := range relays {
-		eventually(t, "the relay learns the change from a neighbour", func() bool { return !lists(l, "entry-00") })
+		eventually(t, "the relay learns the change from a neighbour", func() bool { return !hasHost(l, "entry-00") })
 	}
 }
 
-// TestOutageAges is an outage of the platform.
-//
-// What an operator would see: servers ordered on a list that looks fresh because peers confirm it to each other.
-// All hosts keep the list, and its age grows on followers as on relays, so that nothing is ordered on it.
-func TestOutageAges(t *testing.T) {
+// Guards against backend servers that are ordered in an outage of the platform, on the basis of a list that looks recent because
+// peers confirm it to each other. All hosts must keep the list, and its age must grow on followers and on relays.
+func TestListAgesInAnOutage(t *testing.T) {
 	n := newNetwork(t)
 	n.start()
-	_, others, _ := n.split()
-	eventually(t, "the list is handed on", func() bool { return others[0].State().(State).HandedOn })
+	_, followers, _ := n.lakeside()
+	eventually(t, "the follower has a list from a peer", func() bool { return followers[0].State().(State).FromPeer })
 	n.store.SetOutage(true)
-	began := time.Now()
+	outageStart := time.Now()
 	for _, l := range n.lists {
-		eventually(t, "the age grows", func() bool { return l.Age(time.Now()) > 6*testInterval })
+		eventually(t, "the list has aged", func() bool { return l.Age(time.Now()) > 6*testInterval })
 		if len(l.Hosts()) != len(n.hosts) {
-			t.Errorf("%d hosts are left", len(l.Hosts()))
+			t.Errorf("only %d hosts are left in the list", len(l.Hosts()))
 		}
 	}
 	for _, l := range n.lists {
-		if read := time.Now().Add(-l.Age(time.Now())); read.After(began.Add(testInterval)) {
-			t.Errorf("a list counts as read %v after the outage began", read.Sub(began))
+		if read := time.Now().Add(-l.Age(time.Now())); read.After(outageStart.Add(testInterval)) {
+			t.Errorf("a list has a read time %v after the outage began", read.Sub(outageStart))
 		}
 	}
 	n.store.SetOutage(false)
 	for _, l := range n.lists {
-		eventually(t, "the list is read again", func() bool { return l.Age(time.Now()) < 3*testInterval })
+		eventually(t, "the list has been read again", func() bool { return l.Age(time.Now()) < 3*testInterval })
 	}
 }
 
-// TestStartInOutageFollows is a host that starts while the platform is down and gets a first list from a peer.
-//
-// What an operator would see: a list that never gets an age on that host, so that it never acts on it, or an age
-// that starts at zero. The host follows the relays of that list, and takes over the age of their read.
-func TestStartInOutageFollows(t *testing.T) {
+// Guards against a host that starts while the platform is down and gets its first list from a peer. If its list never got an age,
+// the host would never act on it; an age that starts at zero would make the list look recent. The host must follow the relays
+// in that list and take over the age of their list.
+func TestHostStartedInAnOutageFollowsRelays(t *testing.T) {
 	n := newNetwork(t)
 	n.start()
 	n.store.SetOutage(true)
-	began := time.Now()
-	late := platform.Host{ID: "late", AvailabilityZone: "lakeside", PeerAddress: netip.MustParseAddrPort("10.0.0.9:7100")}
+	outageStart := time.Now()
+	lateHost := platform.Host{ID: "late", AvailabilityZone: "lakeside", PeerAddress: netip.MustParseAddrPort("10.0.0.9:7100")}
 	ctx, cancel := context.WithCancel(context.Background())
-	l := n.add(ctx, late, WithFallback(fixed(n.hosts)))
+	l := n.add(ctx, lateHost, WithFallback(staticSource(n.hosts)))
 	<-l.Loaded()
-	eventually(t, "the list has an age", func() bool { return !l.State().(State).Read.IsZero() })
-	if read := l.State().(State).Read; read.After(began) {
-		t.Errorf("read %v after the outage began", read.Sub(began))
+	eventually(t, "the list has a read time", func() bool { return !l.State().(State).ReadAt.IsZero() })
+	if read := l.State().(State).ReadAt; read.After(outageStart) {
+		t.Errorf("the list has a read time %v after the outage began", read.Sub(outageStart))
 	}
 	cancel()
 	l.Wait()
 }
 
-// TestOlderListIsRefused hands a host lists that were read before and after its own.
-func TestOlderListIsRefused(t *testing.T) {
+// Checks that a host takes over a relay's list only if that was read later than its own.
+func TestOlderListIsRejected(t *testing.T) {
 	now := time.Now()
 	cases := []struct {
-		name  string
-		age   time.Duration
-		taken bool
+		name     string
+		age      time.Duration
+		accepted bool
 	}{
-		{name: "read later", age: time.Second, taken: true},
+		{name: "read later", age: time.Second, accepted: true},
 		{name: "read before", age: time.Minute},
-		{name: "never read", age: noAge},
+		{name: "never read", age: neverRead},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			l := &List{interval: time.Minute, loaded: make(chan struct{})}
 			l.current.Store(newSnapshot(entries(2), now.Add(-10*time.Second)))
-			offered := newSnapshot(entries(3), now).answer(0, 0, now)
+			offered := newSnapshot(entries(3), now).changesSince(0, 0, now)
 			offered.Age = c.age
-			l.exchange = always{offered}
-			_, err := l.ask(context.Background(), netip.AddrPort{}, 0)
-			if taken := len(l.Hosts()) == 3; taken != c.taken || taken != (err == nil) {
-				t.Errorf("taken %v, %v", taken, err)
+			l.relayClient = constantRelay{offered}
+			_, err := l.requestChanges(context.Background(), netip.AddrPort{}, 0)
+			if accepted := len(l.Hosts()) == 3; accepted != c.accepted || accepted != (err == nil) {
+				t.Errorf("accepted = %v, error: %v", accepted, err)
 			}
 		})
 	}
 }
 
-// TestTurns: a relay reads in its own turn, and in another's only if that was missed.
-//
-// What an operator would see: 44 relays that receive 114 KB/s each, or, after the death of the relay whose turn
-// it is, a list that is too old to order servers on.
-func TestTurns(t *testing.T) {
+// Checks that a relay reads the platform in its own turn, and in another relay's turn only if that one has missed it. If 44 relays
+// read in every turn, each would receive 114 KB/s. If none stood in for a relay that failed in its turn, the list would become
+// too old to order backend servers.
+func TestRelaysReadInTurns(t *testing.T) {
 	now := time.Now()
-	newer := newSnapshot(entries(3), now).answer(0, 0, now)
-	missed := ChangesAnswer{Digest: newer.Digest, Age: noAge}
+	newer := newSnapshot(entries(3), now).changesSince(0, 0, now)
+	missed := ChangesAnswer{Digest: newer.Digest, Age: neverRead}
 	cases := []struct {
-		name   string
-		self   int
-		answer ChangesAnswer
-		age    time.Duration
-		reads  int
+		name      string
+		selfIndex int
+		answer    ChangesAnswer
+		age       time.Duration
+		reads     int
 	}{
 		{name: "own turn", answer: newer, reads: 1},
-		{name: "another's turn", self: 1, answer: newer, age: 2 * time.Minute},
-		{name: "another's turn is late", self: 1, answer: missed, age: time.Minute},
-		{name: "another's turn was missed", self: 1, answer: missed, age: 2 * time.Minute, reads: 1},
+		{name: "another's turn", selfIndex: 1, answer: newer, age: 2 * time.Minute},
+		{name: "another's turn is late", selfIndex: 1, answer: missed, age: time.Minute},
+		{name: "another's turn was missed", selfIndex: 1, answer: missed, age: 2 * time.Minute, reads: 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			source := &counted{HostList: fixed(entries(3))}
-			l := &List{interval: time.Minute, loaded: make(chan struct{}), source: source, exchange: always{c.answer}}
+			source := &countingSource{HostList: staticSource(entries(3))}
+			l := &List{interval: time.Minute, loaded: make(chan struct{}), source: source, relayClient: constantRelay{c.answer}}
 			l.current.Store(newSnapshot(entries(2), time.Now().Add(-c.age)))
-			ended, end := context.WithCancel(context.Background())
-			end() // a pause ends at once
-			l.takeTurn(ended, route{relay: true, self: c.self, readers: []netip.AddrPort{{}}})
+			ctx, cancel := context.WithCancel(context.Background())
+			cancel() // pauses end at once
+			l.refreshAsRelay(ctx, route{isRelay: true, selfIndex: c.selfIndex, relays: []netip.AddrPort{{}}})
 			if source.reads != c.reads {
-				t.Errorf("%d reads, not %d", source.reads, c.reads)
+				t.Errorf("%d reads, want %d", source.reads, c.reads)
 			}
 		})
 	}
 }
 
-type counted struct {
+// countingSource counts the reads of a host list.
+type countingSource struct {
 	platform.HostList
 	reads int
 }
 
-func (c *counted) Hosts(ctx context.Context) ([]platform.Host, error) {
-	c.reads++
-	return c.HostList.Hosts(ctx)
+func (s *countingSource) Hosts(ctx context.Context) ([]platform.Host, error) {
+	s.reads++
+	return s.HostList.Hosts(ctx)
 }
 
-type always struct{ answer ChangesAnswer }
+// constantRelay is a RelayClient that always returns the same answer.
+type constantRelay struct{ answer ChangesAnswer }
 
-func (a always) Changes(context.Context, netip.AddrPort, ChangesAsk) (ChangesAnswer, error) {
-	return a.answer, nil
+func (r constantRelay) Changes(context.Context, netip.AddrPort, ChangesRequest) (ChangesAnswer, error) {
+	return r.answer, nil
 }
 
-// TestChangesLeadToTheList: whatever two lists are, the changes between them lead from one to the other.
-func TestChangesLeadToTheList(t *testing.T) {
+// Checks for arbitrary lists that the changes between two lists, applied to the first one, produce the second one.
+func TestChangesReproduceTheList(t *testing.T) {
 	hosts := rapid.Custom(func(t *rapid.T) platform.Host {
 		return platform.Host{
 			ID:    rapid.StringMatching("host-[0-9]").Draw(t, "id"),
@@ -416,25 +410,25 @@
 			State: rapid.SampledFrom([]platform.HostState{platform.HostLive, platform.HostLeaving}).Draw(t, "state"),
 		}
 	})
-	rows := rapid.SliceOfNDistinct(hosts, 0, 8, func(h platform.Host) string { return h.ID })
+	lists := rapid.SliceOfNDistinct(hosts, 0, 8, func(h platform.Host) string { return h.ID })
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
-		held := newSnapshot(rows.Draw(t, "held"), now)
-		next := held.after(newSnapshot(rows.Draw(t, "next"), now))
-		got, err := held.apply(next.answer(held.digest, 0, now), now)
+		held := newSnapshot(lists.Draw(t, "held"), now)
+		next := held.successor(newSnapshot(lists.Draw(t, "next"), now))
+		got, err := held.apply(next.changesSince(held.digest, 0, now), now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(next.hosts, got.hosts, compareAny); diff != "" {
+		if diff := cmp.Diff(next.hosts, got.hosts, compareAddresses); diff != "" {
 			t.Errorf("(-relay +follower):\n%s", diff)
 		}
 	})
 }
 
-// TestUnknownListIsSentWhole: a follower whose list the relay has forgotten gets all rows, over a connection.
-func TestUnknownListIsSentWhole(t *testing.T) {
+// Checks over a real connection that a follower gets the whole list if the relay doesn't know the follower's list.
+func TestWholeListIsSentForAnUnknownDigest(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	relay := NewList(ctx, fixed(entries(3)))
+	relay := NewList(ctx, staticSource(entries(3)))
 	<-relay.Loaded()
 	registry := peer.NewRegistry()
 	relay.Register(registry)
@@ -444,7 +438,7 @@
 	}
 	server := peer.NewServer(ctx, listener, registry, []byte("secret of the test"))
 	client := peer.NewClient(ctx, []byte("secret of the test"))
-	answer, err := NewPeerExchange(client).Changes(ctx, listener.Addr().(*net.TCPAddr).AddrPort(), ChangesAsk{Digest: 12345})
+	answer, err := NewPeerExchange(client).Changes(ctx, listener.Addr().(*net.TCPAddr).AddrPort(), ChangesRequest{Digest: 12345})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -452,7 +446,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(relay.Hosts(), got.hosts, compareAny); diff != "" {
+	if diff := cmp.Diff(relay.Hosts(), got.hosts, compareAddresses); diff != "" {
 		t.Errorf("(-relay +follower):\n%s", diff)
 	}
 	cancel()
--- a/internal/edge/membership/snapshot.go
+++ b/internal/edge/membership/snapshot.go
@@ -11,41 +11,41 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// keptLists is how many lists back a relay knows the changes. A follower asks again within seconds, and
-// the list changes about once a minute at the size to design for.
-const keptLists = 4
+// maxPreviousLists is the number of previous lists for which a relay can compute changes. At the largest size to design for,
+// the list changes about once a minute, and a follower sends its next request within seconds.
+const maxPreviousLists = 4
 
-// errDiffers is returned if changes lead to another list than the relay's.
-var errDiffers = errors.New("changes do not lead to the relay's list")
+// errListMismatch is returned if the changes that a relay sent don't produce the relay's list.
+var errListMismatch = errors.New("changes do not produce the relay's list")
 
-// snapshot is one list; it never changes.
+// snapshot is the state of the list at one read. It never changes.
 type snapshot struct {
 	hosts   []platform.Host
 	entries []platform.Host
 	servers map[string][]platform.Host
-	// digest names the content of hosts; 0 where no list is held.
+	// digest is a hash of hosts; 0 if no list is held.
 	digest uint64
-	// read is the moment before the list was asked for, by this host or by the one it came from.
-	read time.Time
-	// failures counts the failed reads since.
+	// readAt is the time just before the list was requested from the platform, by this host or by the one that passed it on.
+	readAt time.Time
+	// failures counts the reads of the platform that have failed since the list was received.
 	failures int
-	// handedOn lists come from a peer and not from the platform.
-	handedOn bool
-	// changed is closed when a list that was read later is published.
-	changed chan struct{}
-	// earlier holds the lists before this one, the newest first, by digest.
-	earlier []version
+	// fromPeer reports that the list comes from a peer and not from the platform.
+	fromPeer bool
+	// replaced is closed when the next list is published.
+	replaced chan struct{}
+	// previous holds the lists before this one, the newest first.
+	previous []previousList
 }
 
-// version is a list that was held before.
-type version struct {
+// previousList is a list that was held before.
+type previousList struct {
 	digest uint64
 	hosts  []platform.Host
 }
 
-func newSnapshot(hosts []platform.Host, read time.Time) *snapshot {
+func newSnapshot(hosts []platform.Host, readAt time.Time) *snapshot {
 	s := &snapshot{
-		hosts: slices.Clone(hosts), servers: map[string][]platform.Host{}, read: read, changed: make(chan struct{}),
+		hosts: slices.Clone(hosts), servers: map[string][]platform.Host{}, readAt: readAt, replaced: make(chan struct{}),
 	}
 	slices.SortFunc(s.hosts, byID)
 	s.digest = digestOf(s.hosts)
@@ -62,114 +62,117 @@
 
 func byID(a, b platform.Host) int { return cmp.Compare(a.ID, b.ID) }
 
-// digestOf names a sorted list by its content, so that lists of different relays can be told apart or
-// found to be the same without a count that both would have to agree on.
+// digestOf returns a hash of a sorted list, never 0. It lets hosts compare the lists of different relays, which
+// a version number would allow only if all relays agreed on it.
 func digestOf(hosts []platform.Host) uint64 {
-	sum := xxhash.New()
+	hash := xxhash.New()
 	for _, h := range hosts {
 		for _, text := range []string{h.ID, string(h.Role), h.Pool, h.AvailabilityZone, h.PeerAddress.String(), string(h.State)} {
-			_, _ = sum.WriteString(text) // never fails
-			_, _ = sum.WriteString("\x00")
+			_, _ = hash.WriteString(text) // never fails
+			_, _ = hash.WriteString("\x00")
 		}
 	}
-	return max(sum.Sum64(), 1)
+	return max(hash.Sum64(), 1)
 }
 
-// after returns the list that follows s. A list of the same content shares its rows, so that reading it
-// again and again takes no memory.
-func (s *snapshot) after(next *snapshot) *snapshot {
+// successor prepares next to replace s, and returns it. If the content is the same, next shares the slices of s, so that
+// repeated reads of an unchanged list retain no more memory.
+func (s *snapshot) successor(next *snapshot) *snapshot {
 	if next.digest == s.digest {
-		next.hosts, next.entries, next.servers, next.earlier = s.hosts, s.entries, s.servers, s.earlier
+		next.hosts, next.entries, next.servers, next.previous = s.hosts, s.entries, s.servers, s.previous
 		return next
 	}
 	if s.digest == 0 {
 		return next
 	}
-	next.earlier = append([]version{{digest: s.digest, hosts: s.hosts}}, s.earlier...)
-	next.earlier = next.earlier[:min(len(next.earlier), keptLists)]
+	next.previous = append([]previousList{{digest: s.digest, hosts: s.hosts}}, s.previous...)
+	next.previous = next.previous[:min(len(next.previous), maxPreviousLists)]
 	return next
 }
 
-// find returns the rows of a list held now or before.
-func (s *snapshot) find(digest uint64) ([]platform.Host, bool) {
+// hostsByDigest returns the hosts of the current or a previous list.
+func (s *snapshot) hostsByDigest(digest uint64) ([]platform.Host, bool) {
 	if digest == s.digest {
 		return s.hosts, true
 	}
-	for _, earlier := range s.earlier {
-		if earlier.digest == digest {
-			return earlier.hosts, true
+	for _, previous := range s.previous {
+		if previous.digest == digest {
+			return previous.hosts, true
 		}
 	}
 	return nil, false
 }
 
-// answer returns the changes since the asked list, or the whole list where that isn't known any more.
-func (s *snapshot) answer(digest uint64, held time.Duration, now time.Time) ChangesAnswer {
-	a := ChangesAnswer{Digest: s.digest, Age: age(now, s.read), Held: held}
-	base, known := s.find(digest)
+// changesSince returns the changes since the list with the digest, or the whole list if that one is no longer known.
+func (s *snapshot) changesSince(digest uint64, heldFor time.Duration, now time.Time) ChangesAnswer {
+	a := ChangesAnswer{Digest: s.digest, Age: age(now, s.readAt), HeldFor: heldFor}
+	base, known := s.hostsByDigest(digest)
 	if known {
-		a.Base = digest
+		a.BaseDigest = digest
 	}
-	if a.Base == s.digest {
+	if a.BaseDigest == s.digest {
 		return a
 	}
-	a.Changed, a.Gone = difference(base, s.hosts)
+	a.Changed, a.Removed = difference(base, s.hosts)
 	return a
 }
 
-func age(now, read time.Time) time.Duration {
-	if read.IsZero() {
-		return noAge
+// age returns the time since readAt, or neverRead if readAt is zero. It is the longer one of the times by the monotonic clock
+// and by the wall clock.
+func age(now, readAt time.Time) time.Duration {
+	if readAt.IsZero() {
+		return neverRead
 	}
-	return max(now.Sub(read), now.Round(0).Sub(read.Round(0)), 0)
+	return max(now.Sub(readAt), now.Round(0).Sub(readAt.Round(0)), 0)
 }
 
-// difference compares two sorted lists.
-func difference(from, to []platform.Host) (changed []row, gone []string) {
+// difference returns the changes between two sorted lists.
+func difference(from, to []platform.Host) (changed []row, removed []string) {
 	for _, host := range to {
 		at, found := slices.BinarySearchFunc(from, host, byID)
 		if !found || from[at] != host {
-			changed = append(changed, rowOf(host))
+			changed = append(changed, newRow(host))
 		}
 	}
 	for _, host := range from {
 		if _, found := slices.BinarySearchFunc(to, host, byID); !found {
-			gone = append(gone, host.ID)
+			removed = append(removed, host.ID)
 		}
 	}
-	return changed, gone
+	return changed, removed
 }
 
-// apply returns the list to which the changes lead.
-func (s *snapshot) apply(a ChangesAnswer, read time.Time) (*snapshot, error) {
+// apply returns the list that results from the changes. It returns errListMismatch if they apply to another list or if the
+// result doesn't have the answer's digest.
+func (s *snapshot) apply(a ChangesAnswer, readAt time.Time) (*snapshot, error) {
 	if a.Digest == s.digest {
 		next := *s
-		next.read, next.changed, next.failures, next.handedOn = read, make(chan struct{}), 0, true
+		next.readAt, next.replaced, next.failures, next.fromPeer = readAt, make(chan struct{}), 0, true
 		return &next, nil
 	}
-	if a.Base != 0 && a.Base != s.digest {
-		return nil, errors.Wrap(errDiffers, "another base")
+	if a.BaseDigest != 0 && a.BaseDigest != s.digest {
+		return nil, errors.Wrap(errListMismatch, "changes apply to a list that is not held")
 	}
-	rows := map[string]platform.Host{}
-	if a.Base != 0 {
+	byHostID := map[string]platform.Host{}
+	if a.BaseDigest != 0 {
 		for _, host := range s.hosts {
-			rows[host.ID] = host
+			byHostID[host.ID] = host
 		}
 	}
-	for _, id := range a.Gone {
-		delete(rows, id)
+	for _, id := range a.Removed {
+		delete(byHostID, id)
 	}
 	for _, changed := range a.Changed {
-		rows[changed.ID] = changed.host()
+		byHostID[changed.ID] = changed.host()
 	}
-	hosts := make([]platform.Host, 0, len(rows))
-	for _, host := range rows {
+	hosts := make([]platform.Host, 0, len(byHostID))
+	for _, host := range byHostID {
 		hosts = append(hosts, host)
 	}
-	next := newSnapshot(hosts, read)
-	next.handedOn = true
+	next := newSnapshot(hosts, readAt)
+	next.fromPeer = true
 	if next.digest != a.Digest {
-		return nil, errors.WithStack(errDiffers)
+		return nil, errors.WithStack(errListMismatch)
 	}
-	return s.after(next), nil
+	return s.successor(next), nil
 }
