--- a/internal/edge/configuration/route.go
+++ b/internal/edge/configuration/route.go
@@ -44,7 +44,7 @@
 	if f.exchange == nil {
 		return route{}
 	}
-	return f.routes.Of(f.directory.Entries(), f.routeAmong)
+	return f.routes.GetOrCompute(f.directory.Entries(), f.routeAmong)
 }
 
 // routeAmong works the route out from a list of entries.
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -208,7 +208,7 @@
 // 2,200 servers takes longer than all other decisions about a request together.
 func (d *Dispatcher) subset(pool string) []placement.Server {
 	known, _ := d.subsets.LoadOrStore(pool, &subsets{})
-	return known.(*subsets).Of(d.members.Servers(pool), func(hosts []platform.Host) []placement.Server {
+	return known.(*subsets).GetOrCompute(d.members.Servers(pool), func(hosts []platform.Host) []placement.Server {
 		return placement.Subset(d.config.HostID, d.config.AvailabilityZone, serversOf(hosts), subsetSize)
 	})
 }
--- a/internal/edge/membership/perlist.go
+++ b/internal/edge/membership/perlist.go
@@ -23,9 +23,9 @@
 	value T
 }
 
-// Of returns the value that compute returns for the hosts. Neither the list, once published, nor the value may be changed.
+// GetOrCompute returns the value that compute returns for the hosts. Neither the list, once published, nor the value may be changed.
 // Concurrent callers may each compute the value.
-func (p *PerList[T]) Of(hosts []platform.Host, compute func([]platform.Host) T) T {
+func (p *PerList[T]) GetOrCompute(hosts []platform.Host, compute func([]platform.Host) T) T {
 	if last := p.last.Load(); last != nil && isSameList(last.hosts, hosts) {
 		return last.value
 	}
--- a/internal/edge/membership/perlist_test.go
+++ b/internal/edge/membership/perlist_test.go
@@ -35,7 +35,7 @@
 		{hosts: other, want: "replaced", calls: 4},
 		{hosts: slices.Clone(other), want: "replaced", calls: 5},
 	} {
-		if got := cache.Of(c.hosts, firstID); got != c.want || calls != c.calls {
+		if got := cache.GetOrCompute(c.hosts, firstID); got != c.want || calls != c.calls {
 			t.Errorf("case %d: got %q after %d calls, want %q after %d", i, got, calls, c.want, c.calls)
 		}
 	}
--- a/internal/edge/membership/relay.go
+++ b/internal/edge/membership/relay.go
@@ -84,7 +84,7 @@
 	if l.relayClient == nil {
 		return route{}
 	}
-	return l.routes.Of(l.current.Load().entries, l.computeRoute)
+	return l.routes.GetOrCompute(l.current.Load().entries, l.computeRoute)
 }
 
 func (l *List) computeRoute(entries []platform.Host) route {
--- a/internal/program/process/ranking.go
+++ b/internal/program/process/ranking.go
@@ -38,7 +38,7 @@
 // first returns the first live entries of the ranking, those with the highest weight first. It returns none if no live
 // entry is known.
 func (r *ranking) first(entries []platform.Host, key rankingKey) []platform.Host {
-	return r.cache.Of(entries, newRankingCache).first(key)
+	return r.cache.GetOrCompute(entries, newRankingCache).first(key)
 }
 
 func newRankingCache(entries []platform.Host) *rankingCache {
