--- a/internal/edge/membership/list_test.go
+++ b/internal/edge/membership/list_test.go
@@ -150,7 +150,7 @@
 	for _, count := range []int{0, 1, 3, 39, 40, 41} {
 		hosts := entries(40)
 		want := idsOf(Rank("usage/0", hosts))
-		if diff := cmp.Diff(want[:min(count, len(want))], First("usage/0", idsOf(hosts), count)); diff != "" {
+		if diff := cmp.Diff(want[:min(count, len(want))], TopRanked("usage/0", idsOf(hosts), count)); diff != "" {
 			t.Errorf("first %d (-want +got):\n%s", count, diff)
 		}
 	}
@@ -166,6 +166,6 @@
 func BenchmarkFirst(b *testing.B) {
 	ids := idsOf(entries(380))
 	for b.Loop() {
-		First("trainerJob/fees", ids, 3)
+		TopRanked("trainerJob/fees", ids, 3)
 	}
 }
--- a/internal/edge/membership/rank.go
+++ b/internal/edge/membership/rank.go
@@ -38,9 +38,9 @@
 	return slices.ContainsFunc(top, func(h platform.Host) bool { return h.ID == hostID })
 }
 
-// First returns the first count IDs in the order of Rank. It hashes each ID once and keeps only the first count sorted,
+// TopRanked returns the first count IDs in the order of Rank. It hashes each ID once and keeps only the first count sorted,
 // for frequent callers: at each entry 18 trainer jobs rank 380 entries several times a second.
-func First(purpose string, ids []string, count int) []string {
+func TopRanked(purpose string, ids []string, count int) []string {
 	type weighted struct {
 		id     string
 		weight uint64
--- a/internal/program/process/ranking.go
+++ b/internal/program/process/ranking.go
@@ -67,7 +67,7 @@
 	}
 	slices.SortFunc(ids, cmp.Compare[string])
 	chosen := []platform.Host{}
-	for _, id := range membership.First(key.purpose, ids, key.count) {
+	for _, id := range membership.TopRanked(key.purpose, ids, key.count) {
 		chosen = append(chosen, byID[id])
 	}
 	return chosen
