--- a/internal/edge/membership/exchange.go
+++ b/internal/edge/membership/exchange.go
@@ -80,8 +80,8 @@
 	Changes(ctx context.Context, relay netip.AddrPort, request ChangesRequest) (ChangesAnswer, error)
 }
 
-// NewPeerExchange returns a RelayClient that uses peer connections.
-func NewPeerExchange(client *peer.Client) RelayClient { return peerRelayClient{client: client} }
+// NewPeerRelayClient returns a RelayClient that uses peer connections.
+func NewPeerRelayClient(client *peer.Client) RelayClient { return peerRelayClient{client: client} }
 
 type peerRelayClient struct{ client *peer.Client }
 
--- a/internal/edge/membership/perlist_test.go
+++ b/internal/edge/membership/perlist_test.go
@@ -54,7 +54,7 @@
 
 // BenchmarkRoute measures a cached look-up of the route with 380 entries, the largest size to design for.
 func BenchmarkRoute(b *testing.B) {
-	l := &List{relayClient: NewPeerExchange(nil), self: Self{HostID: "entry-007", AvailabilityZone: "zone-07"}}
+	l := &List{relayClient: NewPeerRelayClient(nil), self: Self{HostID: "entry-007", AvailabilityZone: "zone-07"}}
 	l.current.Store(&snapshot{entries: zoneEntries(380)})
 	for b.Loop() {
 		l.route()
--- a/internal/edge/membership/relay_test.go
+++ b/internal/edge/membership/relay_test.go
@@ -438,7 +438,7 @@
 	}
 	server := peer.NewServer(ctx, listener, registry, []byte("secret of the test"))
 	client := peer.NewClient(ctx, []byte("secret of the test"))
-	answer, err := NewPeerExchange(client).Changes(ctx, listener.Addr().(*net.TCPAddr).AddrPort(), ChangesRequest{Digest: 12345})
+	answer, err := NewPeerRelayClient(client).Changes(ctx, listener.Addr().(*net.TCPAddr).AddrPort(), ChangesRequest{Digest: 12345})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/program/capacity/listfollowers.go
+++ b/internal/program/capacity/listfollowers.go
@@ -80,7 +80,7 @@
 		}
 	}
 	g.startAll(ctx, l, count, func(id string, client *peer.Client) *membership.List {
-		return membership.NewList(ctx, g.store, membership.WithRelays(membership.NewPeerExchange(client),
+		return membership.NewList(ctx, g.store, membership.WithRelays(membership.NewPeerRelayClient(client),
 			membership.Self{HostID: id, AvailabilityZone: measuredZone}))
 	})
 	return nil
--- a/internal/program/process/runtime.go
+++ b/internal/program/process/runtime.go
@@ -66,7 +66,7 @@
 	}
 	r.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	r.client = peer.NewClient(ctx, []byte(set.PeerSecret), options...)
-	r.members = membership.NewList(ctx, r.platform, membership.WithRelays(membership.NewPeerExchange(r.client),
+	r.members = membership.NewList(ctx, r.platform, membership.WithRelays(membership.NewPeerRelayClient(r.client),
 		membership.Self{HostID: set.HostID, AvailabilityZone: set.AvailabilityZone}))
 	r.members.Register(r.peers)
 	return r, nil
