--- a/internal/edge/configuration/follower.go
+++ b/internal/edge/configuration/follower.go
@@ -105,7 +105,7 @@
 	current  atomic.Pointer[snapshot]
 	arrivals chan arrival
 	roster   *roster
-	routes   membership.PerList[route]
+	routes   membership.ListCache[route]
 	// failure is the last failed step, for the dump; nil where the last one went well.
 	failure atomic.Pointer[string]
 	wg      conc.WaitGroup
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -214,7 +214,7 @@
 }
 
 // subsets holds an entry's part of one pool for the newest list of hosts.
-type subsets = membership.PerList[[]placement.Server]
+type subsets = membership.ListCache[[]placement.Server]
 
 func serversOf(hosts []platform.Host) []placement.Server {
 	servers := make([]placement.Server, 0, len(hosts))
--- a/internal/edge/membership/list.go
+++ b/internal/edge/membership/list.go
@@ -65,7 +65,7 @@
 	self        Self
 	interval    time.Duration
 	current     atomic.Pointer[snapshot]
-	routes      PerList[route]
+	routes      ListCache[route]
 	// nextRefresh is the time of the next refresh; nil during a refresh.
 	nextRefresh atomic.Pointer[time.Time]
 	loaded      chan struct{}
--- a/internal/edge/membership/perlist.go
+++ b/internal/edge/membership/perlist.go
@@ -6,13 +6,13 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// PerList caches a value that is computed from a list of hosts, until it is asked for another list. The zero value is
+// ListCache caches a value that is computed from a list of hosts, until it is asked for another list. The zero value is
 // an empty cache. It is safe for concurrent use.
 //
 // Each host looks up several times a second which entries are relays or may contend for a duty, among 380 entries that
 // change about once a minute. Ranking them each time caused two thirds of the memory that an idle entry allocates, and the
 // garbage collections that followed took a good part of its processor time.
-type PerList[T any] struct {
+type ListCache[T any] struct {
 	last atomic.Pointer[cacheEntry[T]]
 }
 
@@ -25,7 +25,7 @@
 
 // GetOrCompute returns the value that compute returns for the hosts. Neither the list, once published, nor the value may be changed.
 // Concurrent callers may each compute the value.
-func (p *PerList[T]) GetOrCompute(hosts []platform.Host, compute func([]platform.Host) T) T {
+func (p *ListCache[T]) GetOrCompute(hosts []platform.Host, compute func([]platform.Host) T) T {
 	if last := p.last.Load(); last != nil && isSameList(last.hosts, hosts) {
 		return last.value
 	}
--- a/internal/program/process/ranking.go
+++ b/internal/program/process/ranking.go
@@ -18,7 +18,7 @@
 // An entry checks several times a second whether it should contend for each of about thirty duties, among 380 entries.
 // Ranking the entries for each check took most of an idle entry's processor time.
 type ranking struct {
-	cache membership.PerList[*rankingCache]
+	cache membership.ListCache[*rankingCache]
 }
 
 // rankingCache holds the rankings of one list of entries.
