--- a/internal/edge/membership/list_test.go
+++ b/internal/edge/membership/list_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// Checks that First returns the same order as Rank.
-func TestFirst(t *testing.T) {
+// Checks that TopRanked returns the first IDs in the order of Rank.
+func TestTopRanked(t *testing.T) {
 	for _, count := range []int{0, 1, 3, 39, 40, 41} {
 		hosts := entries(40)
 		want := idsOf(Rank("usage/0", hosts))
@@ -163,7 +163,7 @@
 	}
 }
 
-func BenchmarkFirst(b *testing.B) {
+func BenchmarkTopRanked(b *testing.B) {
 	ids := idsOf(entries(380))
 	for b.Loop() {
 		TopRanked("trainerJob/fees", ids, 3)
--- a/internal/edge/membership/perlist.go
+++ b/internal/edge/membership/perlist.go
@@ -25,12 +25,12 @@
 
 // GetOrCompute returns the value that compute returns for the hosts. Neither the list, once published, nor the value may be changed.
 // Concurrent callers may each compute the value.
-func (p *ListCache[T]) GetOrCompute(hosts []platform.Host, compute func([]platform.Host) T) T {
-	if last := p.last.Load(); last != nil && isSameList(last.hosts, hosts) {
+func (c *ListCache[T]) GetOrCompute(hosts []platform.Host, compute func([]platform.Host) T) T {
+	if last := c.last.Load(); last != nil && isSameList(last.hosts, hosts) {
 		return last.value
 	}
 	next := &cacheEntry[T]{hosts: hosts, value: compute(hosts)}
-	p.last.Store(next)
+	c.last.Store(next)
 	return next.value
 }
 
--- a/internal/edge/membership/perlist_test.go
+++ b/internal/edge/membership/perlist_test.go
@@ -10,7 +10,7 @@
 
 // Guards against a value that is still used after the list has changed, even to one of the same length. Hosts would go on
 // asking relays that have left, and get no configuration.
-func TestValueIsRecomputedForAnotherList(t *testing.T) {
+func TestListCacheRecomputesForAnotherList(t *testing.T) {
 	var cache ListCache[string]
 	calls := 0
 	firstID := func(hosts []platform.Host) string {
