--- a/internal/edge/entry/authenticate.go
+++ b/internal/edge/entry/authenticate.go
@@ -13,24 +13,26 @@
 
 const bearerPrefix = "Bearer "
 
-// isolatedRetry is when a caller refused by an isolated host should come back; the balancer may pick another host.
-const isolatedRetry = 2 * time.Second
+// isolatedRetryAfter is the Retry-After of a refusal by an isolated host; the load balancer may pick another host for
+// the retry.
+const isolatedRetryAfter = 2 * time.Second
 
-// caller is an authenticated sender of a request.
+// caller is the authenticated sender of a request.
 type caller struct {
 	organisation ticket.Organisation
-	// key is the presented key; it is used to keep it out of what is passed on, and goes nowhere.
+	// key is the key that was presented. It is only used to keep the key out of forwarded requests, and is never sent
+	// anywhere.
 	key     string
 	keyHash string
 }
 
-// authenticate finds the organisation of the presented key.
+// authenticate returns the organisation that holds the presented key.
 //
-// Guard: a host that is cut off from the platform and the relays doesn't learn that a key was withdrawn, and
-// would go on serving it. Such a host refuses everything; Fresh bounds how long it may be unaware.
+// A host that is cut off from the platform and the relays doesn't learn that a key was withdrawn, and would keep
+// accepting it. Such a host refuses every request; Fresh bounds how long it may be unaware.
 func (e *Entry) authenticate(c fiber.Ctx) (caller, error) {
 	if !e.deps.Views.Fresh(time.Now()) {
-		return caller{}, verdict.Refuse(verdict.NotRun, verdict.ReasonIsolated, isolatedRetry,
+		return caller{}, verdict.Refuse(verdict.NotRun, verdict.ReasonIsolated, isolatedRetryAfter,
 			"this host can't confirm that keys are still valid")
 	}
 	key, ok := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), bearerPrefix)
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -22,155 +22,158 @@
 )
 
 const (
-	// maxAttempts bounds one request's tries, so that a request that fails everywhere ends.
+	// maxAttempts bounds the attempts of one request, so that a request that fails everywhere ends.
 	maxAttempts = 4
-	// subsetSize is how many servers of a pool an entry uses; it bounds the connections of a host.
+	// subsetSize is how many servers of a pool an entry uses; it bounds the number of connections per host.
 	subsetSize = 24
-	// probeTimeout is well above a round trip between regions, and below what a caller would notice.
+	// probeTimeout is well above a round trip between regions, and short enough that a caller doesn't notice it.
 	probeTimeout = 300 * time.Millisecond
-	// noServerRetry is when to come back if a pool has no server that can be asked.
-	noServerRetry = 2 * time.Second
+	// unavailableRetryAfter is the Retry-After of refusals because a server or the platform is missing, unreachable or
+	// failed.
+	unavailableRetryAfter = 2 * time.Second
 )
 
-// Members is the list of hosts.
+// Members lists the live hosts by role.
 type Members interface {
 	Servers(pool string) []platform.Host
 	Entries() []platform.Host
 }
 
-// DispatcherConfig holds what a dispatcher knows of its own host.
+// DispatcherConfig identifies the host that a dispatcher runs on.
 type DispatcherConfig struct {
 	HostID           string
 	AvailabilityZone string
 	Incarnation      uint64
 }
 
-// Dispatcher places requests at agents, retries those that have not run, and settles those that were lost.
+// Dispatcher sends requests to agents, retries those that may be repeated, and asks for the outcome of those whose
+// connection was lost.
 type Dispatcher struct {
 	config  DispatcherConfig
 	client  *peer.Client
 	members Members
 	tracker *placement.Tracker
 	budget  *placement.RetryBudget
-	// revision returns the configuration revision in force.
+	// revision returns the revision of the configuration in force.
 	revision func() uint64
-	// counted takes the usage counter of each finished answer.
-	counted func(usage.Count)
-	metrics *Metrics
-	counter atomic.Uint64
-	// subsets holds a *subsets for each pool's name.
+	// recordUsage takes the usage count of each complete answer.
+	recordUsage    func(usage.Count)
+	metrics        *Metrics
+	requestCounter atomic.Uint64
+	// subsets maps the name of a pool to its *subsetCache.
 	subsets sync.Map
 }
 
-// NewDispatcher returns a dispatcher over the hosts of members.
-func NewDispatcher(config DispatcherConfig, client *peer.Client, members Members, revision func() uint64, counted func(usage.Count), metrics *Metrics) *Dispatcher {
+// NewDispatcher returns a dispatcher that sends requests to the hosts of members.
+func NewDispatcher(config DispatcherConfig, client *peer.Client, members Members, revision func() uint64, recordUsage func(usage.Count), metrics *Metrics) *Dispatcher {
 	return &Dispatcher{
-		config:   config,
-		client:   client,
-		members:  members,
-		tracker:  placement.NewTracker(),
-		budget:   placement.NewRetryBudget(),
-		revision: revision,
-		counted:  counted,
-		metrics:  metrics,
+		config:      config,
+		client:      client,
+		members:     members,
+		tracker:     placement.NewTracker(),
+		budget:      placement.NewRetryBudget(),
+		revision:    revision,
+		recordUsage: recordUsage,
+		metrics:     metrics,
 	}
 }
 
-// entries returns the number of live entries, at least this one.
+// entries returns the number of live entries, at least 1.
 func (d *Dispatcher) entries() int { return max(1, len(d.members.Entries())) }
 
-// call is one request of a caller or trainer, over all its tries.
+// call is one request of a caller or trainer, over all its attempts.
 type call struct {
 	organisation string
 	keyHash      string
 	pool         ticket.Pool
-	// prefix is the hash of the prompt's prefix, for servers that cache prefixes; 0 for none.
+	// prefix is the hash of the prompt's prefix, used to find servers that have it cached; 0 for none.
 	prefix     uint64
 	idempotent bool
 	priority   request.Priority
 	cost       float64
-	// avoid are hosts that are not tried: a second run of a straggler goes to another server.
-	avoid []string
-	// placed, if set, is told the host of each try.
-	placed func(hostID string)
-	// message returns the call's method, path, headers and body for the next try; a generation
-	// that lost its stream resumes from the tokens it has.
+	// excludedHosts aren't tried: a hedged run of a slow sample goes to another server.
+	excludedHosts []string
+	// onPlaced, if set, receives the host of each attempt.
+	onPlaced func(hostID string)
+	// message returns the method, path, headers and body for the next attempt; a generation whose stream was lost
+	// resumes from the tokens it has.
 	message func() request.Execute
 }
 
-// consumer takes one answer. It returns errFinal-wrapped errors for failures of its own receiver.
+// consumer reads one answer. It returns errors that wrap errReceiverGone if the receiver of the answer fails.
 type consumer func(answer *peer.Answer[request.AnswerEnd]) error
 
-// run tries the call at one agent after another until consume has taken a whole answer, the call may
-// not be repeated, or the retry budget is used up.
+// run tries the call at one agent after another until consume has read a complete answer, the call may not be
+// repeated, no server is left, or the attempts or the retry budget are used up.
 //
-// Guard: a second run of a call that may not be repeated. Only NotRun is tried again; an idempotent call is
-// tried again from MayHaveRun too. The verdict comes from the agent, or from settling after a lost connection.
+// A call that isn't idempotent must not run twice: it is tried again only after NotRun, an idempotent one also after
+// MayHaveRun. The verdict comes from the agent, or from settle after a lost connection.
 func (d *Dispatcher) run(ctx context.Context, c call, consume consumer) error {
 	d.budget.Deposit()
 	tried := map[string]bool{}
-	for _, hostID := range c.avoid {
+	for _, hostID := range c.excludedHosts {
 		tried[hostID] = true
 	}
-	last := noServer(c.pool.Name)
-	var isolated isolatedAgents
-	for attempts, paid := 0, 0; attempts < maxAttempts; {
-		// A wait for an agent that takes itself for cut off is no retry of a failed call: taken out of the budget, a few such
-		// waits emptied it at the start of an outage, and calls lost with their agent were refused with idle agents left.
-		if attempts > paid {
+	last := noServerRefusal(c.pool.Name)
+	var refusing refusingAgents
+	for attempts, paidRetries := 0, 0; attempts < maxAttempts; {
+		// Retries at an agent that considers itself isolated aren't paid from the retry budget. Otherwise a few of
+		// them would empty it at the start of an outage, and calls that are lost with their agent would be refused
+		// although other agents are idle.
+		if attempts > paidRetries {
 			if !d.budget.TryWithdraw() {
 				return last
 			}
-			paid++
+			paidRetries++
 			d.metrics.retried(c.pool.Name)
 		}
 		server, ok := d.place(ctx, c, tried)
-		for !ok && isolated.wait(ctx, tried) {
+		for !ok && refusing.wait(ctx, tried) {
 			server, ok = d.place(ctx, c, tried)
 		}
 		if !ok {
-			return d.orDeadline(ctx, last)
+			return d.deadlineOrLast(ctx, last)
 		}
 		tried[server.HostID] = true
-		if c.placed != nil {
-			c.placed(server.HostID)
+		if c.onPlaced != nil {
+			c.onPlaced(server.HostID)
 		}
-		err := d.try(ctx, c, server, consume)
+		err := d.attempt(ctx, c, server, consume)
 		if err == nil {
 			return nil
 		}
 		last = verdict.From(err)
-		if !isolated.note(server.HostID, last) {
-			// Others are bounded by time.
+		if !refusing.add(server.HostID, last) {
+			// Attempts while the request waits for isolated agents are bounded by maxIsolatedWait instead.
 			attempts++
 		}
-		if !mayRepeat(last, c.idempotent) || ctx.Err() != nil {
+		if !mayRetry(last, c.idempotent) || ctx.Err() != nil {
 			return last
 		}
 	}
 	return last
 }
 
-// orDeadline explains a missing server by the caller's deadline where that is the cause.
-func (d *Dispatcher) orDeadline(ctx context.Context, last *verdict.Refusal) *verdict.Refusal {
+// deadlineOrLast replaces last by a refusal for the passed deadline if ctx has ended and nothing has run.
+func (d *Dispatcher) deadlineOrLast(ctx context.Context, last *verdict.Refusal) *verdict.Refusal {
 	if ctx.Err() == nil || last.Verdict != verdict.NotRun {
 		return last
 	}
 	return verdict.Refuse(verdict.NotRun, verdict.ReasonDeadlinePassed, 0, "the deadline passed before a server was found")
 }
 
-func noServer(pool string) *verdict.Refusal {
-	return verdict.Refuse(verdict.NotRun, verdict.ReasonNoServer, noServerRetry, "pool %s has no server to take the request", pool)
+func noServerRefusal(pool string) *verdict.Refusal {
+	return verdict.Refuse(verdict.NotRun, verdict.ReasonNoServer, unavailableRetryAfter, "pool %s has no server to take the request", pool)
 }
 
-// finalReasons are refusals that every agent would give.
-var finalReasons = []verdict.Reason{
+// permanentReasons are refusals that every agent would return.
+var permanentReasons = []verdict.Reason{
 	verdict.ReasonBadRequest, verdict.ReasonTooLarge, verdict.ReasonAnswerTooLarge, verdict.ReasonUnknownKey, verdict.ReasonKeyWithdrawn,
 	verdict.ReasonForbidden, verdict.ReasonNotFound, verdict.ReasonDeadlinePassed, verdict.ReasonCancelled, verdict.ReasonCallerGone,
 }
 
-func mayRepeat(refusal *verdict.Refusal, idempotent bool) bool {
-	if slices.Contains(finalReasons, refusal.Reason) {
+func mayRetry(refusal *verdict.Refusal, idempotent bool) bool {
+	if slices.Contains(permanentReasons, refusal.Reason) {
 		return false
 	}
 	switch refusal.Verdict {
@@ -183,10 +186,10 @@
 	}
 }
 
-// place probes a few agents at once and chooses the one where the call starts soonest.
+// place probes a few agents in parallel and chooses the one where the call is estimated to start soonest.
 //
-// Guard: several servers leave at once, and the probes meet only those. The call would be refused for want of a server
-// though others have room; so others are probed, until one takes calls or all have been asked.
+// If all probed servers are leaving, it probes others until one accepts calls or none is left. Otherwise, while many
+// servers leave at once, a call would be refused for lack of a server although others have room.
 func (d *Dispatcher) place(ctx context.Context, c call, tried map[string]bool) (placement.Server, bool) {
 	for ctx.Err() == nil {
 		candidates := d.tracker.Candidates(time.Now(), d.subset(c.pool.Name), c.prefix, tried)
@@ -197,24 +200,24 @@
 		if server, ok := d.tracker.Choose(time.Now(), probed, c.cost); ok {
 			return server, true
 		}
-		for _, leaving := range candidates {
-			tried[leaving.HostID] = true
+		for _, candidate := range candidates {
+			tried[candidate.HostID] = true
 		}
 	}
 	return placement.Server{}, false
 }
 
-// subset returns this entry's part of the pool's servers. It is computed once for each list of hosts: ranking
-// 2,200 servers takes longer than all other decisions about a request together.
+// subset returns this entry's subset of the pool's servers. It is computed once for each host list: ranking 2,200
+// servers takes longer than all other decisions about a request together.
 func (d *Dispatcher) subset(pool string) []placement.Server {
-	known, _ := d.subsets.LoadOrStore(pool, &subsets{})
-	return known.(*subsets).GetOrCompute(d.members.Servers(pool), func(hosts []platform.Host) []placement.Server {
+	cached, _ := d.subsets.LoadOrStore(pool, &subsetCache{})
+	return cached.(*subsetCache).GetOrCompute(d.members.Servers(pool), func(hosts []platform.Host) []placement.Server {
 		return placement.Subset(d.config.HostID, d.config.AvailabilityZone, serversOf(hosts), subsetSize)
 	})
 }
 
-// subsets holds an entry's part of one pool for the newest list of hosts.
-type subsets = membership.ListCache[[]placement.Server]
+// subsetCache caches an entry's subset of one pool for the newest host list.
+type subsetCache = membership.ListCache[[]placement.Server]
 
 func serversOf(hosts []platform.Host) []placement.Server {
 	servers := make([]placement.Server, 0, len(hosts))
@@ -250,33 +253,34 @@
 	return probed
 }
 
-// try sends the call to one agent and passes the answer to consume.
-func (d *Dispatcher) try(ctx context.Context, c call, server placement.Server, consume consumer) error {
+// attempt sends the call to one agent and passes the answer to consume.
+func (d *Dispatcher) attempt(ctx context.Context, c call, server placement.Server, consume consumer) error {
 	started := time.Now()
-	message := d.fill(ctx, c)
+	message := d.newMessage(ctx, c)
 	answer, err := peer.OpenStream[request.Execute, request.AnswerEnd](ctx, d.client, server.Address, agent.MethodExecute, message)
 	if err == nil {
 		err = consume(answer)
 	}
 	if err == nil {
-		d.counted(answer.End().Count)
-		d.finished(c, server, started, false)
+		d.recordUsage(answer.End().Count)
+		d.observe(c, server, started, false)
 		return nil
 	}
-	ask := request.Settle{ID: message.ID, Process: peer.ServerIncarnation(err)}
+	query := request.Settle{ID: message.ID, Process: peer.ServerIncarnation(err)}
 	if answer != nil {
-		ask.Process = answer.ServerIncarnation()
+		query.Process = answer.ServerIncarnation()
 		answer.Cancel()
 	}
-	err = d.explain(ctx, err, server, ask)
+	err = d.toRefusal(ctx, err, server, query)
 	if isServerFault(err) {
-		d.finished(c, server, started, true)
+		d.observe(c, server, started, true)
 	}
 	return err
 }
 
-// finished tells placement how a request went. A refusal says nothing about the server's speed and isn't told.
-func (d *Dispatcher) finished(c call, server placement.Server, started time.Time, failed bool) {
+// observe reports the latency of a request, divided by its cost, or its failure to placement. It isn't called for
+// refusals, which say nothing about the server's speed.
+func (d *Dispatcher) observe(c call, server placement.Server, started time.Time, failed bool) {
 	now := time.Now()
 	took := now.Sub(started)
 	if c.cost > 0 {
@@ -288,9 +292,9 @@
 	}
 }
 
-func (d *Dispatcher) fill(ctx context.Context, c call) request.Execute {
+func (d *Dispatcher) newMessage(ctx context.Context, c call) request.Execute {
 	message := c.message()
-	message.ID = request.ID{Incarnation: d.config.Incarnation, Counter: d.counter.Add(1)}
+	message.ID = request.ID{Incarnation: d.config.Incarnation, Counter: d.requestCounter.Add(1)}
 	message.Organisation = c.organisation
 	message.KeyHash = c.keyHash
 	message.Pool = c.pool.Name
@@ -304,29 +308,29 @@
 	return message
 }
 
-// isServerFault says whether a failure counts against the server in placement.
+// isServerFault reports whether a failure counts against the server in placement.
 func isServerFault(err error) bool {
 	refusal := verdict.From(err)
 	return refusal.Reason == verdict.ReasonServerLost || refusal.Reason == verdict.ReasonServerFailed
 }
 
-// errReceiver marks a failure of whoever the answer was for, which no other agent can mend.
-var errReceiver = errors.New("the receiver of the answer is gone")
+// errReceiverGone marks a failure of the receiver of the answer; trying another agent can't help.
+var errReceiverGone = errors.New("the receiver of the answer is gone")
 
-// explain turns a failed try into a refusal with a true verdict.
-func (d *Dispatcher) explain(ctx context.Context, err error, server placement.Server, ask request.Settle) *verdict.Refusal {
+// toRefusal turns the error of a failed attempt into a refusal with the verdict that the agent reports.
+func (d *Dispatcher) toRefusal(ctx context.Context, err error, server placement.Server, query request.Settle) *verdict.Refusal {
 	if refusal, ok := verdict.As(err); ok {
 		return refusal
 	}
 	if errors.Is(err, peer.ErrUnsent) {
-		return verdict.Refuse(verdict.NotRun, verdict.ReasonServerLost, noServerRetry, "agent %s can't be reached", server.HostID)
+		return verdict.Refuse(verdict.NotRun, verdict.ReasonServerLost, unavailableRetryAfter, "agent %s can't be reached", server.HostID)
 	}
-	v := d.settle(ctx, server, ask)
-	if errors.Is(err, errReceiver) {
+	v := d.settle(ctx, server, query)
+	if errors.Is(err, errReceiverGone) {
 		return verdict.Refuse(v, verdict.ReasonCallerGone, 0, "the caller hung up")
 	}
 	if ctx.Err() != nil {
 		return verdict.Refuse(v, verdict.ReasonDeadlinePassed, 0, "the deadline passed while the request was at agent %s", server.HostID)
 	}
-	return verdict.Refuse(v, verdict.ReasonServerLost, noServerRetry, "the connection to agent %s was lost", server.HostID)
+	return verdict.Refuse(v, verdict.ReasonServerLost, unavailableRetryAfter, "the connection to agent %s was lost", server.HostID)
 }
--- a/internal/edge/entry/dispatcher_test.go
+++ b/internal/edge/entry/dispatcher_test.go
@@ -12,8 +12,9 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// lose makes an agent that takes the frame and whose answer is then lost, as when its connection is cut.
-func lose(v verdict.Verdict) *fakeAgent {
+// newLostAnswerAgent returns an agent that receives calls but whose answers are lost, as if the connection were cut.
+// It reports v as the outcome.
+func newLostAnswerAgent(v verdict.Verdict) *fakeAgent {
 	return &fakeAgent{
 		execute: func(context.Context, request.Execute, peer.Sink) (request.AnswerEnd, error) {
 			return request.AnswerEnd{}, errLostAnswer
@@ -22,24 +23,24 @@
 	}
 }
 
-// errLostAnswer is an error without a verdict, which leaves the entry in doubt.
+// errLostAnswer is the refusal of a call whose answer was lost, which may have run.
 var errLostAnswer = verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerLost, 0, "lost")
 
-// A tower clerk's charge is sent, and the connection to the agent is lost before the answer.
-// The agent can't rule out that the charge ran. Running it at another server as well would bill the airline
-// twice; the caller must be told that it may have run, and nothing else may be tried.
+// A charge is sent, and the connection to the agent is lost before the answer, so that the charge may have run.
+// Running it at another server as well would bill the customer twice. Nothing else may be tried, and the caller must
+// be told that the call may have run.
 func TestCallInDoubtIsNeverRunAgain(t *testing.T) {
 	for _, test := range []struct {
 		name, method, path string
 		wantRuns           int
 		wantVerdict        verdict.Verdict
 	}{
-		{"a call that may not be repeated", http.MethodPost, "/v1/services/billdesk/charge", 1, verdict.MayHaveRun},
-		{"a call that may be repeated", http.MethodGet, "/v1/services/billdesk/charge", 2, verdict.MayHaveRun},
-		{"a path that may be repeated by its pool", http.MethodPost, "/v1/services/billdesk/search/x", 2, verdict.MayHaveRun},
+		{"not idempotent", http.MethodPost, "/v1/services/billdesk/charge", 1, verdict.MayHaveRun},
+		{"idempotent method", http.MethodGet, "/v1/services/billdesk/charge", 2, verdict.MayHaveRun},
+		{"idempotent path of the pool", http.MethodPost, "/v1/services/billdesk/search/x", 2, verdict.MayHaveRun},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			first, second := lose(verdict.MayHaveRun), lose(verdict.MayHaveRun)
+			first, second := newLostAnswerAgent(verdict.MayHaveRun), newLostAnswerAgent(verdict.MayHaveRun)
 			f := newFixture(t, first, second)
 			have := f.send(test.method, test.path, "x")
 			if have.verdict != test.wantVerdict || runs(first, second) != test.wantRuns {
@@ -49,9 +50,9 @@
 	}
 }
 
-// The only agent refuses before it started the call, as a leaving one does; another is free.
-// The caller must get the whole answer from the other, and the call must have run there once.
-func TestNotRunIsTriedElsewhere(t *testing.T) {
+// One agent refuses before it starts the call, as a leaving agent does; another is free. The caller must get the
+// complete answer from the other agent, and the call must have run there once.
+func TestNotRunIsRetriedElsewhere(t *testing.T) {
 	leaving := &fakeAgent{execute: func(context.Context, request.Execute, peer.Sink) (request.AnswerEnd, error) {
 		return request.AnswerEnd{}, verdict.Refuse(verdict.NotRun, verdict.ReasonLeaving, 0, "leaving")
 	}}
@@ -63,9 +64,9 @@
 	}
 }
 
-// Most servers of a pool are replaced and leave at once; the platform's list doesn't say so yet.
-// A parent's call was refused for want of a server, since the few that were probed all left, though others had room.
-func TestCallFindsTheServerThatStays(t *testing.T) {
+// Most servers of a pool are replaced and leave at the same time, before the platform's host list says so. A call was
+// refused for lack of a server, since the few that were probed were all leaving, although another had room.
+func TestCallFindsAServerThatIsNotLeaving(t *testing.T) {
 	for range 5 {
 		ready := &fakeAgent{}
 		agents := []*fakeAgent{ready}
@@ -79,9 +80,8 @@
 	}
 }
 
-// An agent sends half of an answer under status 200 and then fails.
-// A caller that got the half under status 200 would take it for the whole bill. It must get a refusal
-// that says that the call may have run.
+// An agent sends half of an answer with status 200 and then fails. A caller that received the half with status 200
+// would take it for the complete answer. It must get a refusal that says that the call may have run.
 func TestHalfAnswerIsNotPassedOn(t *testing.T) {
 	half := &fakeAgent{
 		execute: func(_ context.Context, _ request.Execute, out peer.Sink) (request.AnswerEnd, error) {
@@ -102,8 +102,8 @@
 	}
 }
 
-// A host is cut off from the platform and the relays while a key is withdrawn elsewhere.
-// Its view still has the key; serving it would run requests for somebody who lost the right minutes ago.
+// A host is cut off from the platform and the relays while a key is withdrawn elsewhere. Its view still contains the
+// key, so that it would run requests for a caller whose access was revoked minutes ago.
 func TestIsolatedHostRefuses(t *testing.T) {
 	ready := &fakeAgent{}
 	f := newFixture(t, ready)
@@ -116,21 +116,21 @@
 	}
 }
 
-// takesItselfForIsolated makes an agent that refuses so many requests because its configuration was not confirmed lately.
-func takesItselfForIsolated(times int) *fakeAgent {
+// newIsolatedAgent returns an agent that refuses the given number of requests as isolated and then echoes.
+func newIsolatedAgent(times int) *fakeAgent {
 	var refused atomic.Int64
-	return &fakeAgent{execute: func(ctx context.Context, q request.Execute, out peer.Sink) (request.AnswerEnd, error) {
+	return &fakeAgent{execute: func(ctx context.Context, req request.Execute, out peer.Sink) (request.AnswerEnd, error) {
 		if refused.Add(1) <= int64(times) {
 			return request.AnswerEnd{}, verdict.Refuse(verdict.NotRun, verdict.ReasonIsolated, 0, "not confirmed")
 		}
-		return echo(ctx, q, out)
+		return echo(ctx, req, out)
 	}}
 }
 
-// The platform goes down, and for a moment the only agent can't tell that from being cut off itself. A rider was refused with 503 though the
-// engine was idle and the agent took requests again half a second later. One that stays cut off still refuses, with the truth that
-// nothing ran.
-func TestAgentThatSoonKnowsOfTheOutageIsAskedAgain(t *testing.T) {
+// The platform goes down, and for a moment the only agent can't tell this from being cut off itself. A call was
+// refused with 503 although the backend server was idle and the agent accepted requests again half a second later. An
+// agent that stays cut off must keep refusing, with the verdict that nothing ran.
+func TestIsolatedAgentIsRetriedForAMoment(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		refuses int
@@ -141,7 +141,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			f := newFixture(t, takesItselfForIsolated(test.refuses))
+			f := newFixture(t, newIsolatedAgent(test.refuses))
 			have := f.send(http.MethodPost, "/v1/services/billdesk/charge", "once")
 			if have.status != test.status {
 				t.Errorf("%+v", have)
@@ -153,27 +153,27 @@
 	}
 }
 
-// An agent is started again in an outage and takes itself for cut off; the other one is full for a moment. A rider waited 1.5 s and was
-// refused with 503 as the first agent was asked again and again, though the other had been idle for a second. Cause: an agent that refused
-// for want of room counted as tried for good.
-func TestFullAgentIsAskedAgainBesideAnIsolatedOne(t *testing.T) {
+// An agent is restarted during an outage and considers itself isolated; the other is full for a moment. A call waited
+// 1.5 s and was refused with 503: the isolated agent was tried again and again, but the full one, which had been idle
+// for a second, counted as tried for good.
+func TestFullAgentIsRetriedBesideAnIsolatedOne(t *testing.T) {
 	var refused atomic.Int64
-	full := &fakeAgent{execute: func(ctx context.Context, q request.Execute, out peer.Sink) (request.AnswerEnd, error) {
+	full := &fakeAgent{execute: func(ctx context.Context, req request.Execute, out peer.Sink) (request.AnswerEnd, error) {
 		if refused.Add(1) == 1 {
 			return request.AnswerEnd{}, verdict.Refuse(verdict.NotRun, verdict.ReasonOverloaded, 0, "full")
 		}
-		return echo(ctx, q, out)
+		return echo(ctx, req, out)
 	}}
-	f := newFixture(t, full, takesItselfForIsolated(1000))
+	f := newFixture(t, full, newIsolatedAgent(1000))
 	if have := f.send(http.MethodPost, "/v1/services/billdesk/charge", "once"); have.status != http.StatusOK || have.body != "once" {
 		t.Errorf("%+v", have)
 	}
 }
 
-// A rider's call is lost with its agent, and is refused with 502 though an idle agent would take it. Moments before, in an outage, one
-// agent was full and the other took itself for cut off; a few calls asked that again and again, each time from the entry's budget
-// of retries, until it was empty. Cause: waiting for an agent that will soon know of the outage counts as retries of failed calls.
-func TestWaitForAnIsolatedAgentLeavesTheRetryBudget(t *testing.T) {
+// A call is lost with its agent and refused with 502, although an idle agent would accept it. Shortly before, in an
+// outage, one agent was full and the other considered itself isolated. A few calls waited for them, and the waits
+// counted as retries of failed calls and emptied the entry's retry budget.
+func TestIsolatedRetriesDoNotUseTheRetryBudget(t *testing.T) {
 	var later atomic.Bool
 	full := &fakeAgent{
 		execute: func(context.Context, request.Execute, peer.Sink) (request.AnswerEnd, error) {
@@ -184,15 +184,15 @@
 		},
 		settle: func(request.Settle) request.Settled { return request.Settled{Verdict: verdict.MayHaveRun} },
 	}
-	cutOff := takesItselfForIsolated(1000)
-	refuse := cutOff.execute
-	cutOff.execute = func(ctx context.Context, q request.Execute, out peer.Sink) (request.AnswerEnd, error) {
+	isolated := newIsolatedAgent(1000)
+	refuse := isolated.execute
+	isolated.execute = func(ctx context.Context, req request.Execute, out peer.Sink) (request.AnswerEnd, error) {
 		if later.Load() {
-			return echo(ctx, q, out)
+			return echo(ctx, req, out)
 		}
-		return refuse(ctx, q, out)
+		return refuse(ctx, req, out)
 	}
-	f := newFixture(t, full, cutOff)
+	f := newFixture(t, full, isolated)
 	var group sync.WaitGroup
 	for range 4 {
 		group.Go(func() { f.send(http.MethodGet, "/v1/services/billdesk/x", "") })
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry serves callers, trainers and operators over HTTP: it authenticates, admits, places each
-// request at an agent, and tells the truth about what became of it.
+// Package entry serves callers, trainers and operators over HTTP. It authenticates and admits each request, sends it
+// to an agent, and reports whether a request that got no answer has run.
 package entry
 
 import (
@@ -26,32 +26,32 @@
 	DefaultRequestTimeout = time.Minute
 	MaxRequestTimeout     = 30 * time.Minute
 	idleTimeout           = 90 * time.Second
-	// defaultReadTimeout lets a body of 16 MB come at 3 Mbit/s, and ends within the default time of a drain.
+	// defaultReadTimeout is long enough for a body of 16 MB at 3 Mbit/s, and within the default drain time.
 	defaultReadTimeout = time.Minute
-	// keepAliveGrace is how long connections that were kept alive may stay open once no request is running.
+	// keepAliveGrace is how long idle keep-alive connections may stay open once no request is running.
 	keepAliveGrace = time.Second
 )
 
-// Views gives the configuration in force at this host.
+// Views provides the configuration in force on this host.
 type Views interface {
 	View() *ticket.View
-	// Fresh says whether a key withdrawn elsewhere would be known here within seconds.
+	// Fresh reports whether this host would learn within seconds of a key that is withdrawn elsewhere.
 	Fresh(now time.Time) bool
 	Changed() <-chan struct{}
 }
 
-// Tickets applies and shows the operators' tickets.
+// Tickets applies operators' tickets and reports their status.
 type Tickets interface {
 	Apply(ctx context.Context, number int, t ticket.Ticket) error
 	Status(ctx context.Context, number int) (any, error)
 }
 
-// Routes adds the routes of another part, such as the trainers'.
+// Routes registers the routes of another component, such as the trainer API.
 type Routes interface {
 	RegisterHTTP(app *fiber.App)
 }
 
-// Deps is what an entry stands on.
+// Deps holds the dependencies of an entry.
 type Deps struct {
 	Views      Views
 	Tickets    Tickets
@@ -63,53 +63,54 @@
 	Log        zerolog.Logger
 }
 
-// Config holds an entry's own settings.
+// Config holds the settings of an entry.
 type Config struct {
 	HostID            string
 	BodyLimitBytes    int
 	OperatorKeyHashes []string
 	Incarnation       uint64
-	// ReadTimeout bounds the time in which a request comes, from its first byte to its last; 0 is the default.
+	// ReadTimeout bounds the time to receive a request, from its first byte to its last; 0 means the default.
 	ReadTimeout time.Duration
 }
 
-// Entry is the HTTP side of one entry host.
+// Entry is the HTTP server of an entry host.
 type Entry struct {
-	config  Config
-	deps    Deps
-	app     *fiber.App
-	records *recordKeeper
-	metrics *Metrics
-	work    conc.WaitGroup
-	// running counts callers' requests, streams included, until their last byte.
+	config       Config
+	deps         Deps
+	app          *fiber.App
+	deduplicator *deduplicator
+	metrics      *Metrics
+	wg           conc.WaitGroup
+	// running counts callers' requests until their last byte, streams and background work included.
 	running atomic.Int64
 	leaving atomic.Bool
 }
 
-// New returns an entry that serves on l until ctx ends or Drain.
+// New returns an entry that serves on l until ctx ends or Drain is called.
 func New(ctx context.Context, l net.Listener, config Config, deps Deps, metrics *Metrics) *Entry {
 	e := &Entry{config: config, deps: deps, metrics: metrics}
-	e.records = newRecordKeeper(deps.Store, config, e.background)
+	e.deduplicator = newDeduplicator(deps.Store, config, e.background)
 	e.app = fiber.New(fiber.Config{
-		// Without copies, a string kept past its handler would become part of another caller's request.
+		// Fiber reuses its buffers: without copies, a string kept after its handler returns would change into part of
+		// another caller's request.
 		Immutable:    true,
 		BodyLimit:    config.BodyLimitBytes,
 		ErrorHandler: e.onError,
 		IdleTimeout:  idleTimeout,
-		// A connection that dies in the middle of a request would else hold its place, and a drain, for ever.
+		// Otherwise a connection that dies in the middle of a request would stay open, and hold up a drain, forever.
 		ReadTimeout: cmp.Or(config.ReadTimeout, defaultReadTimeout),
-		// Streams of tokens are written for minutes; their end is the request's deadline.
+		// Token streams are written for minutes; they end at the request's deadline.
 		WriteTimeout: MaxRequestTimeout,
 	})
-	e.routes()
-	callerconn.Serve(ctx, &e.work, e.app, callerconn.Listener{Listener: l}, keepAliveGrace, deps.Log)
-	e.work.Go(func() { e.followOrganisations(ctx) })
+	e.registerRoutes()
+	callerconn.Serve(ctx, &e.wg, e.app, callerconn.Listener{Listener: l}, keepAliveGrace, deps.Log)
+	e.wg.Go(func() { e.followOrganisations(ctx) })
 	return e
 }
 
-func (e *Entry) routes() {
-	e.app.Server().Handler = e.refuseMethods(e.app.Server().Handler)
-	e.app.Use(e.count, refuseCodings)
+func (e *Entry) registerRoutes() {
+	e.app.Server().Handler = e.refuseUnknownMethods(e.app.Server().Handler)
+	e.app.Use(e.countRunning, refuseEncodedBodies)
 	e.app.All("/v1/services/:pool/*", e.service)
 	e.app.Post("/v1/models/:model/generate", e.generate)
 	e.app.Post("/v1/tickets/:number", e.applyTicket)
@@ -119,8 +120,8 @@
 	}
 }
 
-// count keeps the number of running requests, and closes kept-alive connections once the host leaves.
-func (e *Entry) count(c fiber.Ctx) error {
+// countRunning counts the running requests, and closes keep-alive connections once the host is leaving.
+func (e *Entry) countRunning(c fiber.Ctx) error {
 	e.running.Add(1)
 	defer e.running.Add(-1)
 	if e.leaving.Load() {
@@ -129,16 +130,16 @@
 	return c.Next()
 }
 
-// background runs work that outlives its request; a drain waits for it as for a request.
+// background runs work that outlives its request. Drain waits for it as for a request.
 func (e *Entry) background(work func()) {
 	e.running.Add(1)
-	e.work.Go(func() {
+	e.wg.Go(func() {
 		defer e.running.Add(-1)
 		work()
 	})
 }
 
-// followOrganisations hands every new configuration to admission.
+// followOrganisations passes every new configuration to admission.
 func (e *Entry) followOrganisations(ctx context.Context) {
 	for {
 		changed := e.deps.Views.Changed()
@@ -147,34 +148,36 @@
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-time.After(organisationRefresh):
+		case <-time.After(organisationRefreshInterval):
 		}
 	}
 }
 
-// organisationRefresh is how often the number of live entries is read again, since rate limits are split over them.
-const organisationRefresh = 5 * time.Second
+// organisationRefreshInterval is how often the number of live entries is read again, since rate limits are divided
+// among them.
+const organisationRefreshInterval = 5 * time.Second
 
-// Drain ends the entry without cutting off a request: it serves on for leaveDelay while the balancer
-// learns of it, then takes no new connection and waits for what is running, up to ctx.
+// Drain stops the entry without cutting off a request. It keeps serving for leaveDelay while the load balancer learns
+// that the host is leaving, then accepts no new connections and waits until ctx ends for the requests that are
+// running. It returns an error if some are still running then.
 func (e *Entry) Drain(ctx context.Context, leaveDelay time.Duration) error {
 	e.leaving.Store(true)
 	ticker.Sleep(ctx, leaveDelay)
 	err := e.app.ShutdownWithContext(ctx)
 	for e.running.Load() > 0 {
-		if !ticker.Sleep(ctx, drainPoll) {
+		if !ticker.Sleep(ctx, drainPollInterval) {
 			return errors.Errorf("entry %s: %d requests still running at the end of the drain", e.config.HostID, e.running.Load())
 		}
 	}
 	return err
 }
 
-const drainPoll = 20 * time.Millisecond
+const drainPollInterval = 20 * time.Millisecond
 
 // Wait returns once all goroutines of the entry have ended.
-func (e *Entry) Wait() { e.work.Wait() }
+func (e *Entry) Wait() { e.wg.Wait() }
 
-// State is the dump of an entry.
+// State is the debug state of an entry.
 type State struct {
 	HostID   string `json:"hostId"`
 	Running  int64  `json:"running"`
@@ -184,7 +187,7 @@
 	Fresh    bool   `json:"fresh"`
 }
 
-// State returns the dump; it holds no key material.
+// State returns the debug state, which contains no keys.
 func (e *Entry) State() any {
 	view := e.deps.Views.View()
 	return State{
--- a/internal/edge/entry/eventqueue.go
+++ b/internal/edge/entry/eventqueue.go
@@ -10,53 +10,53 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/backendserver"
 )
 
-// eventWindow is how many tokens may wait for a slow caller before its generation is held back.
-const eventWindow = 256
+// maxQueuedTokens is how many tokens may wait for a slow caller before its generation is blocked.
+const maxQueuedTokens = 256
 
-// tokenEvent is one streamed token.
+// tokenEvent carries one streamed token.
 type tokenEvent struct {
 	Text    string `json:"text"`
 	Version int    `json:"version"`
 }
 
-// doneEvent closes a stream; a stream without it was cut.
+// doneEvent ends a complete stream; a stream without it was cut off.
 type doneEvent struct {
 	Done   bool            `json:"done"`
 	Tokens int             `json:"tokens"`
 	Spans  []delivery.Span `json:"spans"`
 }
 
-// eventQueue carries the tokens of one generation to the writer of its stream.
+// eventQueue passes the tokens of one generation to the writer of its stream.
 type eventQueue struct {
 	tokens chan tokenEvent
 	ended  chan struct{}
 	answer generateAnswer
 	err    error
-	// opened is closed at the first token or the end.
-	opened     chan struct{}
-	openedOnce sync.Once
-	// gone is closed when the caller takes no more.
+	// started is closed at the first token or at the end.
+	started     chan struct{}
+	startedOnce sync.Once
+	// gone is closed when the caller no longer reads.
 	gone     chan struct{}
 	goneOnce sync.Once
 }
 
 func newEventQueue() *eventQueue {
 	return &eventQueue{
-		tokens: make(chan tokenEvent, eventWindow),
-		ended:  make(chan struct{}),
-		opened: make(chan struct{}),
-		gone:   make(chan struct{}),
+		tokens:  make(chan tokenEvent, maxQueuedTokens),
+		ended:   make(chan struct{}),
+		started: make(chan struct{}),
+		gone:    make(chan struct{}),
 	}
 }
 
-// token queues one token; it waits for a slow caller, and fails once the caller is gone.
-func (q *eventQueue) token(token backendserver.Token) error {
+// push queues one token. It blocks while the queue is full, and fails once the caller is gone.
+func (q *eventQueue) push(token backendserver.Token) error {
 	select {
 	case q.tokens <- tokenEvent{Text: token.Text, Version: token.Version}:
 	case <-q.gone:
-		return errReceiver
+		return errReceiverGone
 	}
-	q.openedOnce.Do(func() { close(q.opened) })
+	q.startedOnce.Do(func() { close(q.started) })
 	return nil
 }
 
@@ -64,12 +64,12 @@
 	q.answer = answer
 	q.err = err
 	close(q.ended)
-	q.openedOnce.Do(func() { close(q.opened) })
+	q.startedOnce.Do(func() { close(q.started) })
 }
 
-// first waits for the first token, and returns the error of a generation that ended without one.
-func (q *eventQueue) first() error {
-	<-q.opened
+// waitFirst waits for the first token, and returns the error of a generation that ended without one.
+func (q *eventQueue) waitFirst() error {
+	<-q.started
 	if len(q.tokens) > 0 {
 		return nil
 	}
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// writeEvent writes one server-sent event and flushes it; it returns false if the caller is gone.
+// writeEvent writes one server-sent event and flushes it; it returns false if that fails.
 func writeEvent(w *bufio.Writer, name string, value any) bool {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/internal/edge/entry/generate.go
+++ b/internal/edge/entry/generate.go
@@ -23,7 +23,7 @@
 
 const (
 	defaultMaxTokens = 256
-	maxMaxTokens     = 1 << 20
+	maxTokensLimit   = 1 << 20
 )
 
 // generateBody is the JSON body of POST /v1/models/{model}/generate.
@@ -34,15 +34,16 @@
 	Seed      int64  `json:"seed,omitempty"`
 }
 
-// generateAnswer is the whole answer of a generation.
+// generateAnswer is the JSON response to a generation that isn't streamed.
 type generateAnswer struct {
 	Text   string `json:"text"`
 	Tokens int    `json:"tokens"`
-	// Spans name the weight versions that produced the tokens.
+	// Spans lists the weight versions that produced the tokens.
 	Spans []delivery.Span `json:"spans"`
 }
 
-// generate runs a model for a caller. Generation is idempotent: a lost stream resumes elsewhere from its tokens.
+// generate runs a model for a caller. Generation is idempotent: if a stream is lost, it resumes on another server from
+// the tokens received so far.
 func (e *Entry) generate(c fiber.Ctx) error {
 	from, err := e.authenticate(c)
 	if err != nil {
@@ -60,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	if err := refuseKeyInContent(body.Prompt, e.keyFinder(from)); err != nil {
+	if err := refuseKeyInContent(body.Prompt, e.newKeyMatcher(from)); err != nil {
 		return err
 	}
 	end, err := deadline(c, time.Now())
@@ -68,14 +69,14 @@
 		return err
 	}
 	g := newGeneration(body.Prompt, body.MaxTokens, body.Seed, nil)
-	generation := e.generationCall(from, pool, g)
+	modelCall := e.generationCall(from, pool, g)
 	if body.Stream {
-		return e.stream(c, generation, g, end)
+		return e.stream(c, modelCall, g, end)
 	}
 	ctx, cancel := context.WithDeadline(c.Context(), end)
 	defer cancel()
 	defer callerconn.CancelOnHangup(c.RequestCtx().Conn(), cancel)()
-	err = e.admitted(ctx, generation, func() error { return e.deps.Dispatcher.run(ctx, generation, g.consume) })
+	err = e.runAdmitted(ctx, modelCall, func() error { return e.deps.Dispatcher.run(ctx, modelCall, g.consume) })
 	if err != nil {
 		return err
 	}
@@ -95,8 +96,8 @@
 	if body.Prompt == "" {
 		return body, badRequest("body: prompt is missing")
 	}
-	if body.MaxTokens < 1 || body.MaxTokens > maxMaxTokens {
-		return body, badRequest("body: maxTokens is %d; want 1 to %d", body.MaxTokens, maxMaxTokens)
+	if body.MaxTokens < 1 || body.MaxTokens > maxTokensLimit {
+		return body, badRequest("body: maxTokens is %d; want 1 to %d", body.MaxTokens, maxTokensLimit)
 	}
 	return body, nil
 }
@@ -113,31 +114,31 @@
 	}
 }
 
-// stream sends tokens as server-sent events. The status is sent with the first token, so that a generation
-// refused before it gets its own status; a failure after it ends the stream with an event named refusal.
-func (e *Entry) stream(c fiber.Ctx, generation call, g *generation, end time.Time) error {
+// stream sends tokens as server-sent events. The status is sent with the first token, so that a generation that is
+// refused before it gets its own status; a failure after the first token ends the stream with an event named refusal.
+func (e *Entry) stream(c fiber.Ctx, modelCall call, g *generation, end time.Time) error {
 	// The request's own context ends with this handler, before the stream does.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(c.Context()), end)
-	stopWatch := callerconn.CancelOnHangup(c.RequestCtx().Conn(), cancel)
+	stopHangupDetection := callerconn.CancelOnHangup(c.RequestCtx().Conn(), cancel)
 	events := newEventQueue()
-	g.onToken = events.token
+	g.onToken = events.push
 	e.background(func() {
 		defer cancel()
-		err := e.admitted(ctx, generation, func() error { return e.deps.Dispatcher.run(ctx, generation, g.consume) })
+		err := e.runAdmitted(ctx, modelCall, func() error { return e.deps.Dispatcher.run(ctx, modelCall, g.consume) })
 		events.finish(g.answer(), err)
 	})
-	if err := events.first(); err != nil {
-		stopWatch()
+	if err := events.waitFirst(); err != nil {
+		stopHangupDetection()
 		return err
 	}
 	c.Set(fiber.HeaderContentType, "text/event-stream")
 	c.Set(fiber.HeaderCacheControl, "no-cache")
 	e.running.Add(1)
-	stopLimit := limitWrites(c.RequestCtx().Conn(), end)
+	stopWriteLimit := limitWrites(c.RequestCtx().Conn(), end)
 	return c.SendStreamWriter(func(w *bufio.Writer) {
 		defer e.running.Add(-1)
-		defer stopWatch()
-		defer stopLimit()
+		defer stopHangupDetection()
+		defer stopWriteLimit()
 		if refusal := events.copyTo(w); refusal != nil {
 			e.metrics.refused(refusal)
 		}
@@ -145,19 +146,19 @@
 	})
 }
 
-// lastEventTime is how long after its deadline a stream may take to write what explains its end.
-const lastEventTime = time.Second
+// finalEventTimeout is how long after its deadline a stream may take to write its last event, which says why it ended.
+const finalEventTimeout = time.Second
 
-// limitWrites ends writes to the connection soon after end, and returns the function that takes the limit back.
+// limitWrites makes writes to conn fail soon after end, and returns the function that cancels this.
 //
-// Guard: a caller that stops reading without hanging up would hold its stream, and the drain of the host, until the
-// write timeout of the connection, half an hour later. The deadline is its own, so nothing is cut off before it.
+// Without it, a caller that stops reading without closing the connection would hold its stream, and the drain of the
+// host, until the connection's write timeout of half an hour. Nothing is cut off before the caller's own deadline.
 func limitWrites(conn net.Conn, end time.Time) (stop func()) {
-	limit := time.AfterFunc(time.Until(end), func() { _ = conn.SetWriteDeadline(time.Now().Add(lastEventTime)) })
+	limit := time.AfterFunc(time.Until(end), func() { _ = conn.SetWriteDeadline(time.Now().Add(finalEventTimeout)) })
 	return func() { limit.Stop() }
 }
 
-// enginePost builds the engine's call from a JSON body.
+// enginePost builds the request to a model's backend server from a JSON body.
 func enginePost(body []byte) request.Execute {
 	return request.Execute{
 		Method: http.MethodPost,
--- a/internal/edge/entry/generation.go
+++ b/internal/edge/entry/generation.go
@@ -16,7 +16,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// generation collects the tokens of one generation over all its tries.
+// generation collects the tokens of one generation over all its attempts.
 type generation struct {
 	sampleID  string
 	prompt    string
@@ -37,7 +37,7 @@
 	}
 }
 
-// message asks the engine to go on from the tokens that have come so far.
+// message builds a request that resumes from the tokens received so far.
 func (g *generation) message() request.Execute {
 	body, err := json.Marshal(backendserver.GenerateRequest{
 		SampleID:  g.sampleID,
@@ -47,27 +47,27 @@
 		Seed:      g.seed,
 	})
 	if err != nil {
-		// Strings and numbers always encode; an empty body would be refused by the engine.
+		// Strings and numbers always encode; the backend server would refuse an empty body.
 		body = nil
 	}
 	return enginePost(body)
 }
 
-// consume reads the engine's stream of events.
+// consume reads the backend server's stream of events.
 //
-// Guard: an engine that ends its stream early looks like a short but whole answer. Only an answer with
-// the closing event counts; without it the generation resumes elsewhere.
+// Only an answer with the closing event is complete. A stream that ends early would otherwise look like a short but
+// complete answer; without the closing event the generation resumes on another server.
 func (g *generation) consume(answer *peer.Answer[request.AnswerEnd]) error {
 	if status := answer.Head().Status; status != http.StatusOK {
-		return verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerFailed, noServerRetry, "the engine answered %d", status)
+		return verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerFailed, unavailableRetryAfter, "the engine answered %d", status)
 	}
-	before := len(g.tokens)
+	tokensBefore := len(g.tokens)
 	var pending []byte
 	done := false
 	for {
 		chunk, err := answer.Next()
 		pending = append(pending, chunk...)
-		rest, ended, lineErr := g.lines(pending, before)
+		rest, ended, lineErr := g.parseLines(pending, tokensBefore)
 		if lineErr != nil {
 			return lineErr
 		}
@@ -81,13 +81,14 @@
 		}
 	}
 	if !done {
-		return verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerFailed, noServerRetry, "the engine's stream ended early")
+		return verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerFailed, unavailableRetryAfter, "the engine's stream ended early")
 	}
 	return nil
 }
 
-// lines takes the whole lines out of data and returns the rest; before is the number of tokens at the start of this answer.
-func (g *generation) lines(data []byte, before int) (rest []byte, done bool, err error) {
+// parseLines handles the complete lines of data and returns the rest; tokensBefore is the number of tokens before this
+// answer.
+func (g *generation) parseLines(data []byte, tokensBefore int) (rest []byte, done bool, err error) {
 	for {
 		line, after, found := bytes.Cut(data, []byte("\n"))
 		if !found {
@@ -98,7 +99,7 @@
 		if !isData {
 			continue
 		}
-		ended, err := g.event(payload, before)
+		ended, err := g.handleEvent(payload, tokensBefore)
 		if err != nil {
 			return nil, false, err
 		}
@@ -106,14 +107,15 @@
 	}
 }
 
-func (g *generation) event(payload []byte, before int) (done bool, err error) {
+func (g *generation) handleEvent(payload []byte, tokensBefore int) (done bool, err error) {
 	var event backendserver.Event
 	if err := json.Unmarshal(payload, &event); err != nil {
-		return false, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerFailed, noServerRetry, "the engine sent an unreadable event: %v", err)
+		return false, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerFailed, unavailableRetryAfter,
+			"the engine sent an unreadable event: %v", err)
 	}
-	if event.Done && event.Tokens != len(g.tokens)-before {
-		return false, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerFailed, noServerRetry,
-			"the engine sent %d tokens and says %d", len(g.tokens)-before, event.Tokens)
+	if event.Done && event.Tokens != len(g.tokens)-tokensBefore {
+		return false, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerFailed, unavailableRetryAfter,
+			"the engine sent %d tokens and says %d", len(g.tokens)-tokensBefore, event.Tokens)
 	}
 	if event.Done {
 		return true, nil
@@ -121,7 +123,7 @@
 	token := backendserver.Token{Text: event.Text, Version: event.Version}
 	g.tokens = append(g.tokens, token)
 	if err := g.onToken(token); err != nil {
-		return false, errors.Wrap(errReceiver, err.Error())
+		return false, errors.Wrap(errReceiverGone, err.Error())
 	}
 	return false, nil
 }
--- a/internal/edge/entry/generator.go
+++ b/internal/edge/entry/generator.go
@@ -18,102 +18,103 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/trainer"
 )
 
-// SampleGenerator generates and scores the samples of trainer jobs through the same placement as callers'
-// requests. Its requests run under a key that the organisation holds at that moment, so that agents stop
-// the samples of an organisation whose last key was withdrawn.
+// SampleGenerator generates and scores the samples of trainer jobs through the same dispatcher as callers' requests.
+// Each request carries a key hash that the organisation holds at that moment, so that agents stop the samples of an
+// organisation whose last key was withdrawn.
 type SampleGenerator struct {
 	dispatcher *Dispatcher
 	view       func() *ticket.View
-	// running holds the first run of each sample in work, by sample id.
+	// running maps the IDs of running samples to their first *sampleRun.
 	running sync.Map
 }
 
-// sampleRun is what a second run of a sample needs to know of the first.
+// sampleRun is the state of a sample's first run that a hedged second run uses.
 type sampleRun struct {
 	hostID atomic.Pointer[string]
 	tokens atomic.Pointer[[]backendserver.Token]
 }
 
-// NewSampleGenerator returns a generator over the dispatcher.
+// NewSampleGenerator returns a generator that sends its requests through d.
 func NewSampleGenerator(d *Dispatcher, view func() *ticket.View) *SampleGenerator {
 	return &SampleGenerator{dispatcher: d, view: view}
 }
 
-// Generate runs one sample; it is idempotent by sample id. With an error it returns the tokens so far.
-func (s *SampleGenerator) Generate(ctx context.Context, ask trainer.GenerateRequest) ([]trainer.Token, error) {
-	pool, ok := s.view().ModelPool(ask.Model)
+// Generate generates one sample; it is idempotent by sample ID. With an error it returns the tokens so far.
+func (s *SampleGenerator) Generate(ctx context.Context, req trainer.GenerateRequest) ([]trainer.Token, error) {
+	pool, ok := s.view().ModelPool(req.Model)
 	if !ok {
-		return ask.Resume, noServer(ask.Model)
+		return req.Resume, noServerRefusal(req.Model)
 	}
-	keyHash, err := s.keyHash(ask.Organisation)
+	keyHash, err := s.keyHash(req.Organisation)
 	if err != nil {
-		return ask.Resume, err
+		return req.Resume, err
 	}
-	first := s.firstRun(ask)
-	g := newGeneration(ask.Prompt, ask.MaxTokens, 0, resumeFrom(ask, first))
-	g.sampleID = ask.SampleID
+	first := s.firstRun(req)
+	g := newGeneration(req.Prompt, req.MaxTokens, 0, resumeFrom(req, first))
+	g.sampleID = req.SampleID
 	began := false
 	g.onToken = func(token backendserver.Token) error {
-		if !began && ask.Began != nil {
-			ask.Began(token.Version)
+		if !began && req.Began != nil {
+			req.Began(token.Version)
 		}
 		began = true
-		if !ask.Hedge {
+		if !req.Hedge {
 			tokens := g.tokens
 			first.tokens.Store(&tokens)
 		}
-		if ask.Progress != nil {
-			ask.Progress(len(g.tokens))
+		if req.Progress != nil {
+			req.Progress(len(g.tokens))
 		}
 		return nil
 	}
-	if !ask.Hedge {
-		defer s.running.Delete(ask.SampleID)
+	if !req.Hedge {
+		defer s.running.Delete(req.SampleID)
 	}
 	err = s.dispatcher.run(ctx, call{
-		avoid: avoid(ask, first),
-		placed: func(hostID string) {
-			if !ask.Hedge {
+		excludedHosts: hostsToExclude(req, first),
+		onPlaced: func(hostID string) {
+			if !req.Hedge {
 				first.hostID.Store(&hostID)
 			}
 		},
-		organisation: ask.Organisation,
+		organisation: req.Organisation,
 		keyHash:      keyHash,
 		pool:         pool,
-		prefix:       backendserver.PrefixHash(ask.Prompt),
+		prefix:       backendserver.PrefixHash(req.Prompt),
 		idempotent:   true,
 		priority:     request.PriorityBulk,
-		cost:         float64(ask.MaxTokens),
+		cost:         float64(req.MaxTokens),
 		message:      g.message,
 	}, g.consume)
 	return sampleTokens(g.tokens), err
 }
 
-// firstRun returns the sample's first run, which this call is unless it is a hedge.
-func (s *SampleGenerator) firstRun(ask trainer.GenerateRequest) *sampleRun {
+// firstRun returns the state of the sample's first run. It registers a new one unless the request is a hedge.
+func (s *SampleGenerator) firstRun(req trainer.GenerateRequest) *sampleRun {
 	run := &sampleRun{}
-	if !ask.Hedge {
-		s.running.Store(ask.SampleID, run)
+	if !req.Hedge {
+		s.running.Store(req.SampleID, run)
 		return run
 	}
-	if known, ok := s.running.Load(ask.SampleID); ok {
+	if known, ok := s.running.Load(req.SampleID); ok {
 		return known.(*sampleRun)
 	}
 	return run
 }
 
-// resumeFrom returns the tokens to go on from: a straggler's second run need not make again what the first has.
-func resumeFrom(ask trainer.GenerateRequest, first *sampleRun) []backendserver.Token {
-	resume := engineTokens(ask.Resume)
-	if tokens := first.tokens.Load(); ask.Hedge && tokens != nil && len(*tokens) > len(resume) {
+// resumeFrom returns the tokens to resume from. A hedge continues from those of the first run if there are more of
+// them.
+func resumeFrom(req trainer.GenerateRequest, first *sampleRun) []backendserver.Token {
+	resume := engineTokens(req.Resume)
+	if tokens := first.tokens.Load(); req.Hedge && tokens != nil && len(*tokens) > len(resume) {
 		return slices.Clone(*tokens)
 	}
 	return resume
 }
 
-// avoid returns the host of a straggler's first run, so that the second goes elsewhere.
-func avoid(ask trainer.GenerateRequest, first *sampleRun) []string {
-	if hostID := first.hostID.Load(); ask.Hedge && hostID != nil {
+// hostsToExclude returns the host of the first run if the request is a hedge, so that the hedge goes to another host.
+func hostsToExclude(req trainer.GenerateRequest, first *sampleRun) []string {
+	if hostID := first.hostID.Load(); req.Hedge && hostID != nil {
 		return []string{*hostID}
 	}
 	return nil
@@ -144,25 +145,25 @@
 	return converted
 }
 
-// Score asks the scoring pool; the call is idempotent.
+// Score scores samples at the scoring pool; the call is idempotent.
 func (s *SampleGenerator) Score(ctx context.Context, poolName, organisation string, samples []trainer.ScoreRequest) ([]trainer.Score, error) {
 	pool, ok := s.view().Pool(poolName)
 	if !ok {
-		return nil, noServer(poolName)
+		return nil, noServerRefusal(poolName)
 	}
 	keyHash, err := s.keyHash(organisation)
 	if err != nil {
 		return nil, err
 	}
-	asks := make([]backendserver.ScoreRequest, 0, len(samples))
+	requests := make([]backendserver.ScoreRequest, 0, len(samples))
 	for _, sample := range samples {
-		asks = append(asks, backendserver.ScoreRequest{SampleID: sample.SampleID, Prompt: sample.Prompt, Text: sample.Text})
+		requests = append(requests, backendserver.ScoreRequest{SampleID: sample.SampleID, Prompt: sample.Prompt, Text: sample.Text})
 	}
-	body, err := json.Marshal(asks)
+	body, err := json.Marshal(requests)
 	if err != nil {
 		return nil, verdict.Refuse(verdict.NotRun, verdict.ReasonDefect, 0, "encode scores: %v", err)
 	}
-	var answer wholeAnswer
+	var answer bufferedAnswer
 	err = s.dispatcher.run(ctx, call{
 		organisation: organisation,
 		keyHash:      keyHash,
@@ -178,9 +179,9 @@
 				Body:   body,
 			}
 		},
-	}, func(opened *peer.Answer[request.AnswerEnd]) error {
+	}, func(source *peer.Answer[request.AnswerEnd]) error {
 		var err error
-		answer, err = readWhole(opened)
+		answer, err = readAnswer(source)
 		return err
 	})
 	if err != nil {
@@ -189,10 +190,11 @@
 	return readScores(answer)
 }
 
-func readScores(answer wholeAnswer) ([]trainer.Score, error) {
+func readScores(answer bufferedAnswer) ([]trainer.Score, error) {
 	var scores []backendserver.Score
 	if err := json.Unmarshal(answer.Body, &scores); err != nil || answer.Status != http.StatusOK {
-		return nil, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerFailed, noServerRetry, "the scoring service answered %d", answer.Status)
+		return nil, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerFailed, unavailableRetryAfter,
+			"the scoring service answered %d", answer.Status)
 	}
 	converted := make([]trainer.Score, 0, len(scores))
 	for _, score := range scores {
--- a/internal/edge/entry/hangup_test.go
+++ b/internal/edge/entry/hangup_test.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	soon       = 5 * time.Second
-	modelPath  = "/v1/models/draftmodel/generate"
-	streamBody = `{"prompt":"x","maxTokens":100000,"stream":true}`
+	testTimeout = 5 * time.Second
+	modelPath   = "/v1/models/draftmodel/generate"
+	streamBody  = `{"prompt":"x","maxTokens":100000,"stream":true}`
 )
 
-// connect opens a connection of a caller that the test itself reads and writes.
+// connect opens a caller's connection that the test reads and writes itself.
 func (f *fixture) connect() *net.TCPConn {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
@@ -32,12 +32,12 @@
 		f.t.Fatal(err)
 	}
 	f.t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(4 * soon))
+	_ = conn.SetDeadline(time.Now().Add(4 * testTimeout))
 	return conn.(*net.TCPConn)
 }
 
-// raw is a request as it is sent; headers end with a line break.
-func raw(path, body, headers string) string {
+// rawRequest returns the text of a POST request; each of headers ends with a line break.
+func rawRequest(path, body, headers string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%sContent-Length: %d\r\n\r\n%s", path, callerKey, headers, len(body), body)
 }
 
@@ -48,20 +48,20 @@
 	}
 }
 
-// receive waits for a value of the channel.
-func receive[T any](t *testing.T, what string, from <-chan T) T {
+// receive waits for a value from the channel.
+func receive[T any](t *testing.T, description string, from <-chan T) T {
 	t.Helper()
 	select {
 	case value := <-from:
 		return value
-	case <-time.After(soon):
-		t.Fatalf("%s: not within %v", what, soon)
+	case <-time.After(testTimeout):
+		t.Fatalf("%s: not within %v", description, testTimeout)
 		return *new(T)
 	}
 }
 
-// waits makes an agent that holds each call until its context ends, and tells how it ended.
-func waits() (a *fakeAgent, began chan struct{}, ended chan error) {
+// newBlockingAgent returns an agent that blocks each call until its context ends, and reports the cause.
+func newBlockingAgent() (a *fakeAgent, began chan struct{}, ended chan error) {
 	began, ended = make(chan struct{}, 8), make(chan error, 8)
 	return &fakeAgent{execute: func(ctx context.Context, _ request.Execute, _ peer.Sink) (request.AnswerEnd, error) {
 		began <- struct{}{}
@@ -71,8 +71,8 @@
 	}}, began, ended
 }
 
-// floods makes an engine that sends tokens for as long as it can, and tells when it was stopped.
-func floods() (a *fakeAgent, ended chan error) {
+// newFloodingAgent returns an agent that sends tokens until it is stopped, and reports the cause.
+func newFloodingAgent() (a *fakeAgent, ended chan error) {
 	ended = make(chan error, 8)
 	return &fakeAgent{execute: func(ctx context.Context, _ request.Execute, out peer.Sink) (request.AnswerEnd, error) {
 		if err := out.Head(request.AnswerHead{Status: http.StatusOK}); err != nil {
@@ -87,26 +87,26 @@
 	}}, ended
 }
 
-// A parent closes the connection while the booking still waits in an agent's queue.
-// The HTTP library doesn't notice; the request would take its turn at the server for nobody. It must be cancelled at
-// the agent at once, long before its deadline.
+// A caller closes the connection while its call waits in an agent's queue. The HTTP library doesn't notice, so that
+// the call would still get its turn at the server. It must be cancelled at the agent at once, long before its
+// deadline.
 func TestCallerHangsUpWhileQueued(t *testing.T) {
-	agent, began, ended := waits()
+	agent, began, ended := newBlockingAgent()
 	f := newFixture(t, agent)
 	conn := f.connect()
-	f.write(conn, raw("/v1/services/billdesk/charge", "x", "Request-Timeout: 600\r\n"))
+	f.write(conn, rawRequest("/v1/services/billdesk/charge", "x", "Request-Timeout: 600\r\n"))
 	receive(t, "request at the agent", began)
 	_ = conn.Close()
 	_ = receive(t, "cancellation", ended)
 }
 
-// A rider closes the connection in the middle of a stream of tokens.
-// The engine would go on for nobody until its answer ends; the stream must be cancelled there.
+// A caller closes the connection in the middle of a stream of tokens. The backend server would keep generating until
+// the answer ends; it must be cancelled there.
 func TestCallerHangsUpFromStream(t *testing.T) {
-	agent, ended := floods()
+	agent, ended := newFloodingAgent()
 	f := newFixture(t, agent)
 	conn := f.connect()
-	f.write(conn, raw(modelPath, streamBody, ""))
+	f.write(conn, rawRequest(modelPath, streamBody, ""))
 	if _, err := bufio.NewReader(conn).ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
@@ -114,21 +114,21 @@
 	_ = receive(t, "cancellation", ended)
 }
 
-// A caller sends its next request on the same connection before the first is answered, as HTTP allows.
-// The watch for a hang-up looks at the connection meanwhile; if it took a byte the next request would be lost, or read
-// as another. Both must be answered, each with its own body.
+// A caller sends its next request on the same connection before the first is answered, which HTTP allows. Meanwhile
+// the hang-up detection reads from the connection. If it consumed a byte, the next request would be lost or misread.
+// Both must be answered, each with its own body.
 func TestNextRequestOnTheConnectionIsNotLost(t *testing.T) {
 	began, release := make(chan struct{}, 2), make(chan struct{})
-	agent := &fakeAgent{execute: func(ctx context.Context, q request.Execute, out peer.Sink) (request.AnswerEnd, error) {
+	agent := &fakeAgent{execute: func(ctx context.Context, req request.Execute, out peer.Sink) (request.AnswerEnd, error) {
 		began <- struct{}{}
 		<-release
-		return echo(ctx, q, out)
+		return echo(ctx, req, out)
 	}}
 	f := newFixture(t, agent)
 	conn := f.connect()
-	f.write(conn, raw("/v1/services/billdesk/charge", "first", ""))
+	f.write(conn, rawRequest("/v1/services/billdesk/charge", "first", ""))
 	receive(t, "first request at the agent", began)
-	f.write(conn, raw("/v1/services/billdesk/charge", "second", ""))
+	f.write(conn, rawRequest("/v1/services/billdesk/charge", "second", ""))
 	close(release)
 	reader := bufio.NewReader(conn)
 	for _, want := range []string{"first", "second"} {
@@ -143,42 +143,41 @@
 	}
 }
 
-// A rider's phone stops reading a stream in the middle, and the connection stays open.
-// Writing to it would wait for half an hour. The stream must end at its deadline: at the engine, and at the entry,
-// whose drain would wait for it else.
+// A caller stops reading in the middle of a stream, and the connection stays open. Writes to it would block for half
+// an hour. The stream must end at its deadline, both at the backend server and at the entry, whose drain would
+// otherwise wait for it.
 func TestCallerStopsReading(t *testing.T) {
-	agent, ended := floods()
+	agent, ended := newFloodingAgent()
 	f := newFixture(t, agent)
 	conn := f.connect()
 	_ = conn.SetReadBuffer(4 << 10)
-	f.write(conn, raw(modelPath, streamBody, "Request-Timeout: 1\r\n"))
+	f.write(conn, rawRequest(modelPath, streamBody, "Request-Timeout: 1\r\n"))
 	_ = receive(t, "end at the engine", ended)
-	ctx, cancel := context.WithTimeout(context.Background(), soon)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := f.entry.Drain(ctx, 0); err != nil {
 		t.Error(err)
 	}
 }
 
-// A caller sends a body above the limit.
-// It must learn so with a status and a verdict, and nothing may run.
+// A caller sends a body above the limit. It must get a status and a verdict that say so, and nothing may run.
 func TestBodyAboveTheLimit(t *testing.T) {
 	ready := &fakeAgent{}
 	f := newFixture(t, ready)
-	response, refusal := f.exchange(t, raw("/v1/services/billdesk/charge", strings.Repeat("x", 1<<20+1), ""))
+	response, refusal := f.exchange(t, rawRequest("/v1/services/billdesk/charge", strings.Repeat("x", 1<<20+1), ""))
 	if response.StatusCode != http.StatusRequestEntityTooLarge || refusal.Verdict != verdict.NotRun || refusal.Reason != verdict.ReasonTooLarge || runs(ready) != 0 {
 		t.Errorf("have status %d and %+v, %d runs", response.StatusCode, refusal, runs(ready))
 	}
 }
 
-// A caller writes a body of five times the limit to its end and only then reads the answer, as plain clients do.
-// The entry refused after the first part and closed the connection with the rest unread, which resets it: the caller saw
-// a broken connection and could not know that nothing had run.
+// A caller writes a body of five times the limit to its end before it reads the answer, as simple clients do. The
+// entry refused after the first part and closed the connection with the rest unread, which resets it: the caller saw a
+// broken connection and could not know that nothing had run.
 func TestBodyAboveTheLimitIsRefusedToACallerThatWritesItAll(t *testing.T) {
 	f := newFixture(t, &fakeAgent{})
 	for range 20 {
 		conn := f.connect()
-		f.write(conn, raw("/v1/services/billdesk/charge", strings.Repeat("x", 5<<20), ""))
+		f.write(conn, rawRequest("/v1/services/billdesk/charge", strings.Repeat("x", 5<<20), ""))
 		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
 			t.Fatal(err)
@@ -189,45 +188,45 @@
 	}
 }
 
-// drip writes as much as the other side takes.
-func (*fixture) drip(conn net.Conn, text string) { _, _ = conn.Write([]byte(text)) }
+// writeIgnoringErrors writes as much of text as the other side accepts.
+func (*fixture) writeIgnoringErrors(conn net.Conn, text string) { _, _ = conn.Write([]byte(text)) }
 
-// A balancer keeps many connections open between requests, some of which never carried one, when the entry leaves.
-// They hold nothing that could be cut off; the drain must not wait for them until its bound.
-func TestKeptConnectionsDoNotHoldUpTheDrain(t *testing.T) {
+// When the entry leaves, a load balancer holds many idle connections, some of which never carried a request. There is
+// nothing on them to cut off, so the drain must not wait for them until its deadline.
+func TestIdleConnectionsDoNotDelayTheDrain(t *testing.T) {
 	f := newFixture(t, &fakeAgent{})
 	for i := range 40 {
 		conn := f.connect()
 		if i%2 == 0 {
 			continue
 		}
-		f.write(conn, raw("/v1/services/billdesk/charge", "x", ""))
+		f.write(conn, rawRequest("/v1/services/billdesk/charge", "x", ""))
 		if _, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 2*soon)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	defer cancel()
 	if err := f.entry.Drain(ctx, 0); err != nil {
 		t.Error(err)
 	}
 }
 
-// shortReads are settings under which a request must come within a moment.
-var shortReads = Config{HostID: "entry-1", BodyLimitBytes: 1 << 20, Incarnation: 7, ReadTimeout: 200 * time.Millisecond}
+// shortReadConfig has a short ReadTimeout.
+var shortReadConfig = Config{HostID: "entry-1", BodyLimitBytes: 1 << 20, Incarnation: 7, ReadTimeout: 200 * time.Millisecond}
 
-// A phone loses its network in the middle of a request, and its connection stays open without a byte. It would hold a place
-// for ever, and the drain of the host until its bound. It must be refused, and the host must drain.
-func TestHalfARequestIsGivenUp(t *testing.T) {
-	whole := raw("/v1/services/billdesk/charge", "body", "")
+// A caller loses its network in the middle of a request, and its connection stays open without traffic. It would stay
+// open forever and hold up the drain until its deadline. The request must be refused, and the host must drain.
+func TestIncompleteRequestTimesOut(t *testing.T) {
+	whole := rawRequest("/v1/services/billdesk/charge", "body", "")
 	for _, half := range []string{whole[:20], whole[:len(whole)-2]} {
 		ready := &fakeAgent{}
-		f := newFixtureOf(t, shortReads, ready)
+		f := newFixtureWithConfig(t, shortReadConfig, ready)
 		response, refusal := f.exchange(t, half)
 		if response.StatusCode != http.StatusRequestTimeout || refusal.Verdict != verdict.NotRun || runs(ready) != 0 {
 			t.Errorf("%q: status %d, %+v, %d runs", half, response.StatusCode, refusal, runs(ready))
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), soon)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		if err := f.entry.Drain(ctx, 0); err != nil {
 			t.Error(err)
 		}
@@ -235,15 +234,15 @@
 	}
 }
 
-// A parent waits for longer than a request may take to come, and hangs up. The watch for hang-ups reads from the same
-// connection; the bound on reading must not have ended it.
+// A caller hangs up after it has waited for longer than the read timeout. The hang-up detection reads from the same
+// connection; the read timeout must not have ended it.
 func TestCallerHangsUpAfterTheReadTimeout(t *testing.T) {
-	agent, began, ended := waits()
-	f := newFixtureOf(t, shortReads, agent)
+	agent, began, ended := newBlockingAgent()
+	f := newFixtureWithConfig(t, shortReadConfig, agent)
 	conn := f.connect()
-	f.write(conn, raw("/v1/services/billdesk/charge", "x", "Request-Timeout: 600\r\n"))
+	f.write(conn, rawRequest("/v1/services/billdesk/charge", "x", "Request-Timeout: 600\r\n"))
 	receive(t, "request at the agent", began)
-	time.Sleep(2 * shortReads.ReadTimeout) // the time that the bound takes to pass
+	time.Sleep(2 * shortReadConfig.ReadTimeout) // let the read timeout pass
 	_ = conn.Close()
 	_ = receive(t, "cancellation", ended)
 }
--- a/internal/edge/entry/harness_test.go
+++ b/internal/edge/entry/harness_test.go
@@ -33,11 +33,11 @@
 	otherKey   = "key-of-sur-field"
 )
 
-// fakeAgent answers as one agent would; its functions decide how.
+// fakeAgent is an agent whose answers are set by functions.
 type fakeAgent struct {
-	execute func(ctx context.Context, q request.Execute, out peer.Sink) (request.AnswerEnd, error)
-	settle  func(q request.Settle) request.Settled
-	// leaving is what the agent says of itself when it is probed.
+	execute func(ctx context.Context, req request.Execute, out peer.Sink) (request.AnswerEnd, error)
+	settle  func(req request.Settle) request.Settled
+	// leaving is what the agent reports when it is probed.
 	leaving bool
 
 	mu       sync.Mutex
@@ -52,15 +52,15 @@
 }
 
 // echo answers 200 with the body of the call.
-func echo(_ context.Context, q request.Execute, out peer.Sink) (request.AnswerEnd, error) {
+func echo(_ context.Context, req request.Execute, out peer.Sink) (request.AnswerEnd, error) {
 	if err := out.Head(request.AnswerHead{Status: http.StatusOK}); err != nil {
 		return request.AnswerEnd{}, err
 	}
-	_, err := out.Write(q.Body)
+	_, err := out.Write(req.Body)
 	return request.AnswerEnd{}, err
 }
 
-// fixture is an entry over fake agents and an in-memory platform.
+// fixture is an entry with fake agents and an in-memory platform.
 type fixture struct {
 	t       *testing.T
 	url     string
@@ -127,14 +127,14 @@
 	return view
 }
 
-// newFixture starts an entry and the fake agents; all end with the test.
+// newFixture starts an entry and the fake agents; they stop when the test ends.
 func newFixture(t *testing.T, agents ...*fakeAgent) *fixture {
 	t.Helper()
-	return newFixtureOf(t, Config{HostID: "entry-1", BodyLimitBytes: 1 << 20, Incarnation: 7}, agents...)
+	return newFixtureWithConfig(t, Config{HostID: "entry-1", BodyLimitBytes: 1 << 20, Incarnation: 7}, agents...)
 }
 
-// newFixtureOf is newFixture with settings of its own.
-func newFixtureOf(t *testing.T, config Config, agents ...*fakeAgent) *fixture {
+// newFixtureWithConfig is newFixture with another Config.
+func newFixtureWithConfig(t *testing.T, config Config, agents ...*fakeAgent) *fixture {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &fixture{t: t, memory: standin.NewMemory(), members: &fakeMembers{}}
@@ -170,20 +170,20 @@
 func (f *fixture) startAgent(ctx context.Context, index int, a *fakeAgent) {
 	l := listenLoopback(f.t)
 	registry := peer.NewRegistry()
-	peer.HandleStream(registry, agent.MethodExecute, func(ctx context.Context, q request.Execute, out peer.Sink) (request.AnswerEnd, error) {
+	peer.HandleStream(registry, agent.MethodExecute, func(ctx context.Context, req request.Execute, out peer.Sink) (request.AnswerEnd, error) {
 		a.mu.Lock()
-		a.requests = append(a.requests, q)
+		a.requests = append(a.requests, req)
 		a.mu.Unlock()
 		if a.execute == nil {
-			return echo(ctx, q, out)
+			return echo(ctx, req, out)
 		}
-		return a.execute(ctx, q, out)
+		return a.execute(ctx, req, out)
 	})
-	peer.Handle(registry, agent.MethodSettle, func(_ context.Context, q request.Settle) (request.Settled, error) {
+	peer.Handle(registry, agent.MethodSettle, func(_ context.Context, req request.Settle) (request.Settled, error) {
 		if a.settle == nil {
 			return request.Settled{}, verdict.Refuse(verdict.NotRun, verdict.ReasonNoServer, 0, "no record")
 		}
-		return a.settle(q), nil
+		return a.settle(req), nil
 	})
 	peer.Handle(registry, agent.MethodProbe, func(context.Context, request.Probe) (request.Load, error) {
 		return request.Load{Limit: 8, Draining: a.leaving}, nil
@@ -196,7 +196,7 @@
 	f.members.hosts = append(f.members.hosts, a.host)
 }
 
-// answer is what a caller received.
+// answer is the response that a caller received.
 type answer struct {
 	status  int
 	verdict verdict.Verdict
@@ -204,18 +204,18 @@
 	body    string
 }
 
-// send sends one request with the caller's key; header is name, value, name, value.
+// send sends a request with the caller's key; header alternates names and values.
 func (f *fixture) send(method, path, body string, header ...string) answer {
 	f.t.Helper()
-	q, err := http.NewRequest(method, f.url+path, bytes.NewBufferString(body))
+	req, err := http.NewRequest(method, f.url+path, bytes.NewBufferString(body))
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	q.Header.Set("Authorization", "Bearer "+callerKey)
+	req.Header.Set("Authorization", "Bearer "+callerKey)
 	for i := 0; i+1 < len(header); i += 2 {
-		q.Header.Set(header[i], header[i+1])
+		req.Header.Set(header[i], header[i+1])
 	}
-	response, err := http.DefaultClient.Do(q)
+	response, err := http.DefaultClient.Do(req)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -225,14 +225,14 @@
 		f.t.Fatal(err)
 	}
 	result := answer{status: response.StatusCode, body: string(content)}
-	var refusal refusalOnWire
+	var refusal refusalBody
 	if response.StatusCode >= http.StatusBadRequest && json.Unmarshal(content, &refusal) == nil {
 		result.verdict, result.reason = refusal.Verdict, refusal.Reason
 	}
 	return result
 }
 
-// runs counts the requests that reached any of the agents.
+// runs counts the calls that reached the agents.
 func runs(agents ...*fakeAgent) int {
 	total := 0
 	for _, a := range agents {
--- a/internal/edge/entry/header.go
+++ b/internal/edge/entry/header.go
@@ -12,14 +12,14 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/request"
 )
 
-// forwardedHeaders is the whole list of request headers that reach a backend server. A list of what
-// may pass holds against headers that nobody thought of; a list of what may not pass wouldn't.
+// forwardedHeaders lists the request headers that are forwarded to a backend server. It is an allow list, since a deny
+// list would let headers through that nobody thought of.
 var forwardedHeaders = []string{
 	"Accept", "Accept-Language", "Content-Language", "Content-Type",
 	"If-Match", "If-Modified-Since", "If-None-Match", "If-Unmodified-Since", "Range", "X-Request-Id",
 }
 
-// returnedHeaders is the whole list of answer headers that reach a caller.
+// returnedHeaders lists the response headers that are returned to the caller.
 var returnedHeaders = map[string]bool{
 	"Accept-Ranges": true, "Cache-Control": true, "Content-Disposition": true, "Content-Encoding": true,
 	"Content-Language": true, "Content-Range": true, "Content-Type": true, "Etag": true, "Expires": true,
@@ -28,11 +28,11 @@
 
 const headerIdempotencyKey = "Idempotency-Key"
 
-// isKey says whether text is or holds a caller's key.
-type isKey func(text string) bool
+// keyMatcher reports whether text is or contains a caller's key.
+type keyMatcher func(text string) bool
 
-// keyFinder finds the presented key anywhere in a text, and any valid key that is the whole text.
-func (e *Entry) keyFinder(from caller) isKey {
+// newKeyMatcher returns a matcher for texts that contain the presented key, or consist of any valid key.
+func (e *Entry) newKeyMatcher(from caller) keyMatcher {
 	view := e.deps.Views.View()
 	return func(text string) bool {
 		if strings.Contains(text, from.key) {
@@ -43,13 +43,13 @@
 	}
 }
 
-// forwardHeaders picks the request headers that go on. The caller's idempotency key goes on hashed, so that
-// key material sent there by mistake isn't shown to the backend server.
-func forwardHeaders(c fiber.Ctx, holdsKey isKey) []request.HeaderField {
+// forwardHeaders returns the request headers to forward, without those that contain a key. The caller's idempotency
+// key is forwarded hashed, so that a key sent there by mistake doesn't reach the backend server.
+func forwardHeaders(c fiber.Ctx, containsKey keyMatcher) []request.HeaderField {
 	fields := make([]request.HeaderField, 0, len(forwardedHeaders))
 	for _, name := range forwardedHeaders {
 		value := c.Get(name)
-		if value == "" || holdsKey(value) {
+		if value == "" || containsKey(value) {
 			continue
 		}
 		fields = append(fields, request.HeaderField{Name: name, Value: value})
@@ -61,7 +61,7 @@
 	return fields
 }
 
-// returnHeaders picks the answer headers that go back to the caller, sorted by name.
+// returnHeaders returns the response headers for the caller, sorted by name.
 func returnHeaders(fields []request.HeaderField) []request.HeaderField {
 	kept := make([]request.HeaderField, 0, len(fields))
 	for _, field := range fields {
--- a/internal/edge/entry/header_test.go
+++ b/internal/edge/entry/header_test.go
@@ -11,9 +11,9 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// Callers put their key into every place that HTTP has, by mistake or by an old client.
-// A backend server that logs its requests would then hold keys of all organisations. The call goes on
-// without the key, or is refused where the key can't be taken out without changing the call.
+// Callers put their key into all kinds of places in a request, by mistake or in an old client. A backend server that
+// logs its requests would then store keys of all organisations. The call must be forwarded without the key, or be
+// refused if the key can't be removed without changing the call.
 func TestNoKeyReachesTheAgent(t *testing.T) {
 	for _, test := range []struct {
 		name, path, body string
@@ -22,12 +22,12 @@
 	}{
 		{"authorization", "/x", "", nil, http.StatusOK},
 		{"cookie", "/x", "", []string{"Cookie", "key=" + callerKey}, http.StatusOK},
-		{"own header", "/x", "", []string{"X-Api-Key", callerKey}, http.StatusOK},
+		{"custom header", "/x", "", []string{"X-Api-Key", callerKey}, http.StatusOK},
 		{"allowed header", "/x", "", []string{"X-Request-Id", callerKey}, http.StatusOK},
 		{"another organisation's key", "/x", "", []string{"X-Request-Id", otherKey}, http.StatusOK},
 		{"idempotency key", "/x", "", []string{"Idempotency-Key", callerKey}, http.StatusOK},
 		{"query value", "/x?a=1&b=" + callerKey, "", nil, http.StatusOK},
-		{"query of a known name", "/x?access_token=older-key", "", nil, http.StatusOK},
+		{"well-known query parameter", "/x?access_token=older-key", "", nil, http.StatusOK},
 		{"query name", "/x?" + callerKey + "=1", "", nil, http.StatusOK},
 		{"escaped query value", "/x?b=%6Bey-of-salalah-ground", "", nil, http.StatusOK},
 		{"path", "/x/" + callerKey, "", nil, http.StatusBadRequest},
@@ -41,9 +41,9 @@
 			if have.status != test.wantStatus {
 				t.Errorf("status %d, want %d: %s", have.status, test.wantStatus, have.body)
 			}
-			for _, q := range ready.seen() {
+			for _, req := range ready.seen() {
 				for _, key := range []string{callerKey, otherKey, "older-key"} {
-					if text := fmt.Sprintf("%+v %s", q, q.Body); strings.Contains(text, key) {
+					if text := fmt.Sprintf("%+v %s", req, req.Body); strings.Contains(text, key) {
 						t.Errorf("the agent saw %q in %s", key, text)
 					}
 				}
@@ -52,9 +52,9 @@
 	}
 }
 
-// Many callers use one entry at once, over connections that are kept alive.
-// The HTTP library reuses its buffers: a string kept past its handler would turn into another caller's.
-// Each caller must get back exactly what it sent.
+// Many callers use one entry at the same time over keep-alive connections. The HTTP library reuses its buffers: a
+// string kept after its handler returns would turn into another caller's. Each caller must get back exactly what it
+// sent.
 func TestCallersGetTheirOwnAnswers(t *testing.T) {
 	f := newFixture(t, &fakeAgent{}, &fakeAgent{})
 	const callers, calls = 24, 20
@@ -98,14 +98,14 @@
 				t.Errorf("have %+v", have)
 			}
 			if runs(ready) != 0 {
-				t.Error("it reached an agent")
+				t.Error("the call reached an agent")
 			}
 		})
 	}
 }
 
-// A client asks with another method than the path takes. It must learn which one would do.
-func TestOtherMethodIsRefusedWithTheOneThatWouldDo(t *testing.T) {
+// A client uses a method that the path doesn't support. The refusal must name the method that it supports.
+func TestUnsupportedMethodIsRefusedWithTheSupportedOne(t *testing.T) {
 	f := newFixture(t, &fakeAgent{})
 	response, err := http.Get(f.url + modelPath)
 	if err != nil {
--- a/internal/edge/entry/isolated.go
+++ b/internal/edge/entry/isolated.go
@@ -9,58 +9,63 @@
 )
 
 const (
-	// isolatedPause is the pause before an agent is asked again that took itself for cut off.
-	isolatedPause = 250 * time.Millisecond
-	// isolatedMost is how long a request waits for such agents in all. Relays find out within about a second whether the platform is down
-	// or a host is cut off.
-	isolatedMost = 1500 * time.Millisecond
+	// isolatedRetryInterval is the wait before agents are tried again that consider themselves isolated.
+	isolatedRetryInterval = 250 * time.Millisecond
+	// maxIsolatedWait bounds the total wait of a request for such agents. Relays find out within about a second
+	// whether the platform is down or a host is cut off.
+	maxIsolatedWait = 1500 * time.Millisecond
 )
 
-// isolatedAgents are the agents that refused one request because their configuration was not confirmed lately.
+// refusingAgents are the agents that refused one request because they considered themselves isolated, as their
+// configuration wasn't confirmed recently, or because they had no room.
 //
-// Guard: the platform goes down, and an agent's last confirmation is too old a moment before its relays have found out that it is an
-// outage and not a cut. A caller was refused with all servers idle, though the entry's own view was in order. So where no other agent
-// is left the entry asks again for a moment; an agent that is really cut off refuses on, and the caller hears so.
+// When the platform goes down, an agent's last confirmation may become too old just before its relays find out that
+// this is an outage, and not that the agent is cut off. Without retries a caller would be refused with all servers
+// idle, although the entry's own view is fresh. So if no other agent is left, the entry retries for a short time; an
+// agent that is really cut off keeps refusing, and the caller gets its refusal.
 //
-// Agents that refused for want of room are asked again too while the request waits: else it was refused as the one agent stayed
-// cut off, though the other had been idle for a second.
-type isolatedAgents struct {
-	// hosts are to be asked again.
+// Agents that refused for lack of room are retried too while the request waits. Otherwise it would be refused because
+// one agent stays isolated, although the other may have been idle for a second.
+type refusingAgents struct {
+	// hosts are the agents to retry.
 	hosts []string
-	// again are those that were.
-	again map[string]bool
-	since time.Time
+	// retried are the agents that were made available for a retry.
+	retried map[string]bool
+	// isolatedSince is when the first agent refused as isolated.
+	isolatedSince time.Time
 }
 
-// note takes in how an agent refused, and returns whether tries at it are bounded by time.
-func (i *isolatedAgents) note(hostID string, refusal *verdict.Refusal) bool {
+// add records an agent's refusal, and returns whether further attempts at the agent are bounded by time instead of by
+// number.
+func (r *refusingAgents) add(hostID string, refusal *verdict.Refusal) bool {
 	isolated := refusal.Reason == verdict.ReasonIsolated
-	full := refusal.Reason == verdict.ReasonOverloaded || refusal.Reason == verdict.ReasonNoRoom
-	if refusal.Verdict != verdict.NotRun || !isolated && !full {
+	noRoom := refusal.Reason == verdict.ReasonOverloaded || refusal.Reason == verdict.ReasonNoRoom
+	if refusal.Verdict != verdict.NotRun || !isolated && !noRoom {
 		return false
 	}
-	if isolated && i.since.IsZero() {
-		i.since = time.Now()
+	if isolated && r.isolatedSince.IsZero() {
+		r.isolatedSince = time.Now()
 	}
-	i.hosts = append(i.hosts, hostID)
-	return isolated || i.again[hostID]
+	r.hosts = append(r.hosts, hostID)
+	return isolated || r.retried[hostID]
 }
 
-// wait waits a moment and lets the agents be tried again; false if none took itself for cut off, or the time for that is over.
-func (i *isolatedAgents) wait(ctx context.Context, tried map[string]bool) bool {
-	if len(i.hosts) == 0 || i.since.IsZero() || time.Since(i.since) > isolatedMost {
+// wait waits for isolatedRetryInterval and removes the agents from tried. It returns false if none considered itself
+// isolated, the total wait is over, or ctx has ended.
+func (r *refusingAgents) wait(ctx context.Context, tried map[string]bool) bool {
+	if len(r.hosts) == 0 || r.isolatedSince.IsZero() || time.Since(r.isolatedSince) > maxIsolatedWait {
 		return false
 	}
-	if !ticker.Sleep(ctx, isolatedPause) {
+	if !ticker.Sleep(ctx, isolatedRetryInterval) {
 		return false
 	}
-	if i.again == nil {
-		i.again = map[string]bool{}
+	if r.retried == nil {
+		r.retried = map[string]bool{}
 	}
-	for _, hostID := range i.hosts {
+	for _, hostID := range r.hosts {
 		delete(tried, hostID)
-		i.again[hostID] = true
+		r.retried[hostID] = true
 	}
-	i.hosts = nil
+	r.hosts = nil
 	return true
 }
--- a/internal/edge/entry/metrics.go
+++ b/internal/edge/entry/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// Metrics of an entry. Labels are organisation and pool names, never keys.
+// Metrics holds the metrics of an entry. Labels are organisation and pool names, never keys.
 type Metrics struct {
 	answers  *prometheus.CounterVec
 	refusals *prometheus.CounterVec
--- a/internal/edge/entry/recordfault_test.go
+++ b/internal/edge/entry/recordfault_test.go
@@ -17,25 +17,25 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// standingStore is a platform that stands still until it is released.
-type standingStore struct {
+// stalledStore is a platform whose reads and updates hang until it is released or their context ends.
+type stalledStore struct {
 	platform.Store
-	// loseFirst: the first write takes effect and its answer is lost, and reads fail.
-	loseFirst bool
-	lost      atomic.Bool
-	// entered tells of each call that stands, and left counts those that have ended.
-	entered  chan struct{}
-	left     atomic.Int32
+	// loseFirstWrite makes the first write take effect but lose its answer.
+	loseFirstWrite bool
+	lost           atomic.Bool
+	// stalled receives a value for each call that hangs; finished counts the hanging calls that have returned.
+	stalled  chan struct{}
+	finished atomic.Int32
 	released chan struct{}
 }
 
-func newStandingStore(inner platform.Store) *standingStore {
-	return &standingStore{Store: inner, entered: make(chan struct{}, 100), released: make(chan struct{})}
+func newStalledStore(inner platform.Store) *stalledStore {
+	return &stalledStore{Store: inner, stalled: make(chan struct{}, 100), released: make(chan struct{})}
 }
 
-func (s *standingStore) stand(ctx context.Context) error {
-	s.entered <- struct{}{}
-	defer s.left.Add(1)
+func (s *stalledStore) stall(ctx context.Context) error {
+	s.stalled <- struct{}{}
+	defer s.finished.Add(1)
 	select {
 	case <-s.released:
 		return nil
@@ -44,30 +44,30 @@
 	}
 }
 
-func (s *standingStore) Get(ctx context.Context, name string) (platform.Object, error) {
-	if err := s.stand(ctx); err != nil {
+func (s *stalledStore) Get(ctx context.Context, name string) (platform.Object, error) {
+	if err := s.stall(ctx); err != nil {
 		return platform.Object{}, err
 	}
 	return s.Store.Get(ctx, name)
 }
 
-func (s *standingStore) Put(ctx context.Context, name string, value json.RawMessage, ifVersion platform.Version) (platform.Version, error) {
+func (s *stalledStore) Put(ctx context.Context, name string, value json.RawMessage, ifVersion platform.Version) (platform.Version, error) {
 	if ifVersion != 0 {
-		if err := s.stand(ctx); err != nil {
+		if err := s.stall(ctx); err != nil {
 			return 0, err
 		}
 	}
 	version, err := s.Store.Put(ctx, name, value, ifVersion)
-	if s.loseFirst && !s.lost.Swap(true) {
+	if s.loseFirstWrite && !s.lost.Swap(true) {
 		return 0, platform.ErrOutcomeUnknown
 	}
 	return version, err
 }
 
-// until waits for the only record to be as wanted; nil stands for no record.
-func (f *fixture) until(what string, wanted func(*record) bool) {
+// waitForRecord waits until the only record satisfies accept; nil stands for no record.
+func (f *fixture) waitForRecord(description string, accept func(*record) bool) {
 	f.t.Helper()
-	for end := time.Now().Add(soon); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		objects, err := f.memory.List(context.Background(), "idempotency/")
 		if err != nil {
 			f.t.Fatal(err)
@@ -79,17 +79,17 @@
 				f.t.Fatal(err)
 			}
 		}
-		if wanted(found) {
+		if accept(found) {
 			return
 		}
 	}
-	f.t.Fatalf("%s: not within %v", what, soon)
+	f.t.Fatalf("%s: not within %v", description, testTimeout)
 }
 
-// A parent books a ride; the agent doesn't answer in time, and then the platform stands still, to which the outcome is
-// to be written. The caller's deadline is over; it must be answered at once and not when the platform is back. The
-// outcome is written all the same, so that a repeat learns of it.
-func TestStandingPlatformHoldsUpNoAnswer(t *testing.T) {
+// An agent doesn't answer a booking in time, and then the platform hangs while the outcome is written. The caller's
+// deadline has passed: it must be answered at once, not when the platform is back. The outcome must still be written,
+// so that a repeat gets it.
+func TestStalledPlatformDoesNotDelayTheAnswer(t *testing.T) {
 	silent := make(chan struct{})
 	defer close(silent)
 	agent := &fakeAgent{
@@ -100,67 +100,68 @@
 		settle: func(request.Settle) request.Settled { return request.Settled{Verdict: verdict.MayHaveRun} },
 	}
 	f := newFixture(t, agent)
-	store := newStandingStore(f.memory)
-	f.entry.records.store = store
+	store := newStalledStore(f.memory)
+	f.entry.deduplicator.store = store
 	answers := make(chan answer, 1)
 	go func() {
 		answers <- f.send(http.MethodPost, bookingPath, "x", "Idempotency-Key", "k", "Request-Timeout", "0.3")
 	}()
-	receive(t, "write of the outcome", store.entered)
+	receive(t, "write of the outcome", store.stalled)
 	have := receive(t, "answer", answers)
 	if have.verdict != verdict.MayHaveRun || have.reason != verdict.ReasonDeadlinePassed {
 		t.Errorf("have %+v", have)
 	}
-	if store.left.Load() > 0 {
+	if store.finished.Load() > 0 {
 		t.Error("the answer waited for the platform")
 	}
 	close(store.released)
-	f.until("outcome in the record", func(r *record) bool { return r != nil && r.InDoubt })
+	f.waitForRecord("outcome in the record", func(r *record) bool { return r != nil && r.InDoubt })
 	if again := f.send(http.MethodPost, bookingPath, "x", "Idempotency-Key", "k"); again.reason != verdict.ReasonAnswerLost || runs(agent) != 1 {
 		t.Errorf("%d runs, again %+v", runs(agent), again)
 	}
 }
 
-// The record of a booking is written, but the answer to that write is lost and the platform can't be read until the
-// caller's deadline is over. The caller is told "not run", which is true, since nothing was sent. The record that is left behind
-// would tell each repeat that the booking is running, and later that it may have run. It must go, so that a repeat runs.
-func TestRecordOfACallThatNeverRanGoes(t *testing.T) {
+// The record of a booking is written, but the answer to the write is lost, and the platform can't be read until the
+// caller's deadline has passed. The caller is correctly told "not run", since nothing was sent. If the record stayed,
+// each repeat would be told that the booking is running, and later that it may have run. It must be deleted, so that a
+// repeat runs.
+func TestRecordOfACallThatNeverRanIsDeleted(t *testing.T) {
 	ready := &fakeAgent{}
 	f := newFixture(t, ready)
-	store := newStandingStore(f.memory)
-	store.loseFirst = true
-	f.entry.records.store = store
+	store := newStalledStore(f.memory)
+	store.loseFirstWrite = true
+	f.entry.deduplicator.store = store
 	have := f.send(http.MethodPost, bookingPath, "x", "Idempotency-Key", "k", "Request-Timeout", "0.3")
 	if have.verdict != verdict.NotRun || have.reason != verdict.ReasonPlatformUnavailable || runs(ready) != 0 {
 		t.Errorf("%d runs, %+v", runs(ready), have)
 	}
 	close(store.released)
-	f.until("no record", func(r *record) bool { return r == nil })
+	f.waitForRecord("no record", func(r *record) bool { return r == nil })
 	if again := f.send(http.MethodPost, bookingPath, "x", "Idempotency-Key", "k"); again.status != http.StatusOK || runs(ready) != 1 {
 		t.Errorf("%d runs, again %+v", runs(ready), again)
 	}
 }
 
-// A tower clerk's program charges a fee under an Idempotency-Key, gives up too soon and hangs up while the charge runs; then it
-// repeats the call. The first run goes on at the server. Were its answer not waited for, the repeat would be told for a day that the charge
-// may have run, and a person would have to look. It must get the first answer.
+// A client charges a fee under an Idempotency-Key, hangs up while the charge runs, and repeats the call. The first run
+// continues at the server. If its answer were given up with the caller, the repeat would be told for a day that the
+// charge may have run, and a person would have to investigate. The repeat must get the first answer.
 func TestRepeatAfterAHangUpGetsTheFirstAnswer(t *testing.T) {
 	began, release := make(chan struct{}, 2), make(chan struct{})
-	agent := &fakeAgent{execute: func(ctx context.Context, q request.Execute, out peer.Sink) (request.AnswerEnd, error) {
+	agent := &fakeAgent{execute: func(ctx context.Context, req request.Execute, out peer.Sink) (request.AnswerEnd, error) {
 		began <- struct{}{}
 		select {
 		case <-release:
-			return echo(ctx, q, out)
+			return echo(ctx, req, out)
 		case <-ctx.Done():
 			return request.AnswerEnd{}, errLostAnswer
 		}
 	}, settle: func(request.Settle) request.Settled { return request.Settled{Verdict: verdict.MayHaveRun} }}
 	f := newFixture(t, agent)
 	conn := f.connect()
-	f.write(conn, raw(bookingPath, "pony 3", "Idempotency-Key: k\r\n"))
+	f.write(conn, rawRequest(bookingPath, "pony 3", "Idempotency-Key: k\r\n"))
 	receive(t, "call at the agent", began)
 	_ = conn.Close()
-	f.until("deadline in the record", func(r *record) bool { return r != nil && r.Deadline.After(time.Now()) })
+	f.waitForRecord("deadline in the record", func(r *record) bool { return r != nil && r.Deadline.After(time.Now()) })
 	repeat := func() answer { return f.send(http.MethodPost, bookingPath, "pony 3", "Idempotency-Key", "k") }
 	for range 3 {
 		if have := repeat(); have.reason != verdict.ReasonInProgress {
@@ -168,16 +169,17 @@
 		}
 	}
 	close(release)
-	f.until("outcome in the record", func(r *record) bool { return r != nil && (r.Answer != nil || r.InDoubt) })
+	f.waitForRecord("outcome in the record", func(r *record) bool { return r != nil && (r.Answer != nil || r.InDoubt) })
 	if have := repeat(); have.status != http.StatusOK || have.body != "pony 3" || runs(agent) != 1 {
 		t.Errorf("%d runs, repeat %+v", runs(agent), have)
 	}
 }
 
-// An entry dies between the record of a booking and its run, or in the run. Nobody writes the outcome any more, and each
-// repeat was told for half an hour that the booking is running, though its caller had asked for an answer within a minute. Once the
-// first try's own deadline is over, nothing runs for it, and its repeats must learn that no answer will come.
-func TestRepeatsOfADeadEntrysCall(t *testing.T) {
+// An entry dies after it has created the record of a booking, before or during the run, so that nobody writes the
+// outcome. Repeats were told for half an hour that the booking is running, although the caller had asked for an answer
+// within a minute. Once the deadline of the first attempt has passed, nothing runs for it, and repeats must be told
+// that no answer will come.
+func TestRepeatAfterTheEntryDied(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		// created and deadline are relative to now; a record of an older version has no deadline.
@@ -187,7 +189,7 @@
 		{"before the deadline", -time.Minute, time.Minute, verdict.ReasonInProgress},
 		{"long deadline", -5 * time.Minute, 20 * time.Minute, verdict.ReasonInProgress},
 		{"just after the deadline, by this host's clock", -time.Minute, -time.Second, verdict.ReasonInProgress},
-		{"well after the deadline", -time.Minute, -recordMargin - time.Second, verdict.ReasonAnswerLost},
+		{"well after the deadline", -time.Minute, -outcomeGrace - time.Second, verdict.ReasonAnswerLost},
 		{"no deadline, young", -2 * time.Minute, 0, verdict.ReasonInProgress},
 		{"no deadline, old", -MaxRequestTimeout - time.Minute, 0, verdict.ReasonAnswerLost},
 	} {
@@ -195,16 +197,16 @@
 			ready := &fakeAgent{}
 			f := newFixture(t, ready)
 			pool := ticket.Pool{Name: "billdesk"}
-			left := record{
+			abandoned := record{
 				Digest:  messageDigest(pool.Name, request.Execute{Method: http.MethodPost, Path: "/bookings", Body: []byte("x")}),
 				Writer:  "an entry that died",
 				Created: time.Now().Add(test.created),
 			}
 			if test.deadline != 0 {
-				left.Deadline = time.Now().Add(test.deadline)
+				abandoned.Deadline = time.Now().Add(test.deadline)
 			}
 			name := recordName(call{organisation: "salalah-ground", pool: pool}, "k")
-			if _, err := f.entry.records.create(t.Context(), name, left); err != nil {
+			if _, err := f.entry.deduplicator.create(t.Context(), name, abandoned); err != nil {
 				t.Fatal(err)
 			}
 			have := f.send(http.MethodPost, bookingPath, "x", "Idempotency-Key", "k")
--- a/internal/edge/entry/recordkeeper.go
+++ b/internal/edge/entry/recordkeeper.go
@@ -18,103 +18,106 @@
 )
 
 const (
-	// maxRecordedBody is the longest answer that is kept for repeats; a repeat of a longer one is told that the call ran.
-	maxRecordedBody = 256 << 10
-	recordTries     = 5
-	recordPause     = 200 * time.Millisecond
-	recordTime      = 5 * time.Second
-	inProgressRetry = time.Second
-	// recordMargin is how long after the deadline of a call its outcome may still come: the question after the deadline,
-	// the write of the outcome, and clocks of two hosts that differ by some seconds.
-	recordMargin = settleTimeAfterDeadline + recordTime + 5*time.Second
+	// maxRecordedBody is the longest answer body that is stored for repeats. A repeat of a call with a longer one is
+	// told that the call may have run.
+	maxRecordedBody      = 256 << 10
+	recordWriteAttempts  = 5
+	recordRetryInterval  = 200 * time.Millisecond
+	recordTimeout        = 5 * time.Second
+	inProgressRetryAfter = time.Second
+	// outcomeGrace is how long after the deadline of a call its outcome may still be stored: the time to settle after
+	// the deadline, the time to write the outcome, and some seconds of clock difference between two hosts.
+	outcomeGrace = settleTimeoutAfterDeadline + recordTimeout + 5*time.Second
 )
 
-// record is the object kept for one idempotency key.
+// record is the object stored for one idempotency key.
 type record struct {
-	// Digest is of method, path, query and body: the same key with another call is refused.
+	// Digest is the hash of pool, method, path, query and body. Another call with the same key is refused.
 	Digest string `json:"digest"`
-	// Writer names the try that created the record, so that a lost answer can be settled.
-	Writer string       `json:"writer"`
-	Answer *wholeAnswer `json:"answer,omitempty"`
+	// Writer identifies the attempt that created the record, to find out after a lost answer whether its write took
+	// effect.
+	Writer string          `json:"writer"`
+	Answer *bufferedAnswer `json:"answer,omitempty"`
 	// InDoubt says that the call may have run and that no answer will come.
 	InDoubt bool      `json:"inDoubt,omitempty"`
 	Created time.Time `json:"created"`
-	// Deadline is when the entry gives the call up; records of older versions have none.
+	// Deadline is when the entry gives up the call; records of older versions have none.
 	Deadline time.Time `json:"deadline,omitzero"`
 }
 
-// over says whether nobody waits for the call any more.
+// abandoned reports whether no answer will be stored any more.
 //
-// Guard: the entry of a call dies, and the record stays without an outcome. Its repeats would be told for half an hour, the longest
-// deadline there is, that the call is running. Past its own deadline no answer will come. Both answers say that the call may have
-// run, so that a clock that is wrong makes none of them false, and no repeat runs.
-func (r record) over(now time.Time) bool {
+// If the entry of a call dies, its record stays without an outcome. Without this check repeats would be told for half
+// an hour, the longest deadline, that the call is running. The refusals before and after both say that the call may
+// have run, so that neither is false if a clock is wrong, and no repeat runs.
+func (r record) abandoned(now time.Time) bool {
 	if r.Deadline.IsZero() {
 		return now.Sub(r.Created) > MaxRequestTimeout
 	}
-	return now.Sub(r.Deadline) > recordMargin
+	return now.Sub(r.Deadline) > outcomeGrace
 }
 
-// recordKeeper maps a caller's idempotency key to one run over all entries.
+// deduplicator runs a call once per idempotency key across all entries.
 //
-// A record whose entry died stays without an outcome: its repeats are told that the call is running, and once
-// no request can be running any more, that it may have run.
+// It guards against a caller that repeats a call that isn't idempotent at another entry, during or after the first
+// run. The record is created in the platform before the run, and only one creation succeeds. If the platform can't be
+// reached, the call is refused as not run.
 //
-// Guard: the caller repeats a call that may not run twice, at another entry, while or after the first ran.
-// The record is created in the platform before the run, and creation has one winner. Where the platform
-// can't be reached the call is refused as not run.
-type recordKeeper struct {
-	store  platform.Store
-	config Config
-	count  atomic.Uint64
+// A record whose entry died stays without an outcome. Its repeats are told that the call is running and, once it can't
+// be running any more, that it may have run.
+type deduplicator struct {
+	store    platform.Store
+	config   Config
+	attempts atomic.Uint64
 	// background runs work that outlives its request; the end of the process waits for it.
 	background func(work func())
 }
 
-func newRecordKeeper(store platform.Store, config Config, background func(work func())) *recordKeeper {
-	return &recordKeeper{store: store, config: config, background: background}
+func newDeduplicator(store platform.Store, config Config, background func(work func())) *deduplicator {
+	return &deduplicator{store: store, config: config, background: background}
 }
 
-func (k *recordKeeper) once(ctx context.Context, c call, message request.Execute, key string, run func() (wholeAnswer, error)) (wholeAnswer, error) {
+func (d *deduplicator) runOnce(ctx context.Context, c call, message request.Execute, key string, run func() (bufferedAnswer, error)) (bufferedAnswer, error) {
 	name := recordName(c, key)
-	mine := record{
+	own := record{
 		Digest:  messageDigest(c.pool.Name, message),
-		Writer:  fmt.Sprintf("%s-%016x-%d", k.config.HostID, k.config.Incarnation, k.count.Add(1)),
+		Writer:  fmt.Sprintf("%s-%016x-%d", d.config.HostID, d.config.Incarnation, d.attempts.Add(1)),
 		Created: time.Now().UTC(),
 	}
-	mine.Deadline, _ = ctx.Deadline()
-	version, err := k.create(ctx, name, mine)
+	own.Deadline, _ = ctx.Deadline()
+	version, err := d.create(ctx, name, own)
 	if errors.Is(err, platform.ErrConflict) {
-		return k.repeat(ctx, name, mine)
+		return d.answerRepeat(ctx, name, own)
 	}
 	if err != nil {
 		if !errors.Is(err, platform.ErrUnavailable) {
-			k.background(func() { k.withdraw(ctx, name, mine) })
+			d.background(func() { d.deleteUnconfirmed(ctx, name, own) })
 		}
-		return wholeAnswer{}, platformRefusal(err)
+		return bufferedAnswer{}, platformRefusal(err)
 	}
 	answer, err := run()
-	k.finishInTime(ctx, func() { k.finish(ctx, name, mine, version, answer, err) })
+	d.saveWithinDeadline(ctx, func() { d.saveOutcome(ctx, name, own, version, answer, err) })
 	return answer, err
 }
 
-// finishInTime runs finish, and returns once it has ended or the caller's deadline is over.
+// saveWithinDeadline runs save, and returns once it has ended or the caller's deadline has passed by
+// settleTimeoutAfterDeadline.
 //
-// Guard: the platform stands still while an outcome is written. A caller that is given up on would wait for the platform
-// instead of being answered; the outcome is written without it.
-func (k *recordKeeper) finishInTime(ctx context.Context, finish func()) {
+// If the platform hangs while the outcome is written, the caller is answered and doesn't wait for the platform; the
+// write continues in the background.
+func (d *deduplicator) saveWithinDeadline(ctx context.Context, save func()) {
 	done := make(chan struct{})
-	k.background(func() {
+	d.background(func() {
 		defer close(done)
-		finish()
+		save()
 	})
 	select {
 	case <-done:
 		return
 	case <-ctx.Done():
 	}
-	// Within this time a platform that answers has the outcome, so that a repeat that comes at once learns of it.
-	timer := time.NewTimer(settleTimeAfterDeadline)
+	// A platform that responds stores the outcome within this time, so that an immediate repeat gets it.
+	timer := time.NewTimer(settleTimeoutAfterDeadline)
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -122,32 +125,33 @@
 	}
 }
 
-// withdraw deletes a record whose creation was not confirmed, if it was created after all.
+// deleteUnconfirmed deletes a record whose creation wasn't confirmed, in case it was created.
 //
-// Guard: the call was refused as not run, and its record would tell each repeat until its deadline that it is running, and for a day that it may have run.
-// Only the record of this very try goes, and nothing runs under it. It is looked for during recordTime, since the
-// write may take effect after the first look; one that takes effect later still stays.
-func (k *recordKeeper) withdraw(ctx context.Context, name string, mine record) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTime)
+// The call was refused as not run. Its record would tell each repeat until the deadline that the call is running, and
+// for a day after that it may have run. Only the record of this attempt is deleted, and nothing runs under it. Lookups
+// are repeated for recordTimeout, since the write may take effect after the first one; if it takes effect later still,
+// the record stays.
+func (d *deduplicator) deleteUnconfirmed(ctx context.Context, name string, own record) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
 	for {
-		object, err := k.store.Get(ctx, name)
-		if err == nil && !mine.wrote(object) {
+		object, err := d.store.Get(ctx, name)
+		if err == nil && !own.matches(object) {
 			return
 		}
-		if err == nil && k.store.Delete(ctx, name, object.Version) == nil {
+		if err == nil && d.store.Delete(ctx, name, object.Version) == nil {
 			return
 		}
-		if !ticker.Sleep(ctx, recordPause) {
+		if !ticker.Sleep(ctx, recordRetryInterval) {
 			return
 		}
 	}
 }
 
-// wrote says whether the object is this record as its own try created it.
-func (r record) wrote(object platform.Object) bool {
-	var found record
-	return json.Unmarshal(object.Value, &found) == nil && found.Writer == r.Writer
+// matches reports whether the object is a record that the same attempt created.
+func (r record) matches(object platform.Object) bool {
+	var stored record
+	return json.Unmarshal(object.Value, &stored) == nil && stored.Writer == r.Writer
 }
 
 func recordName(c call, key string) string {
@@ -158,108 +162,109 @@
 func messageDigest(pool string, message request.Execute) string {
 	sum := sha256.New()
 	for _, part := range []string{pool, message.Method, message.Path, message.Query} {
-		// A hash takes all bytes and never fails.
+		// Writes to a hash never fail.
 		_, _ = fmt.Fprintf(sum, "%d:%s", len(part), part)
 	}
 	sum.Write(message.Body)
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// create writes the record if there is none. After a lost answer it reads whose record is there.
-func (k *recordKeeper) create(ctx context.Context, name string, mine record) (platform.Version, error) {
-	value, err := json.Marshal(mine)
+// create stores the record if there is none. If the answer is lost, it reads the record to find out who created it.
+func (d *deduplicator) create(ctx context.Context, name string, own record) (platform.Version, error) {
+	value, err := json.Marshal(own)
 	if err != nil {
 		return 0, errors.Wrap(err, name)
 	}
-	version, err := k.store.Put(ctx, name, value, 0)
+	version, err := d.store.Put(ctx, name, value, 0)
 	if err == nil || errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrUnavailable) {
 		return version, err
 	}
-	object, readErr := k.readBack(ctx, name)
+	object, readErr := d.readBack(ctx, name)
 	if readErr != nil {
 		return 0, err
 	}
-	if mine.wrote(object) {
+	if own.matches(object) {
 		return object.Version, nil
 	}
 	return 0, platform.ErrConflict
 }
 
-// readBack reads a record after a lost answer, again and again for recordTime.
+// readBack reads a record after a lost answer, with retries for recordTimeout.
 //
-// Guard: the connection that lost the answer to the write often loses the read as well. The call would be refused
-// as not run and its record left behind, and every repeat of the caller told of a call that never ran.
-func (k *recordKeeper) readBack(ctx context.Context, name string) (platform.Object, error) {
-	ctx, cancel := context.WithTimeout(ctx, recordTime)
+// The connection that lost the answer to the write often loses the read as well. Without retries the call would be
+// refused as not run, but its record would stay, and every repeat would be told of a call that never ran.
+func (d *deduplicator) readBack(ctx context.Context, name string) (platform.Object, error) {
+	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	for {
-		object, err := k.store.Get(ctx, name)
-		if err == nil || errors.Is(err, platform.ErrNotFound) || !ticker.Sleep(ctx, recordPause) {
+		object, err := d.store.Get(ctx, name)
+		if err == nil || errors.Is(err, platform.ErrNotFound) || !ticker.Sleep(ctx, recordRetryInterval) {
 			return object, err
 		}
 	}
 }
 
 func platformRefusal(err error) error {
-	return verdict.Refuse(verdict.NotRun, verdict.ReasonPlatformUnavailable, noServerRetry,
+	return verdict.Refuse(verdict.NotRun, verdict.ReasonPlatformUnavailable, unavailableRetryAfter,
 		"the record for the idempotency key can't be written: %v", err)
 }
 
-// repeat answers a call whose key has a record already.
-func (k *recordKeeper) repeat(ctx context.Context, name string, mine record) (wholeAnswer, error) {
-	object, err := k.store.Get(ctx, name)
+// answerRepeat answers a call whose idempotency key already has a record.
+func (d *deduplicator) answerRepeat(ctx context.Context, name string, own record) (bufferedAnswer, error) {
+	object, err := d.store.Get(ctx, name)
 	if err != nil {
 		// This repeat hasn't run, but the first call may have.
-		return wholeAnswer{}, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonPlatformUnavailable, noServerRetry,
+		return bufferedAnswer{}, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonPlatformUnavailable, unavailableRetryAfter,
 			"a call with this idempotency key was made before, and its record can't be read")
 	}
-	var found record
-	if err := json.Unmarshal(object.Value, &found); err != nil {
-		return wholeAnswer{}, errors.Wrapf(err, "record %s", name)
+	var stored record
+	if err := json.Unmarshal(object.Value, &stored); err != nil {
+		return bufferedAnswer{}, errors.Wrapf(err, "record %s", name)
 	}
 	switch {
-	case found.Digest != mine.Digest:
-		return wholeAnswer{}, verdict.Refuse(verdict.NotRun, verdict.ReasonKeyReused, 0,
+	case stored.Digest != own.Digest:
+		return bufferedAnswer{}, verdict.Refuse(verdict.NotRun, verdict.ReasonKeyReused, 0,
 			"the idempotency key was used for another call")
-	case found.Answer != nil:
-		return *found.Answer, nil
-	case found.InDoubt || found.over(time.Now()):
-		return wholeAnswer{}, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonAnswerLost, 0,
+	case stored.Answer != nil:
+		return *stored.Answer, nil
+	case stored.InDoubt || stored.abandoned(time.Now()):
+		return bufferedAnswer{}, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonAnswerLost, 0,
 			"the first call with this idempotency key may have run; its answer was lost")
 	default:
-		return wholeAnswer{}, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonInProgress, inProgressRetry,
+		return bufferedAnswer{}, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonInProgress, inProgressRetryAfter,
 			"a call with this idempotency key is running")
 	}
 }
 
-// finish records the outcome. A call that has not run gives its key back. If the outcome can't be
-// written the record stays as it is, so that a repeat is told that the call may have run.
-func (k *recordKeeper) finish(ctx context.Context, name string, mine record, version platform.Version, answer wholeAnswer, runErr error) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTime)
+// saveOutcome stores the outcome, with retries. If the call hasn't run, the record is deleted, so that the key can be
+// used again. If the outcome can't be written, the record stays as it is, so that a repeat is told that the call may
+// have run.
+func (d *deduplicator) saveOutcome(ctx context.Context, name string, own record, version platform.Version, answer bufferedAnswer, runErr error) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
-	for range recordTries {
-		err := k.writeOutcome(ctx, name, mine, version, answer, runErr)
+	for range recordWriteAttempts {
+		err := d.writeOutcome(ctx, name, own, version, answer, runErr)
 		if err == nil || errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrNotFound) {
 			return
 		}
-		if !ticker.Sleep(ctx, recordPause) {
+		if !ticker.Sleep(ctx, recordRetryInterval) {
 			return
 		}
 	}
 }
 
-func (k *recordKeeper) writeOutcome(ctx context.Context, name string, mine record, version platform.Version, answer wholeAnswer, runErr error) error {
+func (d *deduplicator) writeOutcome(ctx context.Context, name string, own record, version platform.Version, answer bufferedAnswer, runErr error) error {
 	if runErr != nil && verdict.From(runErr).Verdict == verdict.NotRun {
-		return k.store.Delete(ctx, name, version)
+		return d.store.Delete(ctx, name, version)
 	}
-	mine.InDoubt = runErr != nil || len(answer.Body) > maxRecordedBody
-	if !mine.InDoubt {
-		mine.Answer = &answer
+	own.InDoubt = runErr != nil || len(answer.Body) > maxRecordedBody
+	if !own.InDoubt {
+		own.Answer = &answer
 	}
-	value, err := json.Marshal(mine)
+	value, err := json.Marshal(own)
 	if err != nil {
 		return errors.Wrap(err, name)
 	}
-	_, err = k.store.Put(ctx, name, value, version)
+	_, err = d.store.Put(ctx, name, value, version)
 	return err
 }
--- a/internal/edge/entry/recordkeeper_test.go
+++ b/internal/edge/entry/recordkeeper_test.go
@@ -15,9 +15,9 @@
 
 const bookingPath = "/v1/services/billdesk/bookings"
 
-// A parent books a ride and repeats the call with the same Idempotency-Key, since no answer came in time.
-// Two runs would send two families to one horse. The repeat gets the first run's answer, whatever the
-// outcome of the first try's record write was.
+// A caller books a ride and repeats the call with the same Idempotency-Key, since no answer came in time. Two runs
+// would book one horse for two families. The repeat must get the answer of the first run, even if the answer to the
+// write of the record was lost.
 func TestRepeatWithIdempotencyKeyRunsOnce(t *testing.T) {
 	ready := &fakeAgent{}
 	f := newFixture(t, ready)
@@ -33,8 +33,8 @@
 	}
 }
 
-// Ten tries with one Idempotency-Key arrive at once.
-// All find no record at the same moment; only the creation of the object decides who runs.
+// Ten calls with one Idempotency-Key arrive at the same time, and all find no record. Only the call that creates the
+// record may run.
 func TestRacingRepeatsRunOnce(t *testing.T) {
 	ready := &fakeAgent{}
 	f := newFixture(t, ready)
@@ -53,9 +53,9 @@
 	}
 }
 
-// The platform is down, and a call that may not be repeated comes with an Idempotency-Key.
-// Without a record another entry could run a repeat, so the call is refused as not run, and isn't run.
-func TestNoRecordNoRun(t *testing.T) {
+// The platform is down when a call that isn't idempotent arrives with an Idempotency-Key. Without a record another
+// entry could run a repeat, so the call must be refused as not run, and must not run.
+func TestCallWithoutRecordDoesNotRun(t *testing.T) {
 	ready := &fakeAgent{}
 	f := newFixture(t, ready)
 	f.memory.SetOutage(true)
@@ -65,10 +65,9 @@
 	}
 }
 
-// The first call with a key ends in doubt, and the caller repeats it.
-// The repeat can't be answered and must not run; it is told that the first may have run. A call
-// that has not run gives its key back, so that its repeat runs.
-func TestOutcomeOfTheFirstCallDecides(t *testing.T) {
+// The first call with a key ends in doubt, and the caller repeats it. The repeat must not run, and is told that the
+// first may have run. If the first call hasn't run, its key is free again and the repeat runs.
+func TestOutcomeOfTheFirstCallDecidesTheRepeat(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		first    verdict.Verdict
@@ -80,12 +79,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			failed := false
 			agent := &fakeAgent{}
-			agent.execute = func(ctx context.Context, q request.Execute, out peer.Sink) (request.AnswerEnd, error) {
+			agent.execute = func(ctx context.Context, req request.Execute, out peer.Sink) (request.AnswerEnd, error) {
 				if !failed {
 					failed = true
 					return request.AnswerEnd{}, verdict.Refuse(test.first, verdict.ReasonServerLost, 0, "lost")
 				}
-				return echo(ctx, q, out)
+				return echo(ctx, req, out)
 			}
 			f := newFixture(t, agent)
 			if first := f.send(http.MethodPost, bookingPath, "x", "Idempotency-Key", "k"); first.verdict != test.first {
@@ -99,15 +98,16 @@
 	}
 }
 
-// heldDuty is a duty that this host always or never holds.
-type heldDuty bool
+// fakeDuty is a duty that this host always or never holds.
+type fakeDuty bool
 
-func (h heldDuty) Held(now time.Time) (platform.Version, time.Time, bool) {
+func (h fakeDuty) Held(now time.Time) (platform.Version, time.Time, bool) {
 	return 1, now.Add(time.Second), bool(h)
 }
 
-// Records of idempotency keys would fill the platform for ever. Those older than a day go; younger ones,
-// and all of them while another host holds the duty, stay: a repeat would else run a second time.
+// Records of idempotency keys would accumulate in the platform forever, so those older than a day are deleted. Younger
+// ones must stay, and so must all of them while another host holds the duty: otherwise a repeat would run a second
+// time.
 func TestSweeperKeepsYoungRecords(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -115,9 +115,9 @@
 		after time.Duration
 		want  int
 	}{
-		{"young", true, RecordLife - time.Minute, 1},
-		{"old", true, RecordLife + time.Minute, 0},
-		{"old, duty held elsewhere", false, RecordLife + time.Minute, 1},
+		{"young", true, RecordRetention - time.Minute, 1},
+		{"old", true, RecordRetention + time.Minute, 0},
+		{"old, duty held elsewhere", false, RecordRetention + time.Minute, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			ready := &fakeAgent{}
@@ -125,7 +125,7 @@
 			if have := f.send(http.MethodPost, bookingPath, "x", "Idempotency-Key", "k"); have.status != http.StatusOK {
 				t.Fatalf("have %+v", have)
 			}
-			sweeper := &RecordSweeper{store: f.memory, duty: heldDuty(test.held)}
+			sweeper := &RecordSweeper{store: f.memory, duty: fakeDuty(test.held)}
 			for range recordShards {
 				if err := sweeper.sweep(context.Background(), time.Now().Add(test.after)); err != nil {
 					t.Fatal(err)
--- a/internal/edge/entry/recordsweeper.go
+++ b/internal/edge/entry/recordsweeper.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	// RecordLife is how long an idempotency key is remembered: a day, the longest time after which a
-	// client's own retries of a booking or charge are still the same call.
-	RecordLife = 24 * time.Hour
-	// recordShards bounds one listing of records; one shard is swept at a time.
+	// RecordRetention is how long an idempotency key is remembered. A client that repeats a booking or charge within a
+	// day may still mean the same call.
+	RecordRetention = 24 * time.Hour
+	// recordShards bounds the size of one listing of records; one shard is swept at a time.
 	recordShards = 256
-	// sweepInterval visits every shard within about two hours and costs a listing every half minute.
+	// sweepInterval visits every shard within about two hours, at the cost of one listing every half minute.
 	sweepInterval = 30 * time.Second
 )
 
-// Duty says whether this host may act for a duty now.
+// Duty reports whether this host holds a duty now.
 type Duty interface {
 	Held(now time.Time) (number platform.Version, deadline time.Time, ok bool)
 }
 
-// RecordSweeper deletes idempotency records that are older than RecordLife, under a duty so that one
-// host does it for all.
+// RecordSweeper deletes idempotency records that are older than RecordRetention. It acts only while this host holds
+// the duty, so that one host sweeps for all.
 type RecordSweeper struct {
 	store platform.Store
 	duty  Duty
 	log   zerolog.Logger
 	shard int
-	work  conc.WaitGroup
+	wg    conc.WaitGroup
 }
 
-// NewRecordSweeper sweeps until ctx ends.
+// NewRecordSweeper starts a sweeper that runs until ctx ends.
 func NewRecordSweeper(ctx context.Context, store platform.Store, duty Duty, log zerolog.Logger) *RecordSweeper {
 	s := &RecordSweeper{store: store, duty: duty, log: log}
-	s.work.Go(func() {
+	s.wg.Go(func() {
 		ticker.Every(ctx, sweepInterval, func(now time.Time) {
 			if err := s.sweep(ctx, now); err != nil {
 				s.log.Warn().Err(err).Msg("sweep idempotency records")
@@ -52,10 +52,10 @@
 	return s
 }
 
-// Wait returns once the sweeper has ended, after its context has.
-func (s *RecordSweeper) Wait() { s.work.Wait() }
+// Wait returns once the sweeper has ended, which it does after its context ends.
+func (s *RecordSweeper) Wait() { s.wg.Wait() }
 
-// sweep deletes the old records of the next shard. A record that changed meanwhile is left alone.
+// sweep deletes the expired records of the next shard. A record that changes after it was listed is kept.
 func (s *RecordSweeper) sweep(ctx context.Context, now time.Time) error {
 	if _, _, held := s.duty.Held(now); !held {
 		return nil
@@ -67,7 +67,7 @@
 	}
 	s.shard = (s.shard + 1) % recordShards
 	for _, object := range objects {
-		if !isOld(object, now) {
+		if !isExpired(object, now) {
 			continue
 		}
 		err := s.store.Delete(ctx, object.Name, object.Version)
@@ -78,12 +78,12 @@
 	return nil
 }
 
-func isOld(object platform.Object, now time.Time) bool {
-	var kept record
-	if err := json.Unmarshal(object.Value, &kept); err != nil {
+func isExpired(object platform.Object, now time.Time) bool {
+	var stored record
+	if err := json.Unmarshal(object.Value, &stored); err != nil {
 		return false
 	}
-	return now.Sub(kept.Created) > RecordLife
+	return now.Sub(stored.Created) > RecordRetention
 }
 
 func recordPrefix(shard int) string { return fmt.Sprintf("idempotency/%02x/", shard) }
--- a/internal/edge/entry/refuse.go
+++ b/internal/edge/entry/refuse.go
@@ -15,7 +15,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/refusal"
 )
 
-// onError turns every error of a handler into a refusal with its verdict.
+// onError answers every error of a handler with a refusal that has a verdict.
 func (e *Entry) onError(c fiber.Ctx, err error) error {
 	refused := refusal.FromError(err)
 	e.metrics.refused(refused)
@@ -26,8 +26,8 @@
 	return c.Status(refusal.StatusFromError(err)).JSON(refused)
 }
 
-// refuseMethods answers requests of a method that the HTTP library doesn't know: its own answer has no verdict.
-func (e *Entry) refuseMethods(next fasthttp.RequestHandler) fasthttp.RequestHandler {
+// refuseUnknownMethods refuses requests with a method that Fiber doesn't know; Fiber's own answer has no verdict.
+func (e *Entry) refuseUnknownMethods(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if slices.Contains(fiber.DefaultMethods, string(ctx.Method())) {
 			next(ctx)
@@ -39,18 +39,18 @@
 	}
 }
 
-// refuseCodings refuses a body that is compressed or coded in another way.
+// refuseEncodedBodies refuses bodies with a Content-Encoding, such as compressed ones.
 //
-// Guard: the HTTP library decodes such a body without a bound, so that a megabyte becomes a gigabyte, and hands out the
-// text of its own error as the body where that fails. A body that goes on as it came could hold a key that nobody
-// looked for.
-func refuseCodings(c fiber.Ctx) error {
-	coding := c.Get(fiber.HeaderContentEncoding)
-	if coding == "" || strings.EqualFold(coding, "identity") {
+// Fiber decodes such a body without a size limit, so that a megabyte can become a gigabyte, and returns its own error
+// text as the body if decoding fails. If the body were forwarded encoded, it could contain a key that the search for
+// keys doesn't see.
+func refuseEncodedBodies(c fiber.Ctx) error {
+	encoding := c.Get(fiber.HeaderContentEncoding)
+	if encoding == "" || strings.EqualFold(encoding, "identity") {
 		return c.Next()
 	}
 	return fiber.NewError(http.StatusUnsupportedMediaType,
-		fmt.Sprintf("send the body without the Content-Encoding %.80q", coding))
+		fmt.Sprintf("send the body without the Content-Encoding %.80q", encoding))
 }
 
 func badRequest(format string, args ...any) *verdict.Refusal {
--- a/internal/edge/entry/service.go
+++ b/internal/edge/entry/service.go
@@ -19,22 +19,22 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// maxAnswerBytes bounds a plain service's answer, which is held whole before any of it goes to the caller.
+// maxAnswerBytes bounds a service's answer, which is buffered in full before any of it is sent to the caller.
 const maxAnswerBytes = 64 << 20
 
-// idempotentMethods may be repeated by their definition.
+// idempotentMethods are the methods that HTTP defines as idempotent.
 var idempotentMethods = []string{
 	http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete, http.MethodTrace,
 }
 
-// wholeAnswer is a plain service's answer.
-type wholeAnswer struct {
+// bufferedAnswer is the complete answer of a service.
+type bufferedAnswer struct {
 	Status int                   `json:"status"`
 	Header []request.HeaderField `json:"header"`
 	Body   []byte                `json:"body"`
 }
 
-// service passes a call to a plain service and returns the whole answer or a refusal.
+// service forwards a call to a service pool and returns the complete answer or a refusal.
 func (e *Entry) service(c fiber.Ctx) error {
 	from, err := e.authenticate(c)
 	if err != nil {
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	message, err := e.plainMessage(c, from)
+	message, err := e.serviceMessage(c, from)
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 	}
 	ctx, cancel := context.WithDeadline(c.Context(), end)
 	defer cancel()
-	plain := call{
+	serviceCall := call{
 		organisation: from.organisation.Name,
 		keyHash:      from.keyHash,
 		pool:         pool,
@@ -63,14 +63,14 @@
 		message:      func() request.Execute { return message },
 	}
 	key := c.Get(headerIdempotencyKey)
-	if !needsRecord(plain, key) {
+	if !needsRecord(serviceCall, key) {
 		defer callerconn.CancelOnHangup(c.RequestCtx().Conn(), cancel)()
 	}
-	answer, err := e.once(ctx, plain, message, key)
+	answer, err := e.runOnce(ctx, serviceCall, message, key)
 	if err != nil {
 		return err
 	}
-	return sendWhole(c, answer)
+	return sendAnswer(c, answer)
 }
 
 func (e *Entry) servicePool(name string, from caller) (ticket.Pool, error) {
@@ -81,82 +81,83 @@
 	return pool, permit(from, pool)
 }
 
-func (e *Entry) plainMessage(c fiber.Ctx, from caller) (request.Execute, error) {
-	holdsKey := e.keyFinder(from)
-	query, err := forwardQuery(string(c.Request().URI().QueryString()), holdsKey)
+func (e *Entry) serviceMessage(c fiber.Ctx, from caller) (request.Execute, error) {
+	containsKey := e.newKeyMatcher(from)
+	query, err := forwardQuery(string(c.Request().URI().QueryString()), containsKey)
 	if err != nil {
 		return request.Execute{}, err
 	}
-	path, err := forwardPath(string(c.Request().URI().PathOriginal()), holdsKey)
+	path, err := forwardPath(string(c.Request().URI().PathOriginal()), containsKey)
 	if err != nil {
 		return request.Execute{}, err
 	}
 	body := slices.Clone(c.BodyRaw())
-	if err := refuseKeyInContent(string(body), holdsKey); err != nil {
+	if err := refuseKeyInContent(string(body), containsKey); err != nil {
 		return request.Execute{}, err
 	}
 	return request.Execute{
 		Method: c.Method(),
 		Path:   path,
 		Query:  query,
-		Header: forwardHeaders(c, holdsKey),
+		Header: forwardHeaders(c, containsKey),
 		Body:   body,
 	}, nil
 }
 
-// isIdempotent compares the path as it came: one that is written with escapes counts as not listed.
+// isIdempotent reports whether the call may be repeated, by its method or by the pool's list of paths. It compares the
+// path as received: an escaped spelling of a listed path doesn't match.
 func isIdempotent(pool ticket.Pool, message request.Execute) bool {
 	if slices.Contains(idempotentMethods, message.Method) {
 		return true
 	}
 	return slices.ContainsFunc(pool.IdempotentPaths, func(listed string) bool {
-		below, ok := strings.CutPrefix(message.Path, strings.TrimSuffix(listed, "/"))
-		return ok && (below == "" || below[0] == '/')
+		rest, ok := strings.CutPrefix(message.Path, strings.TrimSuffix(listed, "/"))
+		return ok && (rest == "" || rest[0] == '/')
 	})
 }
 
-// needsRecord says whether the outcome of the call is kept for its repeats.
+// needsRecord reports whether the outcome of the call is stored for repeats under the same key.
 //
-// Guard: a caller hangs up too soon and repeats the call. The first run can't be cut short at the server, and its answer
-// would be lost to the repeat if it were given up with the caller. So it is waited for until the deadline.
+// Such a call isn't cancelled when its caller hangs up but runs until its deadline: the first run can't be stopped at
+// the backend server, and if it were given up, a repeat could not get its answer.
 func needsRecord(c call, key string) bool { return key != "" && !c.idempotent }
 
-// once runs the call under the caller's idempotency key, if there is one and the call needs it.
-func (e *Entry) once(ctx context.Context, c call, message request.Execute, key string) (wholeAnswer, error) {
+// runOnce runs the call, under the caller's idempotency key if the call needs a record.
+func (e *Entry) runOnce(ctx context.Context, c call, message request.Execute, key string) (bufferedAnswer, error) {
 	if !needsRecord(c, key) {
-		return e.whole(ctx, c)
+		return e.runBuffered(ctx, c)
 	}
-	return e.records.once(ctx, c, message, key, func() (wholeAnswer, error) { return e.whole(ctx, c) })
+	return e.deduplicator.runOnce(ctx, c, message, key, func() (bufferedAnswer, error) { return e.runBuffered(ctx, c) })
 }
 
-// whole admits the call and returns its whole answer.
-func (e *Entry) whole(ctx context.Context, c call) (wholeAnswer, error) {
-	var answer wholeAnswer
-	err := e.admitted(ctx, c, func() error {
-		return e.deps.Dispatcher.run(ctx, c, func(opened *peer.Answer[request.AnswerEnd]) error {
+// runBuffered admits and runs the call and returns its complete answer.
+func (e *Entry) runBuffered(ctx context.Context, c call) (bufferedAnswer, error) {
+	var answer bufferedAnswer
+	err := e.runAdmitted(ctx, c, func() error {
+		return e.deps.Dispatcher.run(ctx, c, func(source *peer.Answer[request.AnswerEnd]) error {
 			var err error
-			answer, err = readWhole(opened)
+			answer, err = readAnswer(source)
 			return err
 		})
 	})
 	return answer, err
 }
 
-// admitted runs work under admission and counts its outcome.
-func (e *Entry) admitted(ctx context.Context, c call, work func() error) error {
-	ask := admission.Request{Organisation: c.organisation, Pool: c.pool.Name, KeyHash: c.keyHash, Cost: c.cost}
+// runAdmitted runs work if admission accepts the call, and reports its outcome to admission, metrics and scaling.
+func (e *Entry) runAdmitted(ctx context.Context, c call, work func() error) error {
+	req := admission.Request{Organisation: c.organisation, Pool: c.pool.Name, KeyHash: c.keyHash, Cost: c.cost}
 	if end, ok := ctx.Deadline(); ok {
-		ask.Remaining = time.Until(end)
+		req.Remaining = time.Until(end)
 	}
 	started := time.Now()
-	if err := e.deps.Admission.Admit(started, ask); err != nil {
-		e.tellTurnedAway(c.pool.Name, err)
+	if err := e.deps.Admission.Admit(started, req); err != nil {
+		e.countCapacityRefusal(c.pool.Name, err)
 		return err
 	}
 	err := work()
-	e.tellTurnedAway(c.pool.Name, err)
+	e.countCapacityRefusal(c.pool.Name, err)
 	took := time.Since(started)
-	e.deps.Admission.Done(time.Now(), ask, took, isCapacityRefusal(err))
+	e.deps.Admission.Done(time.Now(), req, took, isCapacityRefusal(err))
 	if err == nil {
 		e.deps.TurnedAway.Served(c.pool.Name, took)
 		e.metrics.answered(c.pool.Name, c.organisation, took)
@@ -164,14 +165,15 @@
 	return err
 }
 
-// tellTurnedAway counts a refusal for want of capacity, for the zone's decision on servers.
-func (e *Entry) tellTurnedAway(pool string, err error) {
+// countCapacityRefusal counts a refusal for lack of capacity, which the availability zone's scaling decision takes
+// into account.
+func (e *Entry) countCapacityRefusal(pool string, err error) {
 	if isCapacityRefusal(err) {
 		e.deps.TurnedAway.Refused(time.Now(), pool)
 	}
 }
 
-// capacityReasons are refusals that more servers would have spared.
+// capacityReasons are the refusals that more servers would have avoided.
 var capacityReasons = []verdict.Reason{
 	verdict.ReasonOverloaded, verdict.ReasonNoRoom, verdict.ReasonDeadlineUnreachable,
 }
@@ -181,26 +183,26 @@
 	return ok && slices.Contains(capacityReasons, refusal.Reason)
 }
 
-// readWhole holds an answer until its closing frame has confirmed length and checksum, so that
-// a caller never receives part of an answer under a good status.
-func readWhole(opened *peer.Answer[request.AnswerEnd]) (wholeAnswer, error) {
-	answer := wholeAnswer{Status: opened.Head().Status, Header: returnHeaders(opened.Head().Header)}
+// readAnswer buffers an answer until its closing frame confirms length and checksum, so that a caller never receives a
+// partial answer with a success status.
+func readAnswer(source *peer.Answer[request.AnswerEnd]) (bufferedAnswer, error) {
+	answer := bufferedAnswer{Status: source.Head().Status, Header: returnHeaders(source.Head().Header)}
 	for {
-		chunk, err := opened.Next()
+		chunk, err := source.Next()
 		answer.Body = append(answer.Body, chunk...)
 		if errors.Is(err, io.EOF) {
 			return answer, nil
 		}
 		if err != nil {
-			return wholeAnswer{}, err
+			return bufferedAnswer{}, err
 		}
 		if len(answer.Body) > maxAnswerBytes {
-			return wholeAnswer{}, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonAnswerTooLarge, 0, "the answer is longer than %d bytes", maxAnswerBytes)
+			return bufferedAnswer{}, verdict.Refuse(verdict.MayHaveRun, verdict.ReasonAnswerTooLarge, 0, "the answer is longer than %d bytes", maxAnswerBytes)
 		}
 	}
 }
 
-func sendWhole(c fiber.Ctx, answer wholeAnswer) error {
+func sendAnswer(c fiber.Ctx, answer bufferedAnswer) error {
 	for _, field := range answer.Header {
 		c.Set(field.Name, field.Value)
 	}
--- a/internal/edge/entry/settle.go
+++ b/internal/edge/entry/settle.go
@@ -13,37 +13,38 @@
 )
 
 const (
-	// settleTime bounds the question after a lost connection: a caller that is given up on is answered soon.
-	settleTime = 1500 * time.Millisecond
-	// settleTimeAfterDeadline is the bound once the caller's deadline has passed.
-	settleTimeAfterDeadline = 200 * time.Millisecond
-	settlePause             = 100 * time.Millisecond
+	// settleTimeout bounds the query after a lost connection, so that the caller is answered soon.
+	settleTimeout = 1500 * time.Millisecond
+	// settleTimeoutAfterDeadline applies instead once the caller's deadline has passed.
+	settleTimeoutAfterDeadline = 200 * time.Millisecond
+	settleRetryInterval        = 100 * time.Millisecond
 )
 
-// settle asks the agent what became of a request whose connection was lost.
+// settle asks the agent for the outcome of a request whose connection was lost. If the agent can't be reached it
+// returns MayHaveRun.
 //
-// Guard: the frame of a lost connection may still arrive and run after the caller was told "not run".
-// The agent records an id that it has not seen as never to be run before it answers NotRun, so the late
-// frame is refused. A process that was started anew at the agent's address can't know, and says so. An agent that can't be asked leaves MayHaveRun.
-func (d *Dispatcher) settle(ctx context.Context, server placement.Server, ask request.Settle) verdict.Verdict {
-	bound := settleTime
+// The frame of a lost connection may still arrive after the caller was told "not run". So before the agent answers
+// NotRun it records an ID that it hasn't seen as one that must never run, and refuses the late frame. A process that
+// was restarted at the agent's address can't know the outcome, and says so.
+func (d *Dispatcher) settle(ctx context.Context, server placement.Server, query request.Settle) verdict.Verdict {
+	timeout := settleTimeout
 	if ctx.Err() != nil {
-		bound = settleTimeAfterDeadline
+		timeout = settleTimeoutAfterDeadline
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), bound)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
 	defer cancel()
 	result := verdict.MayHaveRun
 	for {
-		settled, err := peer.Call[request.Settle, request.Settled](ctx, d.client, server.Address, agent.MethodSettle, ask)
+		settled, err := peer.Call[request.Settle, request.Settled](ctx, d.client, server.Address, agent.MethodSettle, query)
 		if err == nil {
 			result = settled.Verdict
 			if result == verdict.Ran {
-				// It ran, and its answer is lost: to the caller that is in doubt like any other.
+				// It ran, but its answer is lost: for the caller the outcome is in doubt.
 				result = verdict.MayHaveRun
 			}
 			break
 		}
-		if !ticker.Sleep(ctx, settlePause) {
+		if !ticker.Sleep(ctx, settleRetryInterval) {
 			break
 		}
 	}
--- a/internal/edge/entry/settle_test.go
+++ b/internal/edge/entry/settle_test.go
@@ -10,9 +10,9 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// An agent's answer can't be decoded by the entry, which then asks what became of the call.
-// The entry must name the process that it sent the call to: a process started anew at that address would else
-// answer "not run" for a charge that the old one made. A call that ran without its answer is in doubt to the caller.
+// The entry loses the answer of an agent whose stream stops after the head, and asks for the outcome of the call. The
+// query must name the process that received the call: a process that was restarted at the same address would otherwise
+// report "not run" for a charge that the old one made. A call that ran but lost its answer is in doubt for the caller.
 func TestSettleNamesTheProcess(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -24,20 +24,21 @@
 		{"ran, and its answer is lost", verdict.Ran, verdict.MayHaveRun},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var asked request.Settle
+			var query request.Settle
 			silent := make(chan struct{})
 			defer close(silent)
 			agent := &fakeAgent{}
 			agent.execute = func(_ context.Context, _ request.Execute, out peer.Sink) (request.AnswerEnd, error) {
-				// The head alone, and nothing more even after the caller's deadline: an end of this handler would race with it.
+				// Send only the head, and nothing else even after the caller's deadline: a return of this handler
+				// would race with it.
 				if err := out.Head(request.AnswerHead{Status: http.StatusOK}); err != nil {
 					return request.AnswerEnd{}, err
 				}
 				<-silent
 				return request.AnswerEnd{}, errLostAnswer
 			}
-			agent.settle = func(q request.Settle) request.Settled {
-				asked = q
+			agent.settle = func(req request.Settle) request.Settled {
+				query = req
 				return request.Settled{Verdict: test.settled}
 			}
 			f := newFixture(t, agent)
@@ -45,8 +46,8 @@
 			if have.verdict != test.want || have.reason != verdict.ReasonDeadlinePassed {
 				t.Errorf("have %+v", have)
 			}
-			if asked.Process == 0 || asked.ID.Counter == 0 {
-				t.Errorf("asked for %+v", asked)
+			if query.Process == 0 || query.ID.Counter == 0 {
+				t.Errorf("settle query is %+v", query)
 			}
 		})
 	}
--- a/internal/edge/entry/target.go
+++ b/internal/edge/entry/target.go
@@ -5,52 +5,52 @@
 	"strings"
 )
 
-// pathSegmentsOfPool is how many segments of a plain call's path name the interface and the pool: v1, services, {pool}.
-const pathSegmentsOfPool = 3
+// poolPathSegments is the number of path segments up to and including the pool: v1, services, {pool}.
+const poolPathSegments = 3
 
-// deleteCharacter is the one control character behind the letters.
-const deleteCharacter = 0x7f
+// asciiDEL is the only ASCII control character that doesn't sort before the space.
+const asciiDEL = 0x7f
 
-// keyParameters are query parameters that commonly hold keys; they never go on.
+// keyParameters are query parameters that commonly hold keys; they are never forwarded.
 var keyParameters = map[string]bool{
 	"key": true, "apikey": true, "api_key": true, "api-key": true, "access_token": true, "token": true, "authorization": true,
 }
 
-// forwardPath returns what follows the pool in the path of a plain call, with its escapes as they came.
+// forwardPath returns the part of the path after the pool, with its escapes as received.
 //
-// Guard: a path passed on without its escapes means something else to the backend server: a question mark begins a
-// query that nobody searched for keys, a space ends the request line. A segment ".." would lead a call out of the
-// paths whose calls may be repeated, and a call that may not be repeated would run twice.
-func forwardPath(raw string, holdsKey isKey) (string, error) {
-	if err := refuseUnreadable("path", raw); err != nil {
+// An unescaped path would mean something else to the backend server: a question mark would begin a query that wasn't
+// searched for keys, and a space would end the request target. A segment ".." would lead a call out of the paths whose
+// calls may be repeated, so that a call that isn't idempotent could run twice.
+func forwardPath(raw string, containsKey keyMatcher) (string, error) {
+	if err := refuseControlBytes("path", raw); err != nil {
 		return "", err
 	}
 	path := "/"
-	if parts := strings.SplitN(strings.TrimPrefix(raw, "/"), "/", pathSegmentsOfPool+1); len(parts) > pathSegmentsOfPool {
-		path += parts[pathSegmentsOfPool]
+	if parts := strings.SplitN(strings.TrimPrefix(raw, "/"), "/", poolPathSegments+1); len(parts) > poolPathSegments {
+		path += parts[poolPathSegments]
 	}
-	plain, err := url.PathUnescape(path)
+	unescaped, err := url.PathUnescape(path)
 	if err != nil {
 		return "", badRequest("the path can't be read: %v", err)
 	}
-	for _, segment := range strings.FieldsFunc(plain, isSeparator) {
-		// Some servers take what follows a semicolon out before they resolve the segment.
+	for _, segment := range strings.FieldsFunc(unescaped, isSeparator) {
+		// Some servers remove a semicolon and what follows it before they resolve the segment.
 		if name, _, _ := strings.Cut(segment, ";"); name == "." || name == ".." {
 			return "", badRequest("the path has a segment %q: send it without", segment)
 		}
-		if holdsKey(segment) {
+		if containsKey(segment) {
 			return "", badRequest("the path holds a key")
 		}
 	}
 	return path, nil
 }
 
-// isSeparator says whether a server may take r for the end of a path segment.
+// isSeparator reports whether a server may treat r as a path separator.
 func isSeparator(r rune) bool { return r == '/' || r == '\\' }
 
-// forwardQuery returns the query without the parameters that hold a key; the others keep their order and escapes.
-func forwardQuery(raw string, holdsKey isKey) (string, error) {
-	if err := refuseUnreadable("query", raw); err != nil {
+// forwardQuery returns the query without parameters that hold a key; the others keep their order and escapes.
+func forwardQuery(raw string, containsKey keyMatcher) (string, error) {
+	if err := refuseControlBytes("query", raw); err != nil {
 		return "", err
 	}
 	var kept []string
@@ -64,7 +64,7 @@
 		if err != nil {
 			return "", badRequest("the query can't be read: %v", err)
 		}
-		if keyParameters[strings.ToLower(name)] || holdsKey(name) || holdsKey(value) {
+		if keyParameters[strings.ToLower(name)] || containsKey(name) || containsKey(value) {
 			continue
 		}
 		kept = append(kept, pair)
@@ -72,20 +72,20 @@
 	return strings.Join(kept, "&"), nil
 }
 
-// refuseUnreadable refuses a part of the target with a byte that would end it.
-func refuseUnreadable(part, raw string) error {
+// refuseControlBytes refuses a path or query with a space or control character, which would end the request target.
+func refuseControlBytes(part, raw string) error {
 	for i := range len(raw) {
-		if raw[i] <= ' ' || raw[i] == deleteCharacter {
+		if raw[i] <= ' ' || raw[i] == asciiDEL {
 			return badRequest("the %s has the byte 0x%02x at %d: escape it as %%%02X", part, raw[i], i, raw[i])
 		}
 	}
 	return nil
 }
 
-// refuseKeyInContent refuses a request whose body holds the presented key: dropping part of a body would change
-// what the caller asked for.
-func refuseKeyInContent(body string, holdsKey isKey) error {
-	if holdsKey(body) {
+// refuseKeyInContent refuses a request whose body contains the presented key. Removing the key from the body would
+// change what the caller asked for.
+func refuseKeyInContent(body string, containsKey keyMatcher) error {
+	if containsKey(body) {
 		return badRequest("the body holds a key")
 	}
 	return nil
--- a/internal/edge/entry/ticket.go
+++ b/internal/edge/entry/ticket.go
@@ -44,7 +44,7 @@
 	return c.JSON(status)
 }
 
-// ticketNumber checks the operator's key, where the settings name any, and reads the number.
+// ticketNumber checks the operator's key, if the settings list any, and returns the number in the path.
 func (e *Entry) ticketNumber(c fiber.Ctx) (int, error) {
 	if err := e.authoriseOperator(c); err != nil {
 		return 0, err
--- a/internal/edge/entry/timeout.go
+++ b/internal/edge/entry/timeout.go
@@ -9,7 +9,8 @@
 
 const headerRequestTimeout = "Request-Timeout"
 
-// deadline reads Request-Timeout in seconds; fractions are allowed.
+// deadline returns the time at which the request times out, from its Request-Timeout header in seconds; fractions are
+// allowed. Without the header DefaultRequestTimeout applies.
 func deadline(c fiber.Ctx, now time.Time) (time.Time, error) {
 	text := c.Get(headerRequestTimeout)
 	if text == "" {
@@ -17,7 +18,7 @@
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
 	timeout := time.Duration(seconds * float64(time.Second))
-	// What is no number compares as false with every bound.
+	// NaN compares as false with every bound.
 	if err != nil || timeout <= 0 || !(seconds <= MaxRequestTimeout.Seconds()) {
 		return time.Time{}, badRequest("%s: want seconds above 0 and up to %.0f, have %q", headerRequestTimeout, MaxRequestTimeout.Seconds(), text)
 	}
