--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -53,14 +53,14 @@
 
 // Deps holds the dependencies of an entry.
 type Deps struct {
-	Views      Views
-	Tickets    Tickets
-	Admission  *admission.Controller
-	TurnedAway *admission.RefusedLoad
-	Dispatcher *Dispatcher
-	Store      platform.Store
-	Trainers   Routes
-	Log        zerolog.Logger
+	Views       Views
+	Tickets     Tickets
+	Admission   *admission.Controller
+	RefusedLoad *admission.RefusedLoad
+	Dispatcher  *Dispatcher
+	Store       platform.Store
+	Trainers    Routes
+	Log         zerolog.Logger
 }
 
 // Config holds the settings of an entry.
--- a/internal/edge/entry/harness_test.go
+++ b/internal/edge/entry/harness_test.go
@@ -149,7 +149,7 @@
 	l := listenLoopback(t)
 	f.url = "http://" + l.Addr().String()
 	f.entry = New(ctx, l, config, Deps{
-		Views: f.views, Tickets: noTickets{}, Admission: admission.New(), TurnedAway: admission.NewRefusedLoad(), Dispatcher: dispatcher, Store: f.memory, Log: zerolog.Nop(),
+		Views: f.views, Tickets: noTickets{}, Admission: admission.New(), RefusedLoad: admission.NewRefusedLoad(), Dispatcher: dispatcher, Store: f.memory, Log: zerolog.Nop(),
 	}, metrics)
 	t.Cleanup(func() {
 		cancel()
--- a/internal/edge/entry/service.go
+++ b/internal/edge/entry/service.go
@@ -159,7 +159,7 @@
 	took := time.Since(started)
 	e.deps.Admission.Done(time.Now(), req, took, isCapacityRefusal(err))
 	if err == nil {
-		e.deps.TurnedAway.Served(c.pool.Name, took)
+		e.deps.RefusedLoad.Served(c.pool.Name, took)
 		e.metrics.answered(c.pool.Name, c.organisation, took)
 	}
 	return err
@@ -169,7 +169,7 @@
 // into account.
 func (e *Entry) countCapacityRefusal(pool string, err error) {
 	if isCapacityRefusal(err) {
-		e.deps.TurnedAway.Refused(time.Now(), pool)
+		e.deps.RefusedLoad.Refused(time.Now(), pool)
 	}
 }
 
--- a/internal/program/process/entry.go
+++ b/internal/program/process/entry.go
@@ -85,14 +85,14 @@
 		OperatorKeyHashes: set.OperatorKeyHashes,
 		Incarnation:       r.incarnation,
 	}, entry.Deps{
-		Views:      p.follower,
-		Tickets:    tickets{p.publisher},
-		Admission:  admission.New(),
-		TurnedAway: refusedLoad,
-		Dispatcher: dispatcher,
-		Store:      r.platform,
-		Trainers:   p.trainers,
-		Log:        log,
+		Views:       p.follower,
+		Tickets:     tickets{p.publisher},
+		Admission:   admission.New(),
+		RefusedLoad: refusedLoad,
+		Dispatcher:  dispatcher,
+		Store:       r.platform,
+		Trainers:    p.trainers,
+		Log:         log,
 	}, metrics)
 	p.admin, err = r.serveAdmin(ctx, p.follower, map[string]admin.Dump{
 		"entry":    p.entry.State,
