--- a/internal/edge/agent/agent_test.go
+++ b/internal/edge/agent/agent_test.go
@@ -26,14 +26,14 @@
 )
 
 const (
-	testKey   = "key of a caller"
-	testKey2  = "key of another caller"
-	pathOK    = "/ok"
-	pathHold  = "/hold"
-	pathFlow  = "/flow"
-	pathLost  = "/lost"
-	pathCut   = "/cut"
-	pathClosd = "/closed"
+	testKey       = "key of a caller"
+	testKey2      = "key of another caller"
+	pathOK        = "/ok"
+	pathHold      = "/hold"
+	pathStream    = "/stream"
+	pathReset     = "/reset"
+	pathTruncated = "/truncated"
+	pathRefused   = "/refused"
 )
 
 var testSecret = []byte("a secret of the tests")
@@ -45,33 +45,33 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// configuration is a view that a test changes.
-type configuration struct {
+// fakeConfiguration holds a view that a test can replace.
+type fakeConfiguration struct {
 	mu      sync.Mutex
 	view    *ticket.View
 	changed chan struct{}
 }
 
-func (c *configuration) View() *ticket.View {
+func (c *fakeConfiguration) View() *ticket.View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view
 }
 
-func (c *configuration) Changed() <-chan struct{} {
+func (c *fakeConfiguration) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
 }
 
-// set puts a view in force: organisation name to keys, and the version of the model.
-func (c *configuration) set(t testing.TB, kind ticket.PoolKind, version int, organisations map[string][]string) {
+// set publishes a view with the given model version, 0 for none, and the keys of each organisation.
+func (c *fakeConfiguration) set(t testing.TB, kind ticket.PoolKind, version int, organisations map[string][]string) {
 	t.Helper()
-	c.announce(t, kind, version, 0, organisations)
+	c.setWithUpcoming(t, kind, version, 0, organisations)
 }
 
-// announce sets a view with an upcoming version of the weights, 0 for none.
-func (c *configuration) announce(t testing.TB, kind ticket.PoolKind, version, upcoming int, organisations map[string][]string) {
+// setWithUpcoming publishes a view that also has an upcoming model version, 0 for none.
+func (c *fakeConfiguration) setWithUpcoming(t testing.TB, kind ticket.PoolKind, version, upcoming int, organisations map[string][]string) {
 	t.Helper()
 	head := ticket.Head{Parts: map[string]string{}, ModelVersions: map[string]ticket.ModelVersion{}}
 	parts := map[string][]byte{}
@@ -114,13 +114,15 @@
 	c.changed = make(chan struct{})
 }
 
-// fakeServer is a backend server that behaves as the path of a call says.
+// fakeServer is a backend server whose behaviour depends on the path of the call.
 type fakeServer struct {
-	mu      sync.Mutex
-	calls   []Call
-	started chan string
-	ended   chan error
-	release chan struct{}
+	mu    sync.Mutex
+	calls []Call
+	// started receives the path of each call. disconnected receives the cancellation cause of each call that ended
+	// before release was closed.
+	started      chan string
+	disconnected chan error
+	release      chan struct{}
 }
 
 func (s *fakeServer) Call(ctx context.Context, call Call) (*Reply, error) {
@@ -129,29 +131,29 @@
 	s.mu.Unlock()
 	s.started <- call.Path
 	switch call.Path {
-	case pathClosd:
+	case pathRefused:
 		return nil, errors.Wrap(ErrNotSent, "connect")
-	case pathLost:
+	case pathReset:
 		return nil, errors.New("connection reset")
 	case pathHold:
 		select {
 		case <-s.release:
 		case <-ctx.Done():
-			s.ended <- context.Cause(ctx)
+			s.disconnected <- context.Cause(ctx)
 			return nil, ctx.Err()
 		}
 	}
 	body := io.Reader(strings.NewReader("data: a\n\ndata: b\n\n"))
 	switch call.Path {
-	case pathCut:
+	case pathTruncated:
 		body = io.MultiReader(body, failingReader{})
-	case pathFlow:
-		return &Reply{Status: 200, Body: &flow{ctx: ctx, server: s}}, nil
+	case pathStream:
+		return &Reply{Status: 200, Body: &streamBody{ctx: ctx, server: s}}, nil
 	}
 	return &Reply{Status: 200, Body: io.NopCloser(body)}, nil
 }
 
-func (s *fakeServer) count() int {
+func (s *fakeServer) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.calls)
@@ -161,78 +163,79 @@
 
 func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// flow yields bytes until it is released, cut or closed. It tells the server once of an end before its own, as a
-// server sees its connection end: also of a close by a reader that reads no more.
-type flow struct {
-	ctx    context.Context
-	server *fakeServer
-	open   bool
-	ended  bool
+// streamBody returns one event and then blocks until the server releases it, its context ends or it is closed. If it
+// ends before its release, it reports that to the server once, as a server notices a closed connection. This includes
+// a Close by a reader that stops reading.
+type streamBody struct {
+	ctx       context.Context
+	server    *fakeServer
+	sentFirst bool
+	closed    bool
 }
 
-func (f *flow) Read(p []byte) (int, error) {
-	if !f.open {
-		f.open = true
+func (b *streamBody) Read(p []byte) (int, error) {
+	if !b.sentFirst {
+		b.sentFirst = true
 		return copy(p, "data: a\n\n"), nil
 	}
 	select {
-	case <-f.server.release:
-		f.ended = true
+	case <-b.server.release:
+		b.closed = true
 		return 0, io.EOF
-	case <-f.ctx.Done():
-		_ = f.Close()
-		return 0, f.ctx.Err()
+	case <-b.ctx.Done():
+		_ = b.Close()
+		return 0, b.ctx.Err()
 	}
 }
 
-func (f *flow) Close() error {
-	if !f.ended {
-		f.ended = true
-		f.server.ended <- context.Cause(f.ctx)
+func (b *streamBody) Close() error {
+	if !b.closed {
+		b.closed = true
+		b.server.disconnected <- context.Cause(b.ctx)
 	}
 	return nil
 }
 
-// bench is an agent behind a peer server, and a client.
-type bench struct {
-	config  *configuration
+// harness runs an agent behind a peer server, with a client.
+type harness struct {
+	config  *fakeConfiguration
 	server  *fakeServer
 	engine  Engine
 	agent   *Agent
 	client  *peer.Client
 	address netip.AddrPort
 	counter uint64
-	// port is where the agent listens; nil for a new one.
-	port     *os.File
+	// keptPort is the socket on which the agent listens; nil for a new port.
+	keptPort *os.File
 	listener *processListener
-	// kill ends the agent's process without a last answer.
+	// kill stops the agent like SIGKILL does: it sends no more answers.
 	kill func()
-	// stale makes the agent's configuration unconfirmed.
+	// stale is set to make the agent's configuration unconfirmed.
 	stale atomic.Bool
 }
 
-func newBench(t testing.TB, kind ticket.PoolKind) *bench {
+func newHarness(t testing.TB, kind ticket.PoolKind) *harness {
 	t.Helper()
-	return startBench(t, &bench{config: &configuration{}}, kind)
+	return startHarness(t, &harness{config: &fakeConfiguration{}}, kind)
 }
 
-func startBench(t testing.TB, b *bench, kind ticket.PoolKind) *bench {
+func startHarness(t testing.TB, h *harness, kind ticket.PoolKind) *harness {
 	t.Helper()
-	if b.config.View() == nil {
-		b.config.set(t, kind, 0, map[string][]string{"a": {testKey}, "b": {testKey2}})
+	if h.config.View() == nil {
+		h.config.set(t, kind, 0, map[string][]string{"a": {testKey}, "b": {testKey2}})
 	}
-	b.server = &fakeServer{
-		started: make(chan string, 1000),
-		ended:   make(chan error, 1000),
-		release: make(chan struct{}),
+	h.server = &fakeServer{
+		started:      make(chan string, 1000),
+		disconnected: make(chan error, 1000),
+		release:      make(chan struct{}),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	a, err := New(ctx, Config{HostID: "h", AvailabilityZone: "z", Pool: "p", Incarnation: 9}, Dependencies{
-		View:       b.config.View,
-		Changed:    b.config.Changed,
-		Fresh:      func(time.Time) bool { return !b.stale.Load() },
-		Server:     b.server,
-		Engine:     b.engine,
+		View:       h.config.View,
+		Changed:    h.config.Changed,
+		Fresh:      func(time.Time) bool { return !h.stale.Load() },
+		Server:     h.server,
+		Engine:     h.engine,
 		Ledger:     usage.NewLedger(),
 		Registerer: prometheus.NewRegistry(),
 	})
@@ -241,24 +244,24 @@
 	}
 	registry := peer.NewRegistry()
 	a.Register(registry)
-	l := listen(t, b.port)
-	b.agent, b.listener, b.address = a, l, l.Addr().(*net.TCPAddr).AddrPort()
+	l := listen(t, h.keptPort)
+	h.agent, h.listener, h.address = a, l, l.Addr().(*net.TCPAddr).AddrPort()
 	peers := peer.NewServer(ctx, l, registry, testSecret)
-	b.client = peer.NewClient(ctx, testSecret)
-	client := b.client
-	b.kill = func() {
+	h.client = peer.NewClient(ctx, testSecret)
+	client := h.client
+	h.kill = func() {
 		l.kill()
 		cancel()
 		_ = peers.Close()
 		a.Wait()
 		client.Wait()
 	}
-	t.Cleanup(b.kill)
-	return b
+	t.Cleanup(h.kill)
+	return h
 }
 
-// newClient returns a client that outlives the agent's process.
-func newClient(t *testing.T) *peer.Client {
+// newPeerClient returns a client that is not closed when the agent is killed.
+func newPeerClient(t *testing.T) *peer.Client {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	client := peer.NewClient(ctx, testSecret)
@@ -269,10 +272,10 @@
 	return client
 }
 
-func (b *bench) execute(path string) request.Execute {
-	b.counter++
+func (h *harness) newRequest(path string) request.Execute {
+	h.counter++
 	return request.Execute{
-		ID:           request.ID{Incarnation: 5, Counter: b.counter},
+		ID:           request.ID{Incarnation: 5, Counter: h.counter},
 		Organisation: "a",
 		KeyHash:      keyHash(testKey),
 		Pool:         "p",
@@ -289,9 +292,9 @@
 	err  error
 }
 
-// send runs a request to its end.
-func (b *bench) send(ctx context.Context, q request.Execute) answer {
-	a, err := peer.OpenStream[request.Execute, request.AnswerEnd](ctx, b.client, b.address, MethodExecute, q)
+// send sends a request and reads its whole answer.
+func (h *harness) send(ctx context.Context, req request.Execute) answer {
+	a, err := peer.OpenStream[request.Execute, request.AnswerEnd](ctx, h.client, h.address, MethodExecute, req)
 	if err != nil {
 		return answer{err: err}
 	}
@@ -308,17 +311,17 @@
 	}
 }
 
-func (b *bench) sendAsync(ctx context.Context, q request.Execute) <-chan answer {
+func (h *harness) sendAsync(ctx context.Context, req request.Execute) <-chan answer {
 	done := make(chan answer, 1)
-	go func() { done <- b.send(ctx, q) }()
+	go func() { done <- h.send(ctx, req) }()
 	return done
 }
 
-// untilQueued waits until so many requests are queued.
-func (b *bench) untilQueued(t testing.TB, count int) {
+// waitForQueued waits until the given number of requests is queued.
+func (h *harness) waitForQueued(t testing.TB, count int) {
 	t.Helper()
 	for {
-		load, err := peer.Call[request.Probe, request.Load](t.Context(), b.client, b.address, MethodProbe, request.Probe{})
+		load, err := peer.Call[request.Probe, request.Load](t.Context(), h.client, h.address, MethodProbe, request.Probe{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -328,10 +331,10 @@
 	}
 }
 
-func (b *bench) settle(t testing.TB, id request.ID) request.Settled {
+func (h *harness) settle(t testing.TB, id request.ID) request.Settled {
 	t.Helper()
-	settled, err := peer.Call[request.Settle, request.Settled](t.Context(), b.client, b.address, MethodSettle,
-		request.Settle{ID: id, Process: b.agent.process.Load()})
+	settled, err := peer.Call[request.Settle, request.Settled](t.Context(), h.client, h.address, MethodSettle,
+		request.Settle{ID: id, Process: h.agent.processIncarnation.Load()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/agent/check.go
+++ b/internal/edge/agent/check.go
@@ -9,60 +9,60 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// check holds a request against the agent's own view. The entry has checked it too, but a view that
-// is newer here wins: a key that was withdrawn after the entry admitted the request runs nothing.
-func (a *Agent) check(now time.Time, q request.Execute) (ticket.Pool, error) {
+// checkRequest checks a request against the agent's own configuration. The entry has checked it too, but the
+// agent's configuration may be newer: a request must not run if its key was withdrawn after the entry admitted it.
+func (a *Agent) checkRequest(now time.Time, req request.Execute) (ticket.Pool, error) {
 	view := a.deps.View()
 	if !a.deps.Fresh(now) {
-		return ticket.Pool{}, isolated()
+		return ticket.Pool{}, isolatedNotRun()
 	}
-	if q.Pool != a.config.Pool {
+	if req.Pool != a.config.Pool {
 		return ticket.Pool{}, verdict.Refuse(verdict.NotRun, verdict.ReasonWrongPool, retrySoon,
-			"this agent serves pool %s, not %s", a.config.Pool, q.Pool)
+			"this agent serves pool %s, not %s", a.config.Pool, req.Pool)
 	}
-	pool, ok := view.Pool(q.Pool)
+	pool, ok := view.Pool(req.Pool)
 	if !ok {
-		return pool, a.unknown(view, q, notFound(q.Pool))
+		return pool, a.refuseUnlessStale(view, req, poolNotFoundRefusal(req.Pool))
 	}
-	if !view.KeyValid(q.Organisation, q.KeyHash) {
-		return pool, a.unknown(view, q, keyWithdrawn(verdict.NotRun))
+	if !view.KeyValid(req.Organisation, req.KeyHash) {
+		return pool, a.refuseUnlessStale(view, req, keyWithdrawnRefusal(verdict.NotRun))
 	}
-	if len(pool.Organisations) > 0 && !slices.Contains(pool.Organisations, q.Organisation) {
-		return pool, a.unknown(view, q, verdict.Refuse(verdict.NotRun, verdict.ReasonForbidden, 0,
-			"organisation %s may not use pool %s", q.Organisation, q.Pool))
+	if len(pool.Organisations) > 0 && !slices.Contains(pool.Organisations, req.Organisation) {
+		return pool, a.refuseUnlessStale(view, req, verdict.Refuse(verdict.NotRun, verdict.ReasonForbidden, 0,
+			"organisation %s may not use pool %s", req.Organisation, req.Pool))
 	}
-	if q.Remaining < 0 {
+	if req.Remaining < 0 {
 		return pool, verdict.Refuse(verdict.NotRun, verdict.ReasonDeadlinePassed, retrySoon,
 			"the deadline passed before the agent was reached")
 	}
 	return pool, nil
 }
 
-// unknown returns the refusal, or that the agent's view is behind the entry's: then another agent may
-// know what this one doesn't yet.
-func (a *Agent) unknown(view *ticket.View, q request.Execute, refusal *verdict.Refusal) *verdict.Refusal {
-	if view.Revision() >= q.Revision {
+// refuseUnlessStale returns the refusal if the agent's configuration is at least as new as the entry's. Otherwise
+// it returns a refusal with ReasonStaleView, since another agent may already have the newer configuration.
+func (a *Agent) refuseUnlessStale(view *ticket.View, req request.Execute, refusal *verdict.Refusal) *verdict.Refusal {
+	if view.Revision() >= req.Revision {
 		return refusal
 	}
 	return verdict.Refuse(verdict.NotRun, verdict.ReasonStaleView, retrySoon,
-		"the agent is at revision %d, the entry at %d", view.Revision(), q.Revision)
+		"the agent is at revision %d, the entry at %d", view.Revision(), req.Revision)
 }
 
-func notFound(pool string) *verdict.Refusal {
+func poolNotFoundRefusal(pool string) *verdict.Refusal {
 	return verdict.Refuse(verdict.NotRun, verdict.ReasonNotFound, 0, "pool %s is unknown", pool)
 }
 
-func keyWithdrawn(v verdict.Verdict) *verdict.Refusal {
+func keyWithdrawnRefusal(v verdict.Verdict) *verdict.Refusal {
 	return verdict.Refuse(v, verdict.ReasonKeyWithdrawn, 0, "the key was withdrawn")
 }
 
-func isolated() *verdict.Refusal { return isolatedWith(verdict.NotRun) }
+func isolatedNotRun() *verdict.Refusal { return isolatedRefusal(verdict.NotRun) }
 
-func isolatedWith(v verdict.Verdict) *verdict.Refusal {
+func isolatedRefusal(v verdict.Verdict) *verdict.Refusal {
 	return verdict.Refuse(v, verdict.ReasonIsolated, retrySoon,
 		"the agent's configuration was not confirmed lately")
 }
 
-func cancelled(v verdict.Verdict) *verdict.Refusal {
+func cancelledRefusal(v verdict.Verdict) *verdict.Refusal {
 	return verdict.Refuse(v, verdict.ReasonCancelled, 0, "the caller has gone")
 }
--- a/internal/edge/agent/control.go
+++ b/internal/edge/agent/control.go
@@ -10,37 +10,38 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// retrySoon is when a refused request may come back where no better estimate is known.
+// retrySoon is the retry delay of a refused request if there is no better estimate.
 const retrySoon = time.Second
 
-// control is the state that the control goroutine owns: queue, limit, records and running requests.
+// control is the state that only the control loop accesses: queue, concurrency limit, records and running requests.
 type control struct {
-	view        func() *ticket.View
-	pool        string
-	concurrency int
-	isolation   isolation
-	queue       *queue.Queue[*job]
-	limiter     *queue.Limiter
-	record      *execution.Record
-	keys        *execution.Keys[outcome]
-	running     map[*job]queue.Item[*job]
-	leaving     bool
-	// pause is set while the server is being drained on the order of the zone; unlike leaving it ends.
+	view            func() *ticket.View
+	pool            string
+	concurrency     int
+	isolation       isolation
+	queue           *queue.Queue[*job]
+	limiter         *queue.Limiter
+	record          *execution.Record
+	idempotencyKeys *execution.Keys[outcome]
+	running         map[*job]queue.Item[*job]
+	draining        bool
+	// pause is active while the holder of the availability zone's lease drains the server. Unlike draining, which
+	// is set when the process shuts down, it can end.
 	pause   pause
 	drained chan struct{}
 }
 
 func newControl(config Config, deps Dependencies) *control {
 	c := &control{
-		view:        deps.View,
-		pool:        config.Pool,
-		isolation:   isolation{fresh: deps.Fresh},
-		concurrency: defaultConcurrency,
-		limiter:     queue.NewLimiter(defaultConcurrency),
-		record:      execution.NewRecord(),
-		keys:        execution.NewKeys[outcome](0, 0),
-		running:     make(map[*job]queue.Item[*job]),
-		drained:     make(chan struct{}),
+		view:            deps.View,
+		pool:            config.Pool,
+		isolation:       isolation{fresh: deps.Fresh},
+		concurrency:     defaultConcurrency,
+		limiter:         queue.NewLimiter(defaultConcurrency),
+		record:          execution.NewRecord(),
+		idempotencyKeys: execution.NewKeys[outcome](0, 0),
+		running:         make(map[*job]queue.Item[*job]),
+		drained:         make(chan struct{}),
 	}
 	c.queue = queue.New[*job](
 		queue.WithSlots(func() int { return c.limiter.Limit() }),
@@ -49,69 +50,70 @@
 	return c
 }
 
-// submit takes a request in; a refusal is handed to the job like a start.
+// submit queues a request. A refusal is sent to the job's startResult.
 func (c *control) submit(now time.Time, j *job) {
-	if c.leaving || c.pause.holds(now) {
-		j.started <- verdict.Refuse(verdict.NotRun, verdict.ReasonLeaving, retrySoon,
+	if c.draining || c.pause.active(now) {
+		j.startResult <- verdict.Refuse(verdict.NotRun, verdict.ReasonLeaving, retrySoon,
 			"the backend server is leaving")
 		return
 	}
-	if err := c.record.Enqueue(now, j.q.ID); err != nil {
-		j.started <- err
+	if err := c.record.Enqueue(now, j.req.ID); err != nil {
+		j.startResult <- err
 		return
 	}
-	if done := c.claim(now, j); done {
+	if decided := c.claimIdempotencyKey(now, j); decided {
 		return
 	}
-	if err := c.queue.Push(now, c.item(now, j)); err != nil {
-		c.drop(now, j, err)
+	if err := c.queue.Push(now, c.newQueueItem(now, j)); err != nil {
+		c.refuse(now, j, err)
 		return
 	}
 	c.expireQueue(now)
 }
 
-// claim reserves the caller's idempotency key; true if the job has its decision.
-func (c *control) claim(now time.Time, j *job) bool {
-	if !j.keyed() {
+// claimIdempotencyKey reserves the caller's idempotency key. It returns true if the job has received its
+// startResult: a refusal, or nil with the stored answer of an earlier run.
+func (c *control) claimIdempotencyKey(now time.Time, j *job) bool {
+	if !j.hasIdempotencyKey() {
 		return false
 	}
-	replay, ran, err := c.keys.Claim(now, j.key, j.digest)
+	replay, ran, err := c.idempotencyKeys.Claim(now, j.idempotencyKey, j.digest)
 	if err == nil && !ran {
 		return false
 	}
-	c.record.Remove(now, j.q.ID)
+	c.record.Remove(now, j.req.ID)
 	if ran {
 		j.replay = &replay
 	}
-	j.started <- err
+	j.startResult <- err
 	return true
 }
 
-func (c *control) item(now time.Time, j *job) queue.Item[*job] {
-	organisation, _ := c.view().Organisation(j.q.Organisation)
+func (c *control) newQueueItem(now time.Time, j *job) queue.Item[*job] {
+	organisation, _ := c.view().Organisation(j.req.Organisation)
 	return queue.Item[*job]{
-		Organisation: j.q.Organisation,
+		Organisation: j.req.Organisation,
 		Weight:       organisation.Weight,
-		Cost:         j.q.Cost,
-		Priority:     j.q.Priority,
+		Cost:         j.req.Cost,
+		Priority:     j.req.Priority,
 		Enqueued:     now,
 		Deadline:     j.deadline,
 		Value:        j,
 	}
 }
 
-// drop ends a request that has left the queue without running: its identifier is fenced before its
-// caller hears "not run", so that the refusal stays true.
-func (c *control) drop(now time.Time, j *job, refusal error) {
-	c.record.Remove(now, j.q.ID)
-	if j.keyed() {
-		c.keys.Finish(now, j.key, verdict.NotRun, outcome{})
+// refuse ends a request that was taken off the queue without running. The request ID is fenced before the caller
+// receives "not run", so that a late frame can't run the request.
+func (c *control) refuse(now time.Time, j *job, refusal error) {
+	c.record.Remove(now, j.req.ID)
+	if j.hasIdempotencyKey() {
+		c.idempotencyKeys.Finish(now, j.idempotencyKey, verdict.NotRun, outcome{})
 	}
-	j.started <- refusal
-	c.checkDrained()
+	j.startResult <- refusal
+	c.signalIfDrained()
 }
 
-// dispatch starts queued requests up to the limit.
+// dispatch starts queued requests up to the concurrency limit.
 func (c *control) dispatch(now time.Time) {
 	for len(c.running) < c.limiter.Limit() {
 		item, ok := c.queue.Pop(now)
@@ -122,105 +124,106 @@
 	}
 }
 
-// start runs a request unless its key was withdrawn, its deadline passed or its identifier was fenced
-// while it was queued.
+// start starts a request unless the agent is isolated, or the request's key was withdrawn, its deadline passed or
+// its ID was fenced while it was queued.
 func (c *control) start(now time.Time, item queue.Item[*job]) {
 	j := item.Value
-	err := c.startable(now, j)
+	err := c.checkStart(now, j)
 	if err == nil {
-		err = c.record.Start(now, j.q.ID)
+		err = c.record.Start(now, j.req.ID)
 	}
 	if err != nil {
 		c.queue.Finished(item)
-		c.drop(now, j, err)
+		c.refuse(now, j, err)
 		return
 	}
-	j.since = now
+	j.startedAt = now
 	c.running[j] = item
 	c.limiter.ObserveRunning(len(c.running))
-	j.started <- nil
+	j.startResult <- nil
 }
 
-func (c *control) startable(now time.Time, j *job) error {
+func (c *control) checkStart(now time.Time, j *job) error {
 	if !c.isolation.fresh(now) {
-		return isolated()
+		return isolatedNotRun()
 	}
-	if !c.view().KeyValid(j.q.Organisation, j.q.KeyHash) {
-		return keyWithdrawn(verdict.NotRun)
+	if !c.view().KeyValid(j.req.Organisation, j.req.KeyHash) {
+		return keyWithdrawnRefusal(verdict.NotRun)
 	}
 	if !j.deadline.IsZero() && !now.Before(j.deadline) {
-		return c.deadlinePassed(now, j)
+		return c.deadlinePassedRefusal(now, j)
 	}
 	return nil
 }
 
-// withdraw takes out a request whose caller has gone; false if it has been decided on already.
-func (c *control) withdraw(now time.Time, j *job, refusal error) bool {
+// cancelQueued removes a queued request whose caller has disconnected. It returns false if the request is no
+// longer queued.
+func (c *control) cancelQueued(now time.Time, j *job, refusal error) bool {
 	removed := c.queue.Remove(func(item queue.Item[*job]) bool { return item.Value == j })
 	for _, item := range removed {
-		c.drop(now, item.Value, refusal)
+		c.refuse(now, item.Value, refusal)
 	}
 	return len(removed) > 0
 }
 
-// finish ends a running request and starts the next.
+// finish ends a running request and starts the next ones.
 func (c *control) finish(now time.Time, j *job, v verdict.Verdict, result outcome) {
 	item, ok := c.running[j]
 	if !ok {
-		return // it was withdrawn
+		return // cancelUnsent has ended it
 	}
 	c.queue.Finished(item)
 	delete(c.running, j)
-	_ = c.record.Finish(now, j.q.ID, v) // it is running: only this method ends it
-	if j.keyed() {
-		c.keys.Finish(now, j.key, v, result)
+	_ = c.record.Finish(now, j.req.ID, v) // cannot fail: only this method ends a running request
+	if j.hasIdempotencyKey() {
+		c.idempotencyKeys.Finish(now, j.idempotencyKey, v, result)
 	}
 	if v != verdict.NotRun {
-		c.limiter.Observe(now, now.Sub(j.since), j.q.Cost, v != verdict.Ran)
+		c.limiter.Observe(now, now.Sub(j.startedAt), j.req.Cost, v != verdict.Ran)
 	}
 	c.dispatch(now)
-	c.checkDrained()
+	c.signalIfDrained()
 }
 
-// settle says what became of a request; one that is queued is taken out first.
+// settle returns the outcome of a request. A request that is queued, or started but not sent yet, is cancelled first.
 func (c *control) settle(now time.Time, id request.ID) request.Settled {
-	c.withdrawUnsent(now, id)
+	c.cancelUnsent(now, id)
 	settled := c.record.Settle(now, id)
-	removed := c.queue.Remove(func(item queue.Item[*job]) bool { return item.Value.q.ID == id })
+	removed := c.queue.Remove(func(item queue.Item[*job]) bool { return item.Value.req.ID == id })
 	for _, item := range removed {
-		c.drop(now, item.Value, cancelled(verdict.NotRun))
+		c.refuse(now, item.Value, cancelledRefusal(verdict.NotRun))
 	}
 	return settled
 }
 
-// withdrawUnsent ends a request that was started but not sent to the backend server yet.
-func (c *control) withdrawUnsent(now time.Time, id request.ID) {
+// cancelUnsent ends a request that was started but not yet sent to the backend server.
+func (c *control) cancelUnsent(now time.Time, id request.ID) {
 	for j := range c.running {
-		if j.q.ID == id && j.decide(withdrawn) {
+		if j.req.ID == id && j.decide(cancelledUnsent) {
 			c.finish(now, j, verdict.NotRun, outcome{})
 			return
 		}
 	}
 }
 
-// viewChanged acts on a new configuration: requests of withdrawn keys are refused while queued, and
-// cut short while running where that can be done.
-func (c *control) viewChanged(now time.Time) {
+// applyView applies a new configuration. Queued requests whose key was withdrawn are refused, running ones are
+// cancelled if they are cancellable.
+func (c *control) applyView(now time.Time) {
 	view := c.view()
-	valid := func(j *job) bool { return view.KeyValid(j.q.Organisation, j.q.KeyHash) }
+	valid := func(j *job) bool { return view.KeyValid(j.req.Organisation, j.req.KeyHash) }
 	for _, item := range c.queue.Remove(func(item queue.Item[*job]) bool { return !valid(item.Value) }) {
-		c.drop(now, item.Value, keyWithdrawn(verdict.NotRun))
+		c.refuse(now, item.Value, keyWithdrawnRefusal(verdict.NotRun))
 	}
 	for j := range c.running {
 		if j.cancellable && !valid(j) {
 			j.cancel(errKeyWithdrawn)
 		}
 	}
-	c.setConcurrency(view)
+	c.updateConcurrency(view)
 	c.dispatch(now)
 }
 
-func (c *control) setConcurrency(view *ticket.View) {
+func (c *control) updateConcurrency(view *ticket.View) {
 	pool, ok := view.Pool(c.pool)
 	if !ok || pool.Concurrency <= 0 || pool.Concurrency == c.concurrency {
 		return
@@ -229,44 +232,45 @@
 	c.limiter = queue.NewLimiter(pool.Concurrency)
 }
 
-// expireQueue refuses what can't be answered in time any more, at once.
+// expireQueue refuses the queued requests that can't be answered before their deadline any more and those evicted
+// from a full queue, then starts queued requests.
 func (c *control) expireQueue(now time.Time) {
 	for _, item := range c.queue.Expire(now) {
-		c.drop(now, item.Value, c.expired(now, item.Value))
+		c.refuse(now, item.Value, c.expiryRefusal(now, item.Value))
 	}
 	c.dispatch(now)
 }
 
-// expired says why a request left the queue: its deadline, or another organisation's place.
-func (c *control) expired(now time.Time, j *job) error {
-	answer := now.Add(c.limiter.TypicalLatency(j.q.Cost))
+// expiryRefusal returns the refusal of a request that expired or was evicted to make room for another organisation.
+func (c *control) expiryRefusal(now time.Time, j *job) error {
+	answerTime := now.Add(c.limiter.TypicalLatency(j.req.Cost))
 	switch {
-	case j.deadline.IsZero() || !answer.After(j.deadline):
+	case j.deadline.IsZero() || !answerTime.After(j.deadline):
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonNoRoom,
 			c.retryAfter(now, j), "the queue is full, and this organisation has the most work in it")
 	case now.Before(j.deadline):
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonDeadlineUnreachable,
 			c.retryAfter(now, j), "the answer can't come before the deadline")
 	default:
-		return c.deadlinePassed(now, j)
+		return c.deadlinePassedRefusal(now, j)
 	}
 }
 
 func (c *control) expireRecords(now time.Time) {
 	c.record.Expire(now)
-	c.keys.Expire(now)
+	c.idempotencyKeys.Expire(now)
 }
 
-func (c *control) deadlinePassed(now time.Time, j *job) error {
+func (c *control) deadlinePassedRefusal(now time.Time, j *job) error {
 	return verdict.Refuse(verdict.NotRun, verdict.ReasonDeadlinePassed,
 		c.retryAfter(now, j), "the deadline passed in the queue")
 }
 
 func (c *control) retryAfter(now time.Time, j *job) time.Duration {
-	return max(retrySoon, c.wait(now, j.q.Organisation))
+	return max(retrySoon, c.estimateWait(now, j.req.Organisation))
 }
 
-func (c *control) wait(now time.Time, organisation string) time.Duration {
+func (c *control) estimateWait(now time.Time, organisation string) time.Duration {
 	if len(c.running) < c.limiter.Limit() && c.queue.Len() == 0 {
 		return 0
 	}
@@ -274,15 +278,15 @@
 	return c.queue.EstimateWait(now, organisation, known.Weight)
 }
 
-// leave refuses all further requests; the channel is closed when nothing is queued or running.
-func (c *control) leave() <-chan struct{} {
-	c.leaving = true
-	c.checkDrained()
+// startDrain refuses all further requests. The returned channel is closed once no request is queued or running.
+func (c *control) startDrain() <-chan struct{} {
+	c.draining = true
+	c.signalIfDrained()
 	return c.drained
 }
 
-func (c *control) checkDrained() {
-	if !c.leaving || len(c.running) > 0 || c.queue.Len() > 0 {
+func (c *control) signalIfDrained() {
+	if !c.draining || len(c.running) > 0 || c.queue.Len() > 0 {
 		return
 	}
 	select {
@@ -297,7 +301,7 @@
 		Queued:   c.queue.Len(),
 		Running:  len(c.running),
 		Limit:    c.limiter.Limit(),
-		Wait:     c.wait(now, ""),
-		Draining: c.leaving || c.pause.holds(now),
+		Wait:     c.estimateWait(now, ""),
+		Draining: c.draining || c.pause.active(now),
 	}
 }
--- a/internal/edge/agent/cuts_test.go
+++ b/internal/edge/agent/cuts_test.go
@@ -19,112 +19,112 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// cutter passes bytes on and cuts each connection after a random number of them in one direction.
-type cutter struct {
+// breakingProxy forwards TCP connections and closes each one after a random number of bytes in either direction.
+type breakingProxy struct {
 	listener net.Listener
-	to       netip.AddrPort
+	target   netip.AddrPort
 	wg       conc.WaitGroup
 	mu       sync.Mutex
 	random   *rand.Rand
 	conns    []net.Conn
 }
 
-func newCutter(t *testing.T, to netip.AddrPort, seed uint64) netip.AddrPort {
+func newBreakingProxy(t *testing.T, target netip.AddrPort, seed uint64) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cutter{listener: l, to: to, random: rand.New(rand.NewPCG(seed, seed))}
-	c.wg.Go(c.serve)
+	p := &breakingProxy{listener: l, target: target, random: rand.New(rand.NewPCG(seed, seed))}
+	p.wg.Go(p.serve)
 	t.Cleanup(func() {
 		_ = l.Close()
-		c.closeAll()
-		c.wg.Wait()
+		p.closeAll()
+		p.wg.Wait()
 	})
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func (c *cutter) serve() {
+func (p *breakingProxy) serve() {
 	for {
-		near, err := c.listener.Accept()
+		clientConn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", c.to.String())
+		serverConn, err := net.Dial("tcp", p.target.String())
 		if err != nil {
-			_ = near.Close()
+			_ = clientConn.Close()
 			continue
 		}
-		c.keep(near, far)
-		c.wg.Go(func() { c.pass(far, near) })
-		c.wg.Go(func() { c.pass(near, far) })
+		p.track(clientConn, serverConn)
+		p.wg.Go(func() { p.forward(serverConn, clientConn) })
+		p.wg.Go(func() { p.forward(clientConn, serverConn) })
 	}
 }
 
-func (c *cutter) keep(conns ...net.Conn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.conns = append(c.conns, conns...)
+func (p *breakingProxy) track(conns ...net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conns = append(p.conns, conns...)
 }
 
-func (c *cutter) closeAll() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, conn := range c.conns {
+func (p *breakingProxy) closeAll() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, conn := range p.conns {
 		_ = conn.Close()
 	}
 }
 
-func (c *cutter) pass(to, from net.Conn) {
-	c.mu.Lock()
-	limit := 400 + c.random.Int64N(4000)
-	c.mu.Unlock()
+func (p *breakingProxy) forward(to, from net.Conn) {
+	p.mu.Lock()
+	limit := 400 + p.random.Int64N(4000)
+	p.mu.Unlock()
 	_, _ = io.Copy(to, io.LimitReader(from, limit))
 	_ = to.Close()
 	_ = from.Close()
 }
 
-// caller is an entry in short: it sends a booking, and when its connection is lost asks what became of
-// it, and sends it again only if it has not run.
-type caller struct {
-	bench  *bench
-	client *peer.Client
-	via    netip.AddrPort
-	mu     sync.Mutex
+// bookingClient is a minimal entry: it sends a booking and, if the connection is lost, asks for the outcome. It sends
+// the booking again only if the first one has not run.
+type bookingClient struct {
+	harness *harness
+	client  *peer.Client
+	proxy   netip.AddrPort
+	mu      sync.Mutex
 }
 
-func (c *caller) next(body string) request.Execute {
+func (c *bookingClient) newBooking(body string) request.Execute {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	q := c.bench.execute(pathOK)
-	q.Body = []byte(body)
-	return q
+	req := c.harness.newRequest(pathOK)
+	req.Body = []byte(body)
+	return req
 }
 
-func (c *caller) book(ctx context.Context, body string) verdict.Verdict {
+func (c *bookingClient) book(ctx context.Context, body string) verdict.Verdict {
 	for {
-		q := c.next(body)
-		b := bench{client: c.client, address: c.via}
-		got := b.send(ctx, q)
+		req := c.newBooking(body)
+		h := harness{client: c.client, address: c.proxy}
+		got := h.send(ctx, req)
 		if got.err == nil {
 			return verdict.Ran
 		}
-		v := c.settle(ctx, q.ID, got.err)
+		v := c.settle(ctx, req.ID, got.err)
 		if v != verdict.NotRun {
 			return v
 		}
 	}
 }
 
-func (c *caller) settle(ctx context.Context, id request.ID, err error) verdict.Verdict {
+func (c *bookingClient) settle(ctx context.Context, id request.ID, err error) verdict.Verdict {
 	if refusal, ok := verdict.As(err); ok {
 		return refusal.Verdict
 	}
 	if errors.Is(err, peer.ErrUnsent) {
 		return verdict.NotRun
 	}
-	settled, err := peer.Call[request.Settle, request.Settled](ctx, c.bench.client, c.bench.address, MethodSettle,
+	settled, err := peer.Call[request.Settle, request.Settled](ctx, c.harness.client, c.harness.address, MethodSettle,
 		request.Settle{ID: id, Process: peer.ServerIncarnation(err)})
 	if err != nil {
 		return verdict.MayHaveRun
@@ -132,17 +132,17 @@
 	return settled.Verdict
 }
 
-// Connections between an entry and an agent break again and again, at any byte and in both
-// directions, while callers book. An airline would be billed twice, or told "not run" of a bill that
-// exists. Each booking must run once, unless its caller was told that it may have run.
+// Connections between an entry and an agent break repeatedly, at any byte and in both directions, while callers send
+// bookings. An airline could be billed twice, or be told "not run" about an existing bill. Each booking must run
+// at most once, and exactly once if its caller was told that it ran.
 func TestBookingsRunAtMostOnceWhileConnectionsBreak(t *testing.T) {
 	const callers, bookings = 16, 40
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			b := newBench(t, ticket.KindService)
-			b.server.started = make(chan string, 10*callers*bookings)
-			via := newCutter(t, b.address, seed)
-			c := &caller{bench: b, client: b.client, via: via}
+			h := newHarness(t, ticket.KindService)
+			h.server.started = make(chan string, 10*callers*bookings)
+			proxy := newBreakingProxy(t, h.address, seed)
+			c := &bookingClient{harness: h, client: h.client, proxy: proxy}
 			verdicts := make([][]verdict.Verdict, callers)
 			var wg conc.WaitGroup
 			for i := range callers {
@@ -154,7 +154,7 @@
 			}
 			wg.Wait()
 			runs := make(map[string]int)
-			for _, call := range b.server.calls {
+			for _, call := range h.server.calls {
 				runs[string(call.Body)]++
 			}
 			inDoubt := 0
@@ -162,14 +162,14 @@
 				for n, v := range verdicts[i] {
 					body := fmt.Sprintf("%d-%d", i, n)
 					if runs[body] > 1 || v == verdict.Ran && runs[body] != 1 {
-						t.Errorf("booking %s ran %d times, its caller heard %s", body, runs[body], v)
+						t.Errorf("booking %s ran %d times, its caller received verdict %s", body, runs[body], v)
 					}
 					if v == verdict.MayHaveRun {
 						inDoubt++
 					}
 				}
 			}
-			t.Logf("%d bookings in %d runs, %d in doubt", callers*bookings, len(b.server.calls), inDoubt)
+			t.Logf("%d bookings in %d runs, %d that may have run", callers*bookings, len(h.server.calls), inDoubt)
 		})
 	}
 }
--- a/internal/edge/agent/execute.go
+++ b/internal/edge/agent/execute.go
@@ -17,43 +17,44 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-const copySize = 16 << 10
+const copyBufferSize = 16 << 10
 
-// copyBuffers are used again: an answer of a plain call is far smaller than its buffer.
-var copyBuffers = sync.Pool{New: func() any { return new([copySize]byte) }}
+// copyBuffers pools the buffers, since the answer of a plain call is far smaller than its buffer.
+var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// Execute runs one call at the backend server and streams its answer to out.
-func (a *Agent) Execute(ctx context.Context, q request.Execute, out peer.Sink) (request.AnswerEnd, error) {
-	end, err := a.execute(ctx, q, out)
-	a.metrics.count(a.deps.View(), q.Organisation, err)
+// Execute runs one call at the backend server and streams its answer to out. It returns an error, usually
+// a *verdict.Refusal, if the call did not run or its answer was not delivered completely.
+func (a *Agent) Execute(ctx context.Context, req request.Execute, out peer.Sink) (request.AnswerEnd, error) {
+	end, err := a.execute(ctx, req, out)
+	a.metrics.countRequest(a.deps.View(), req.Organisation, err)
 	return end, err
 }
 
-func (a *Agent) execute(ctx context.Context, q request.Execute, out peer.Sink) (request.AnswerEnd, error) {
+func (a *Agent) execute(ctx context.Context, req request.Execute, out peer.Sink) (request.AnswerEnd, error) {
 	now := time.Now()
-	pool, err := a.check(now, q)
+	pool, err := a.checkRequest(now, req)
 	if err != nil {
 		return request.AnswerEnd{}, err
 	}
-	j := newJob(ctx, q, now, q.Idempotent || pool.Kind == ticket.KindModel)
+	j := newJob(ctx, req, now, req.Idempotent || pool.Kind == ticket.KindModel)
 	defer j.cancel(nil)
-	stop := context.AfterFunc(a.ctx, func() { j.cancel(ErrEnded) })
+	stop := context.AfterFunc(a.ctx, func() { j.cancel(ErrStopped) })
 	defer stop()
 	if err := a.enqueue(ctx, j); err != nil {
 		return request.AnswerEnd{}, err
 	}
 	if j.replay != nil {
-		return a.account(q, usage.Amount{}), j.replay.replay(out)
+		return a.addUsage(req, usage.Amount{}), j.replay.replay(out)
 	}
 	if j.cancellable {
-		defer abortWith(j.ctx, out)()
+		defer abortWritesOnEnd(j.ctx, out)()
 	}
 	return a.runJob(ctx, j, pool, out)
 }
 
-// abortWith lets the end of ctx end a write that waits for a slow reader: a caller that has stopped
-// reading would keep its place at the backend server otherwise, even after its key was withdrawn.
-func abortWith(ctx context.Context, out peer.Sink) func() bool {
+// abortWritesOnEnd makes the end of ctx abort a write that waits for a slow reader. Otherwise a caller that has
+// stopped reading would keep its slot at the backend server, even after its key was withdrawn.
+func abortWritesOnEnd(ctx context.Context, out peer.Sink) func() bool {
 	aborter, ok := out.(peer.Aborter)
 	if !ok {
 		return func() bool { return true }
@@ -61,66 +62,66 @@
 	return context.AfterFunc(ctx, func() { aborter.Abort(context.Cause(ctx)) })
 }
 
-// enqueue waits until the request is started; an error means that it never will be.
+// enqueue queues the request and waits until it is started. An error means that it will never be started.
 func (a *Agent) enqueue(ctx context.Context, j *job) error {
-	if !a.do(func(now time.Time) { a.control.submit(now, j) }) {
-		return ended(verdict.NotRun)
+	if !a.runOnControlLoop(func(now time.Time) { a.control.submit(now, j) }) {
+		return stoppedRefusal(verdict.NotRun)
 	}
 	select {
-	case err := <-j.started:
+	case err := <-j.startResult:
 		return err
 	case <-ctx.Done():
 	case <-a.ctx.Done():
-		return ended(verdict.NotRun)
+		return stoppedRefusal(verdict.NotRun)
 	}
-	// The caller has gone. The control goroutine may have started the request meanwhile; its decision
-	// is in the channel then.
-	ok := a.do(func(now time.Time) { a.control.withdraw(now, j, gone(ctx, verdict.NotRun)) })
+	// The caller has disconnected. If the control loop has started or refused the request meanwhile, the result is
+	// in the channel.
+	ok := a.runOnControlLoop(func(now time.Time) { a.control.cancelQueued(now, j, contextEndRefusal(ctx, verdict.NotRun)) })
 	if !ok {
-		return ended(verdict.NotRun)
+		return stoppedRefusal(verdict.NotRun)
 	}
-	return <-j.started
+	return <-j.startResult
 }
 
-// gone is the refusal for a request whose context ended.
+// contextEndRefusal returns the refusal for a request whose context ended.
 //
-// Guard: an agent that is stopped ends its calls, and may still answer them. "The caller has gone" would be false and
-// final: the entry would refuse a stream that can go on elsewhere, without a time to come back. Only the peer's own
-// cancellation means that the caller has gone.
-func gone(ctx context.Context, v verdict.Verdict) *verdict.Refusal {
+// ReasonCancelled is used only if the peer cancelled the request. An agent that shuts down also cancels its calls and
+// may still answer them; with ReasonCancelled, which is final, the entry would refuse a stream that could continue
+// at another agent, and give its caller no time to retry.
+func contextEndRefusal(ctx context.Context, v verdict.Verdict) *verdict.Refusal {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, errKeyWithdrawn):
-		return keyWithdrawn(v)
+		return keyWithdrawnRefusal(v)
 	case errors.Is(cause, errIsolated):
-		return isolatedWith(v)
+		return isolatedRefusal(v)
 	case errors.Is(cause, context.DeadlineExceeded):
 		return verdict.Refuse(v, verdict.ReasonDeadlinePassed, retrySoon,
 			"the deadline passed")
 	case errors.Is(cause, peer.ErrCancelled):
-		return cancelled(v)
+		return cancelledRefusal(v)
 	default:
-		return ended(v)
+		return stoppedRefusal(v)
 	}
 }
 
-// ended is the refusal of a request when the process or its connection ends. A queued one has not run: the control
-// goroutine, which alone starts requests, is gone.
-func ended(v verdict.Verdict) *verdict.Refusal {
+// stoppedRefusal returns the refusal for a request whose process or connection ends. A queued request has not run,
+// since the control loop, which alone starts requests, has ended.
+func stoppedRefusal(v verdict.Verdict) *verdict.Refusal {
 	return verdict.Refuse(v, verdict.ReasonLeaving, retrySoon, "the agent has ended")
 }
 
-// runJob runs a started job and records its end, whatever it is.
+// runJob sends a started job to the backend server and records how it ended.
 func (a *Agent) runJob(
 	ctx context.Context, j *job, pool ticket.Pool, out peer.Sink,
 ) (request.AnswerEnd, error) {
 	if ctx.Err() != nil || !j.decide(sent) {
-		refusal := gone(ctx, verdict.NotRun) // nothing was sent, nor will be
-		a.do(func(now time.Time) { a.control.finish(now, j, verdict.NotRun, outcome{}) })
+		refusal := contextEndRefusal(ctx, verdict.NotRun) // the call is not sent, now or later
+		a.runOnControlLoop(func(now time.Time) { a.control.finish(now, j, verdict.NotRun, outcome{}) })
 		return request.AnswerEnd{}, refusal
 	}
-	r := run{job: j, out: out, tokens: newTokenCounter(pool.Kind)}
+	call := serverCall{job: j, out: out, tokens: newTokenCounter(pool.Kind)}
 	started := time.Now()
-	err := r.call(a.deps.Server, a.deps.View())
+	err := call.perform(a.deps.Server, a.deps.View())
 	v := verdict.Ran
 	if err != nil {
 		v = verdict.From(err).Verdict
@@ -129,98 +130,98 @@
 		a.cancelGeneration(j, pool)
 	}
 	var end request.AnswerEnd
-	if r.reached {
-		end = a.account(j.q, usage.Amount{Requests: 1, Tokens: r.tokens.count, ServerTime: time.Since(started)})
+	if call.responded {
+		end = a.addUsage(j.req, usage.Amount{Requests: 1, Tokens: call.tokens.count, ServerTime: time.Since(started)})
 	}
-	a.do(func(now time.Time) { a.control.finish(now, j, v, r.outcome) })
+	a.runOnControlLoop(func(now time.Time) { a.control.finish(now, j, v, call.outcome) })
 	return end, err
 }
 
-// cancelGeneration tells the engine to end a generation that nobody waits for any more. It may have
-// ended by itself; the order is harmless then.
+// cancelGeneration tells the engine to cancel a generation whose caller no longer waits for it. Cancelling a
+// generation that has already ended has no effect.
 func (a *Agent) cancelGeneration(j *job, pool ticket.Pool) {
 	canceller, ok := a.deps.Engine.(Canceller)
 	if !ok || pool.Kind != ticket.KindModel || j.ctx.Err() == nil {
 		return
 	}
-	var ask backendserver.GenerateRequest
-	if err := json.Unmarshal(j.q.Body, &ask); err != nil || ask.SampleID == "" {
+	var body backendserver.GenerateRequest
+	if err := json.Unmarshal(j.req.Body, &body); err != nil || body.SampleID == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(a.ctx, loadTimeout)
+	ctx, cancel := context.WithTimeout(a.ctx, engineCallTimeout)
 	defer cancel()
-	if err := canceller.Cancel(ctx, ask.SampleID); err != nil {
-		a.deps.Logger.Warn().Err(err).Str("sample", ask.SampleID).Msg("cancel generation")
+	if err := canceller.Cancel(ctx, body.SampleID); err != nil {
+		a.deps.Logger.Warn().Err(err).Str("sample", body.SampleID).Msg("failed to cancel generation")
 	}
 }
 
-// account adds to the usage counter of the organisation. It is called before the closing frame is
-// sent, so that the count travels with the answer and two hosts hold it.
-func (a *Agent) account(q request.Execute, amount usage.Amount) request.AnswerEnd {
+// addUsage adds the amount to the organisation's usage counter. It is called before the closing frame is sent, so
+// that the answer carries the count and two hosts hold it.
+func (a *Agent) addUsage(req request.Execute, amount usage.Amount) request.AnswerEnd {
 	cell := usage.Cell{
 		Agent:        a.config.Incarnation,
-		Organisation: q.Organisation,
+		Organisation: req.Organisation,
 		Window:       usage.WindowStart(time.Now(), a.config.UsageWindow),
 	}
 	return request.AnswerEnd{Count: a.deps.Ledger.Add(cell, amount)}
 }
 
-// run is one call at the backend server.
-type run struct {
+// serverCall is one call to the backend server.
+type serverCall struct {
 	job     *job
 	out     peer.Sink
 	tokens  tokenCounter
 	outcome outcome
-	// reached: the server has answered, so the call is counted.
-	reached bool
-	// sinkErr is set when the caller can take no more of the answer.
+	// responded is set once the server has sent the head of its answer; only then is the call counted as usage.
+	responded bool
+	// sinkErr is the first error from writing the answer to the caller.
 	sinkErr error
 }
 
-func (r *run) call(server Server, view *ticket.View) error {
-	ctx, stop := r.context()
+func (c *serverCall) perform(server Server, view *ticket.View) error {
+	ctx, stop := c.callContext()
 	defer stop()
 	reply, err := server.Call(ctx, Call{
-		Method: r.job.q.Method,
-		Path:   r.job.q.Path,
-		Query:  allowedQuery(view, r.job.q.Query),
-		Header: allowedHeader(view, r.job.q.Header),
-		Body:   r.job.q.Body,
+		Method: c.job.req.Method,
+		Path:   c.job.req.Path,
+		Query:  filterQuery(view, c.job.req.Query),
+		Header: filterRequestHeader(view, c.job.req.Header),
+		Body:   c.job.req.Body,
 	})
 	if err != nil {
-		return r.failed(ctx, err)
+		return c.callRefusal(ctx, err)
 	}
 	defer func() { _ = reply.Body.Close() }()
-	r.reached = true
-	r.outcome.head = request.AnswerHead{Status: reply.Status, Header: answerHeader(reply.Header)}
-	r.keep(r.out.Head(r.outcome.head))
-	if err := r.copy(reply.Body); err != nil {
-		return r.failed(ctx, err)
+	c.responded = true
+	c.outcome.head = request.AnswerHead{Status: reply.Status, Header: filterAnswerHeader(reply.Header)}
+	c.recordSinkErr(c.out.Head(c.outcome.head))
+	if err := c.copyBody(reply.Body); err != nil {
+		return c.callRefusal(ctx, err)
 	}
-	if r.sinkErr != nil {
-		return lostCaller(ctx, r.sinkErr)
+	if c.sinkErr != nil {
+		return undeliveredRefusal(ctx, c.sinkErr)
 	}
 	return nil
 }
 
-// context bounds a call that its caller can't cut short.
-func (r *run) context() (context.Context, context.CancelFunc) {
-	if r.job.cancellable {
-		return r.job.ctx, func() {}
+// callContext returns the context of the call, with a timeout if the caller can't cancel the call.
+func (c *serverCall) callContext() (context.Context, context.CancelFunc) {
+	if c.job.cancellable {
+		return c.job.ctx, func() {}
 	}
-	return context.WithTimeout(r.job.ctx, callTimeout)
+	return context.WithTimeout(c.job.ctx, uncancellableCallTimeout)
 }
 
-// copy streams the body. When the caller has gone, a call that may not be cut short is read to its
-// end all the same, so that its outcome is known.
-func (r *run) copy(body io.Reader) error {
-	pooled := copyBuffers.Get().(*[copySize]byte)
+// copyBody streams the body to the caller. If the caller has disconnected, the body of an uncancellable call is still
+// read to its end, so that the outcome of the call is known.
+func (c *serverCall) copyBody(body io.Reader) error {
+	pooled := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(pooled)
 	buffer := pooled[:]
 	for {
 		n, err := body.Read(buffer)
 		if n > 0 {
-			r.take(buffer[:n])
+			c.forward(buffer[:n])
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -228,31 +229,31 @@
 		if err != nil {
 			return err
 		}
-		if r.sinkErr != nil && r.job.cancellable {
-			return r.sinkErr
+		if c.sinkErr != nil && c.job.cancellable {
+			return c.sinkErr
 		}
 	}
 }
 
-func (r *run) take(p []byte) {
-	r.tokens.add(p)
-	if r.job.keyed() {
-		r.outcome.add(p)
+func (c *serverCall) forward(p []byte) {
+	c.tokens.add(p)
+	if c.job.hasIdempotencyKey() {
+		c.outcome.appendBody(p)
 	}
-	if r.sinkErr == nil {
-		_, err := r.out.Write(p)
-		r.keep(err)
+	if c.sinkErr == nil {
+		_, err := c.out.Write(p)
+		c.recordSinkErr(err)
 	}
 }
 
-func (r *run) keep(err error) {
-	if r.sinkErr == nil {
-		r.sinkErr = err
+func (c *serverCall) recordSinkErr(err error) {
+	if c.sinkErr == nil {
+		c.sinkErr = err
 	}
 }
 
-// failed turns a failure of the call into a refusal with a true verdict.
-func (r *run) failed(ctx context.Context, err error) error {
+// callRefusal returns the refusal for a failed call, with the verdict on whether the call ran.
+func (c *serverCall) callRefusal(ctx context.Context, err error) error {
 	if errors.Is(err, ErrNotSent) {
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonNoServer, retrySoon,
 			"the backend server can't be reached")
@@ -261,16 +262,16 @@
 		return refusal
 	}
 	if ctx.Err() != nil {
-		return gone(ctx, verdict.MayHaveRun)
+		return contextEndRefusal(ctx, verdict.MayHaveRun)
 	}
 	return verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerLost, retrySoon,
 		"the connection to the backend server was lost")
 }
 
-// lostCaller is the refusal for an answer that was read whole and could not be handed on.
-func lostCaller(ctx context.Context, err error) error {
+// undeliveredRefusal returns the refusal for an answer that was read completely but could not be delivered.
+func undeliveredRefusal(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
-		return gone(ctx, verdict.Ran)
+		return contextEndRefusal(ctx, verdict.Ran)
 	}
 	return verdict.Refuse(verdict.Ran, verdict.ReasonUndelivered, 0,
 		"the call ran; its answer could not be handed on: %v", err)
--- a/internal/edge/agent/failure_test.go
+++ b/internal/edge/agent/failure_test.go
@@ -25,11 +25,11 @@
 	}
 }
 
-func TestAnswerIsWholeAndCounted(t *testing.T) {
-	b := newBench(t, ticket.KindModel)
+func TestAnswerIsCompleteAndCounted(t *testing.T) {
+	h := newHarness(t, ticket.KindModel)
 	var got answer
 	for range 2 {
-		got = b.send(t.Context(), b.execute(pathOK))
+		got = h.send(t.Context(), h.newRequest(pathOK))
 	}
 	if got.err != nil || got.body != "data: a\n\ndata: b\n\n" {
 		t.Fatalf("body %q, error %v", got.body, got.err)
@@ -41,9 +41,9 @@
 	}
 }
 
-// The backend server dies before, while or after it takes a call. The caller must hear "not run" only
-// where no byte was sent, since it books again on hearing it.
-func TestBackendServerDies(t *testing.T) {
+// The connection to the backend server fails before, while or after the call is sent. The caller may receive "not run"
+// only if no byte was sent, since it then repeats the booking.
+func TestBackendServerConnectionFails(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		path       string
@@ -51,71 +51,71 @@
 		want       verdict.Verdict
 		reason     verdict.Reason
 	}{
-		{name: "connection refused", path: pathClosd, want: verdict.NotRun, reason: verdict.ReasonNoServer},
-		{name: "lost after sending", path: pathLost, want: verdict.MayHaveRun, reason: verdict.ReasonServerLost},
-		{name: "lost after sending, idempotent", path: pathLost, idempotent: true, want: verdict.MayHaveRun, reason: verdict.ReasonServerLost},
-		{name: "cut mid-answer", path: pathCut, want: verdict.MayHaveRun, reason: verdict.ReasonServerLost},
+		{name: "connection refused", path: pathRefused, want: verdict.NotRun, reason: verdict.ReasonNoServer},
+		{name: "lost after sending", path: pathReset, want: verdict.MayHaveRun, reason: verdict.ReasonServerLost},
+		{name: "lost after sending, idempotent", path: pathReset, idempotent: true, want: verdict.MayHaveRun, reason: verdict.ReasonServerLost},
+		{name: "truncated answer", path: pathTruncated, want: verdict.MayHaveRun, reason: verdict.ReasonServerLost},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newBench(t, ticket.KindService)
-			q := b.execute(tc.path)
-			q.Idempotent = tc.idempotent
-			got := b.send(t.Context(), q)
+			h := newHarness(t, ticket.KindService)
+			req := h.newRequest(tc.path)
+			req.Idempotent = tc.idempotent
+			got := h.send(t.Context(), req)
 			wantRefusal(t, got.err, tc.want, tc.reason)
-			if diff := cmp.Diff(request.Settled{Verdict: tc.want}, b.settle(t, q.ID)); diff != "" {
+			if diff := cmp.Diff(request.Settled{Verdict: tc.want}, h.settle(t, req.ID)); diff != "" {
 				t.Error(diff)
 			}
-			if b.server.count() != 1 {
-				t.Errorf("%d calls reached the server", b.server.count())
+			if h.server.callCount() != 1 {
+				t.Errorf("%d calls reached the server", h.server.callCount())
 			}
 		})
 	}
 }
 
-// An entry asks what became of a request whose frame is still on the way, is told "not run" and sends
-// it elsewhere. The frame arrives then; running it would bill an airline twice.
+// An entry asks for the outcome of a request whose frame has not arrived yet, receives "not run" and sends the request
+// to another agent. Then the frame arrives; running it would bill an airline twice.
 func TestLateFrameAfterSettle(t *testing.T) {
-	b := newBench(t, ticket.KindService)
-	q := b.execute(pathOK)
-	if diff := cmp.Diff(request.Settled{Verdict: verdict.NotRun}, b.settle(t, q.ID)); diff != "" {
+	h := newHarness(t, ticket.KindService)
+	req := h.newRequest(pathOK)
+	if diff := cmp.Diff(request.Settled{Verdict: verdict.NotRun}, h.settle(t, req.ID)); diff != "" {
 		t.Error(diff)
 	}
-	wantRefusal(t, b.send(t.Context(), q).err, verdict.NotRun, verdict.ReasonFenced)
-	if b.server.count() != 0 {
+	wantRefusal(t, h.send(t.Context(), req).err, verdict.NotRun, verdict.ReasonFenced)
+	if h.server.callCount() != 0 {
 		t.Error("the late frame ran")
 	}
 }
 
-// An agent's process dies while a booking runs, and is started anew with an empty record. The entry
-// asks at the same address what became of the booking. "Not run" would make it book a second time.
-func TestRestartedAgentDoesNotDenyARun(t *testing.T) {
-	b := newBench(t, ticket.KindService)
-	q := b.execute(pathHold)
-	entry := newClient(t)
-	lost := make(chan error, 1)
+// An agent's process dies while a booking runs and is restarted with an empty record. The entry asks the new process,
+// at the same address, for the outcome. The answer "not run" would make the entry send the booking a second time.
+func TestRestartedAgentDoesNotClaimNotRun(t *testing.T) {
+	h := newHarness(t, ticket.KindService)
+	req := h.newRequest(pathHold)
+	entry := newPeerClient(t)
+	openErr := make(chan error, 1)
 	go func() {
-		_, err := peer.OpenStream[request.Execute, request.AnswerEnd](t.Context(), entry, b.address, MethodExecute, q)
-		lost <- err
+		_, err := peer.OpenStream[request.Execute, request.AnswerEnd](t.Context(), entry, h.address, MethodExecute, req)
+		openErr <- err
 	}()
-	<-b.server.started
-	port := b.holdPort(t)
-	b.kill()
-	err := <-lost
-	process := peer.ServerIncarnation(err)
-	if process == 0 {
-		t.Fatalf("no process in %v", err)
-	}
-	again := startBench(t, &bench{config: b.config, port: port}, ticket.KindService)
+	<-h.server.started
+	port := h.keepPort(t)
+	h.kill()
+	err := <-openErr
+	sentTo := peer.ServerIncarnation(err)
+	if sentTo == 0 {
+		t.Fatalf("no server incarnation in error %v", err)
+	}
+	restarted := startHarness(t, &harness{config: h.config, keptPort: port}, ticket.KindService)
 	for _, tc := range []struct {
 		name    string
 		process uint64
 		want    verdict.Verdict
 	}{
-		{name: "sent to the dead process", process: process, want: verdict.MayHaveRun},
-		{name: "sent to this process", process: again.agent.process.Load(), want: verdict.NotRun},
+		{name: "sent to the killed process", process: sentTo, want: verdict.MayHaveRun},
+		{name: "sent to the restarted process", process: restarted.agent.processIncarnation.Load(), want: verdict.NotRun},
 	} {
-		settled, err := peer.Call[request.Settle, request.Settled](t.Context(), entry, again.address, MethodSettle,
-			request.Settle{ID: q.ID, Process: tc.process})
+		settled, err := peer.Call[request.Settle, request.Settled](t.Context(), entry, restarted.address, MethodSettle,
+			request.Settle{ID: req.ID, Process: tc.process})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -125,68 +125,68 @@
 	}
 }
 
-// An agent is stopped, and the bound of its drain passes while a stream and a booking run. "The caller has gone" would
-// be false, and final: the entry would not try the stream elsewhere, and its caller would be refused with no time
-// to come back. Neither may be called "not run".
-func TestAgentEndsWhileCallsRun(t *testing.T) {
+// An agent is stopped and its drain times out while a stream and a booking run. A refusal with ReasonCancelled would be
+// false, and final: the entry would not retry the stream at another agent, and the caller would be given no time to
+// retry. Neither request may be refused as "not run".
+func TestAgentStopsWhileCallsRun(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		kind ticket.PoolKind
 		path string
 	}{
-		{name: "stream of a model", kind: ticket.KindModel, path: pathFlow},
+		{name: "stream of a model", kind: ticket.KindModel, path: pathStream},
 		{name: "call that may not be repeated", kind: ticket.KindService, path: pathHold},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newBench(t, tc.kind)
+			h := newHarness(t, tc.kind)
 			done := make(chan error, 1)
 			go func() {
-				_, err := b.agent.Execute(t.Context(), b.execute(tc.path), discard{})
+				_, err := h.agent.Execute(t.Context(), h.newRequest(tc.path), discardSink{})
 				done <- err
 			}()
-			<-b.server.started
-			b.kill()
+			<-h.server.started
+			h.kill()
 			err := <-done
 			wantRefusal(t, err, verdict.MayHaveRun, verdict.ReasonLeaving)
 			if refusal, _ := verdict.As(err); refusal.RetryAfter <= 0 {
-				t.Errorf("no time to come back in %v", err)
+				t.Errorf("no retry delay in %v", err)
 			}
 		})
 	}
 }
 
-// discard is the sink of a caller whose answer doesn't matter.
-type discard struct{}
+// discardSink discards the answer.
+type discardSink struct{}
 
-func (discard) Head(request.AnswerHead) error { return nil }
+func (discardSink) Head(request.AnswerHead) error { return nil }
 
-func (discard) Write(p []byte) (int, error) { return len(p), nil }
+func (discardSink) Write(p []byte) (int, error) { return len(p), nil }
 
-// A frame comes twice, over two connections. The second must not run, and must not be called "not run".
+// A frame arrives twice, over two connections. The second must not run, and must not be refused as "not run".
 func TestDoubledExecuteRunsOnce(t *testing.T) {
-	b := newBench(t, ticket.KindService)
-	q := b.execute(pathHold)
-	first := b.sendAsync(t.Context(), q)
-	<-b.server.started
-	wantRefusal(t, b.send(t.Context(), q).err, verdict.MayHaveRun, verdict.ReasonInProgress)
-	if diff := cmp.Diff(request.Settled{Verdict: verdict.MayHaveRun, Running: true}, b.settle(t, q.ID)); diff != "" {
+	h := newHarness(t, ticket.KindService)
+	req := h.newRequest(pathHold)
+	first := h.sendAsync(t.Context(), req)
+	<-h.server.started
+	wantRefusal(t, h.send(t.Context(), req).err, verdict.MayHaveRun, verdict.ReasonInProgress)
+	if diff := cmp.Diff(request.Settled{Verdict: verdict.MayHaveRun, Running: true}, h.settle(t, req.ID)); diff != "" {
 		t.Error(diff)
 	}
-	close(b.server.release)
+	close(h.server.release)
 	if got := <-first; got.err != nil {
 		t.Error(got.err)
 	}
-	wantRefusal(t, b.send(t.Context(), q).err, verdict.MayHaveRun, verdict.ReasonFenced)
-	if diff := cmp.Diff(request.Settled{Verdict: verdict.Ran}, b.settle(t, q.ID)); diff != "" {
+	wantRefusal(t, h.send(t.Context(), req).err, verdict.MayHaveRun, verdict.ReasonFenced)
+	if diff := cmp.Diff(request.Settled{Verdict: verdict.Ran}, h.settle(t, req.ID)); diff != "" {
 		t.Error(diff)
 	}
-	if b.server.count() != 1 {
-		t.Errorf("ran %d times", b.server.count())
+	if h.server.callCount() != 1 {
+		t.Errorf("ran %d times", h.server.callCount())
 	}
 }
 
-// Operators withdraw a key while its caller has requests queued and running. Queued ones must be
-// refused at once as not run, streams must end within a second, and a booking that runs must finish.
+// A key is withdrawn while its caller has queued and running requests. Queued requests must be refused at once as "not
+// run", streams must end within a second, and a running booking must finish.
 func TestKeyWithdrawn(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -194,23 +194,23 @@
 		path     string
 		finishes bool
 	}{
-		{name: "stream of a model", kind: ticket.KindModel, path: pathFlow},
+		{name: "stream of a model", kind: ticket.KindModel, path: pathStream},
 		{name: "call that may not be repeated", kind: ticket.KindService, path: pathHold, finishes: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newBench(t, tc.kind)
+			h := newHarness(t, tc.kind)
 			var running []<-chan answer
 			for range 2 {
-				running = append(running, b.sendAsync(t.Context(), b.execute(tc.path)))
-				<-b.server.started
+				running = append(running, h.sendAsync(t.Context(), h.newRequest(tc.path)))
+				<-h.server.started
 			}
-			queued := b.sendAsync(t.Context(), b.execute(tc.path))
-			b.untilQueued(t, 1)
-			b.config.set(t, tc.kind, 0, map[string][]string{"a": nil, "b": {testKey2}})
+			queued := h.sendAsync(t.Context(), h.newRequest(tc.path))
+			h.waitForQueued(t, 1)
+			h.config.set(t, tc.kind, 0, map[string][]string{"a": nil, "b": {testKey2}})
 			wantRefusal(t, (<-queued).err, verdict.NotRun, verdict.ReasonKeyWithdrawn)
-			wantRefusal(t, b.send(t.Context(), b.execute(tc.path)).err, verdict.NotRun, verdict.ReasonKeyWithdrawn)
+			wantRefusal(t, h.send(t.Context(), h.newRequest(tc.path)).err, verdict.NotRun, verdict.ReasonKeyWithdrawn)
 			if tc.finishes {
-				close(b.server.release)
+				close(h.server.release)
 			}
 			for _, done := range running {
 				got := <-done
@@ -220,161 +220,160 @@
 					t.Error(got.err)
 				}
 			}
-			if b.server.count() != 2 {
-				t.Errorf("%d calls reached the server", b.server.count())
+			if h.server.callCount() != 2 {
+				t.Errorf("%d calls reached the server", h.server.callCount())
 			}
 		})
 	}
 }
 
-// A caller whose key is withdrawn has stopped reading its stream. Its write would wait for ever and
-// keep a place at the engine.
+// A caller whose key is withdrawn has stopped reading its stream. The write to it would block forever and keep a slot
+// at the engine occupied.
 func TestKeyWithdrawnFromSlowReader(t *testing.T) {
-	sink := &stuckSink{released: make(chan struct{}), entered: make(chan struct{}, 1)}
-	b := newBench(t, ticket.KindModel)
+	sink := &blockingSink{released: make(chan struct{}), writing: make(chan struct{}, 1)}
+	h := newHarness(t, ticket.KindModel)
 	done := make(chan error, 1)
 	go func() {
-		_, err := b.agent.Execute(t.Context(), b.execute(pathOK), sink)
+		_, err := h.agent.Execute(t.Context(), h.newRequest(pathOK), sink)
 		done <- err
 	}()
-	<-sink.entered
-	b.config.set(t, ticket.KindModel, 0, map[string][]string{"a": nil})
+	<-sink.writing
+	h.config.set(t, ticket.KindModel, 0, map[string][]string{"a": nil})
 	wantRefusal(t, <-done, verdict.MayHaveRun, verdict.ReasonKeyWithdrawn)
 }
 
-// stuckSink is the sink of a caller that reads nothing.
-type stuckSink struct {
+// blockingSink is the sink of a caller that doesn't read: Write blocks until Abort.
+type blockingSink struct {
 	released chan struct{}
-	entered  chan struct{}
+	writing  chan struct{}
 	cause    error
 }
 
-func (s *stuckSink) Head(request.AnswerHead) error { return nil }
+func (s *blockingSink) Head(request.AnswerHead) error { return nil }
 
-func (s *stuckSink) Write([]byte) (int, error) {
-	s.entered <- struct{}{}
+func (s *blockingSink) Write([]byte) (int, error) {
+	s.writing <- struct{}{}
 	<-s.released
 	return 0, s.cause
 }
 
-func (s *stuckSink) Abort(cause error) {
+func (s *blockingSink) Abort(cause error) {
 	s.cause = cause
 	close(s.released)
 }
 
-// The agent is cut off from the rest of the system while streams run, and one of their keys is
-// withdrawn elsewhere. The agent never hears of it; the streams must end all the same, and what is
-// queued must be refused as not run. A booking that runs must finish.
+// The agent is cut off from its peers while streams run, and one of their keys is withdrawn. The agent doesn't learn of
+// it, but the streams must still end and queued requests must be refused as "not run". A running booking must finish.
 func TestIsolatedAgent(t *testing.T) {
-	b := &bench{config: &configuration{}}
-	startBench(t, b, ticket.KindService)
-	stream := b.execute(pathFlow)
+	h := &harness{config: &fakeConfiguration{}}
+	startHarness(t, h, ticket.KindService)
+	stream := h.newRequest(pathStream)
 	stream.Idempotent = true
-	running := b.sendAsync(t.Context(), stream)
-	<-b.server.started
-	booking := b.sendAsync(t.Context(), b.execute(pathHold))
-	<-b.server.started
-	queued := b.sendAsync(t.Context(), b.execute(pathOK))
-	b.untilQueued(t, 1)
-	b.stale.Store(true)
+	running := h.sendAsync(t.Context(), stream)
+	<-h.server.started
+	booking := h.sendAsync(t.Context(), h.newRequest(pathHold))
+	<-h.server.started
+	queued := h.sendAsync(t.Context(), h.newRequest(pathOK))
+	h.waitForQueued(t, 1)
+	h.stale.Store(true)
 	wantRefusal(t, (<-queued).err, verdict.NotRun, verdict.ReasonIsolated)
 	wantRefusal(t, (<-running).err, verdict.MayHaveRun, verdict.ReasonIsolated)
-	wantRefusal(t, b.send(t.Context(), b.execute(pathOK)).err, verdict.NotRun, verdict.ReasonIsolated)
-	close(b.server.release)
+	wantRefusal(t, h.send(t.Context(), h.newRequest(pathOK)).err, verdict.NotRun, verdict.ReasonIsolated)
+	close(h.server.release)
 	if got := <-booking; got.err != nil {
 		t.Error(got.err)
 	}
-	b.stale.Store(false)
-	if got := b.send(t.Context(), b.execute(pathOK)); got.err != nil {
+	h.stale.Store(false)
+	if got := h.send(t.Context(), h.newRequest(pathOK)); got.err != nil {
 		t.Error(got.err)
 	}
 }
 
-// A caller hangs up. Its queued request must leave the queue and never run, and its bookings must run to
-// the end, so that their outcome is known.
-func TestCallerGone(t *testing.T) {
-	b := newBench(t, ticket.KindService)
-	ctx, hangUp := context.WithCancel(t.Context())
+// A caller disconnects. Its queued request must be removed and never run, and its running bookings must finish, so that
+// their outcome is known.
+func TestCallerDisconnects(t *testing.T) {
+	h := newHarness(t, ticket.KindService)
+	ctx, disconnect := context.WithCancel(t.Context())
 	var bookings []request.Execute
 	for range 2 {
-		booking := b.execute(pathHold)
+		booking := h.newRequest(pathHold)
 		bookings = append(bookings, booking)
-		b.sendAsync(ctx, booking)
-		<-b.server.started
-	}
-	waiting := b.execute(pathOK)
-	b.sendAsync(ctx, waiting)
-	b.untilQueued(t, 1)
-	hangUp()
-	b.untilQueued(t, 0)
-	if diff := cmp.Diff(request.Settled{Verdict: verdict.NotRun}, b.settle(t, waiting.ID)); diff != "" {
+		h.sendAsync(ctx, booking)
+		<-h.server.started
+	}
+	waiting := h.newRequest(pathOK)
+	h.sendAsync(ctx, waiting)
+	h.waitForQueued(t, 1)
+	disconnect()
+	h.waitForQueued(t, 0)
+	if diff := cmp.Diff(request.Settled{Verdict: verdict.NotRun}, h.settle(t, waiting.ID)); diff != "" {
 		t.Error(diff)
 	}
-	close(b.server.release)
+	close(h.server.release)
 	for _, booking := range bookings {
-		for b.settle(t, booking.ID).Running {
+		for h.settle(t, booking.ID).Running {
 		}
-		if diff := cmp.Diff(request.Settled{Verdict: verdict.Ran}, b.settle(t, booking.ID)); diff != "" {
+		if diff := cmp.Diff(request.Settled{Verdict: verdict.Ran}, h.settle(t, booking.ID)); diff != "" {
 			t.Error(diff)
 		}
 	}
 }
 
-// A caller hangs up in the middle of its stream. The engine would go on generating for nobody; its
-// connection must be cut and the generation cancelled.
-func TestCallerGoneFromStream(t *testing.T) {
-	b, engine := startWeights(t, nil, 2)
-	ctx, hangUp := context.WithCancel(t.Context())
-	q := b.execute(pathFlow)
-	q.Body = []byte(`{"sampleId":"s"}`)
-	b.sendAsync(ctx, q)
-	<-b.server.started
-	hangUp()
-	if cause := <-b.server.ended; cause == nil {
-		t.Error("the stream ended without a cause")
+// A caller disconnects in the middle of its stream. The engine would continue to generate for nobody, so its connection
+// must be closed and the generation cancelled.
+func TestCallerDisconnectsFromStream(t *testing.T) {
+	h, engine := startModelHarness(t, nil, 2)
+	ctx, disconnect := context.WithCancel(t.Context())
+	req := h.newRequest(pathStream)
+	req.Body = []byte(`{"sampleId":"s"}`)
+	h.sendAsync(ctx, req)
+	<-h.server.started
+	disconnect()
+	if cause := <-h.server.disconnected; cause == nil {
+		t.Error("the stream ended without a cancellation cause")
 	}
 	if sample := <-engine.cancelled; sample != "s" {
 		t.Errorf("cancelled sample %q", sample)
 	}
 }
 
-// A deadline passes in the queue. The caller must be refused then, with the time to come back, and
-// not when its turn would have come.
+// A deadline passes while the request is queued. The caller must be refused then, with a retry delay, and not only when
+// the request reaches the head of the queue.
 func TestDeadlineInQueue(t *testing.T) {
-	b := newBench(t, ticket.KindService)
+	h := newHarness(t, ticket.KindService)
 	for range 2 {
-		b.sendAsync(t.Context(), b.execute(pathHold))
-		<-b.server.started
+		h.sendAsync(t.Context(), h.newRequest(pathHold))
+		<-h.server.started
 	}
-	late := b.execute(pathOK)
+	late := h.newRequest(pathOK)
 	late.Remaining = 20 * time.Millisecond
-	got := b.send(t.Context(), late)
+	got := h.send(t.Context(), late)
 	wantRefusal(t, got.err, verdict.NotRun, verdict.ReasonDeadlinePassed)
 	if refusal, _ := verdict.As(got.err); refusal.RetryAfter < time.Second {
-		t.Errorf("come back after %s", refusal.RetryAfter)
+		t.Errorf("retry delay %s, want at least 1s", refusal.RetryAfter)
 	}
-	close(b.server.release)
+	close(h.server.release)
 }
 
-// A backend server host leaves while callers read streams and others wait. None may be cut off, and
-// no new request may start.
-func TestDrainCutsOffNothing(t *testing.T) {
-	b := newBench(t, ticket.KindModel)
+// An agent drains while some requests stream and others are queued. None may be interrupted, and no new request may be
+// accepted.
+func TestDrainLetsRequestsFinish(t *testing.T) {
+	h := newHarness(t, ticket.KindModel)
 	var accepted []<-chan answer
 	for range 100 {
-		accepted = append(accepted, b.sendAsync(t.Context(), b.execute(pathFlow)))
+		accepted = append(accepted, h.sendAsync(t.Context(), h.newRequest(pathStream)))
 	}
-	b.untilQueued(t, 98)
+	h.waitForQueued(t, 98)
 	drained := make(chan error, 1)
-	go func() { drained <- b.agent.Drain(t.Context()) }()
-	for !b.agent.Load().Draining {
-		b.untilQueued(t, 98)
+	go func() { drained <- h.agent.Drain(t.Context()) }()
+	for !h.agent.Load().Draining {
+		h.waitForQueued(t, 98)
 	}
-	wantRefusal(t, b.send(t.Context(), b.execute(pathOK)).err, verdict.NotRun, verdict.ReasonLeaving)
+	wantRefusal(t, h.send(t.Context(), h.newRequest(pathOK)).err, verdict.NotRun, verdict.ReasonLeaving)
 	if len(drained) > 0 {
 		t.Error("drained with requests running")
 	}
-	close(b.server.release)
+	close(h.server.release)
 	for _, done := range accepted {
 		if got := <-done; got.err != nil || got.body != "data: a\n\n" {
 			t.Errorf("body %q, error %v", got.body, got.err)
@@ -385,90 +384,90 @@
 	}
 }
 
-// A caller's key comes in every place that a careless client may put it. The backend server must
-// see none of them, and neither may the dump.
+// A careless client sends its key in many headers and query parameters. Neither the backend server nor the state dump
+// may contain a key.
 func TestNoKeyReachesTheBackendServer(t *testing.T) {
-	b := newBench(t, ticket.KindService)
-	q := b.execute(pathHold)
-	q.Query = "day=1&token=key+of+a+caller&api_key=" + testKey2
+	h := newHarness(t, ticket.KindService)
+	req := h.newRequest(pathHold)
+	req.Query = "day=1&token=key+of+a+caller&api_key=" + testKey2
 	for _, name := range []string{"Authorization", "Cookie", "X-Api-Key", "Proxy-Authorization", "X-Other", "Content-Type", "accept", "user-agent"} {
-		q.Header = append(q.Header, request.HeaderField{Name: name, Value: "Bearer " + testKey})
+		req.Header = append(req.Header, request.HeaderField{Name: name, Value: "Bearer " + testKey})
 	}
-	q.Header = append(q.Header, request.HeaderField{Name: "content-type", Value: "text/plain"})
-	done := b.sendAsync(t.Context(), q)
-	<-b.server.started
-	dump, err := json.Marshal(b.agent.State())
+	req.Header = append(req.Header, request.HeaderField{Name: "content-type", Value: "text/plain"})
+	done := h.sendAsync(t.Context(), req)
+	<-h.server.started
+	dump, err := json.Marshal(h.agent.State())
 	if err != nil {
 		t.Fatal(err)
 	}
-	close(b.server.release)
+	close(h.server.release)
 	<-done
 	want := []Call{{
 		Method: "POST", Path: pathHold, Query: "day=1",
 		Header: []request.HeaderField{{Name: "Content-Type", Value: "text/plain"}},
 	}}
-	if diff := cmp.Diff(want, b.server.calls); diff != "" {
+	if diff := cmp.Diff(want, h.server.calls); diff != "" {
 		t.Error(diff)
 	}
 	for _, secret := range []string{testKey, testKey2, keyHash(testKey)} {
 		if strings.Contains(string(dump), secret) {
-			t.Errorf("the dump holds %s: %s", secret, dump)
+			t.Errorf("the state dump contains %s: %s", secret, dump)
 		}
 	}
 }
 
-// A caller retries a booking under the same idempotency key: at once, after the answer, with another
-// body. The booking must be made once and the retry must receive the first answer.
+// A caller sends a booking again with the same idempotency key: while the first runs, with another body, and after the
+// first answer. The booking must run once, and the last retry must receive the first answer.
 func TestIdempotencyKey(t *testing.T) {
-	b := newBench(t, ticket.KindService)
+	h := newHarness(t, ticket.KindService)
 	keyed := func(path, body string) request.Execute {
-		q := b.execute(path)
-		q.Body = []byte(body)
-		q.Header = []request.HeaderField{{Name: headerIdempotencyKey, Value: "hash"}}
-		return q
-	}
-	first := b.sendAsync(t.Context(), keyed(pathHold, "one"))
-	<-b.server.started
-	wantRefusal(t, b.send(t.Context(), keyed(pathHold, "one")).err, verdict.MayHaveRun, verdict.ReasonInProgress)
-	wantRefusal(t, b.send(t.Context(), keyed(pathHold, "two")).err, verdict.NotRun, verdict.ReasonKeyReused)
-	close(b.server.release)
+		req := h.newRequest(path)
+		req.Body = []byte(body)
+		req.Header = []request.HeaderField{{Name: headerIdempotencyKey, Value: "hash"}}
+		return req
+	}
+	first := h.sendAsync(t.Context(), keyed(pathHold, "one"))
+	<-h.server.started
+	wantRefusal(t, h.send(t.Context(), keyed(pathHold, "one")).err, verdict.MayHaveRun, verdict.ReasonInProgress)
+	wantRefusal(t, h.send(t.Context(), keyed(pathHold, "two")).err, verdict.NotRun, verdict.ReasonKeyReused)
+	close(h.server.release)
 	want := <-first
-	got := b.send(t.Context(), keyed(pathHold, "one"))
+	got := h.send(t.Context(), keyed(pathHold, "one"))
 	if want.err != nil || got.err != nil || got.body != want.body {
 		t.Errorf("first %v, retry %v", want, got)
 	}
-	if b.server.count() != 1 {
-		t.Errorf("ran %d times", b.server.count())
+	if h.server.callCount() != 1 {
+		t.Errorf("ran %d times", h.server.callCount())
 	}
 }
 
-// An agent's view is behind the entry's, and a new key is not in it yet. That must not read as a
-// withdrawn key, which a caller would take for final.
-func TestViewBehindTheEntry(t *testing.T) {
-	b := newBench(t, ticket.KindService)
-	q := b.execute(pathOK)
-	q.KeyHash = keyHash("a key granted a moment ago")
-	q.Revision = 2
-	wantRefusal(t, b.send(t.Context(), q).err, verdict.NotRun, verdict.ReasonStaleView)
-	q = b.execute(pathOK)
-	q.Organisation = "b"
-	wantRefusal(t, b.send(t.Context(), q).err, verdict.NotRun, verdict.ReasonKeyWithdrawn)
+// The agent's view is older than the entry's and doesn't contain a new key yet. The agent must not refuse the request
+// with ReasonKeyWithdrawn, which is final for the caller.
+func TestStaleViewIsNotAWithdrawnKey(t *testing.T) {
+	h := newHarness(t, ticket.KindService)
+	req := h.newRequest(pathOK)
+	req.KeyHash = keyHash("a key granted a moment ago")
+	req.Revision = 2
+	wantRefusal(t, h.send(t.Context(), req).err, verdict.NotRun, verdict.ReasonStaleView)
+	req = h.newRequest(pathOK)
+	req.Organisation = "b"
+	wantRefusal(t, h.send(t.Context(), req).err, verdict.NotRun, verdict.ReasonKeyWithdrawn)
 }
 
-// A whole answer over the peer connection, with admission, queue and record.
+// Measures a request over the peer connection, including the checks, the queue and the record.
 func BenchmarkExecute(b *testing.B) {
-	bench := newBench(b, ticket.KindService)
+	h := newHarness(b, ticket.KindService)
 	b.ReportAllocs()
 	for b.Loop() {
-		q := bench.execute(pathOK)
-		if got := bench.send(b.Context(), q); got.err != nil {
+		req := h.newRequest(pathOK)
+		if got := h.send(b.Context(), req); got.err != nil {
 			b.Fatal(got.err)
 		}
-		<-bench.server.started
+		<-h.server.started
 	}
 }
 
-var _ peer.Aborter = (*stuckSink)(nil)
+var _ peer.Aborter = (*blockingSink)(nil)
 
 func TestTokenCounter(t *testing.T) {
 	text := "data: a\n\n: comment\ndata: b\n\nevent: end\n\n"
@@ -478,7 +477,7 @@
 			counter.add([]byte(text[:split]))
 			counter.add([]byte(text[split:]))
 			if counter.count != 2 {
-				t.Errorf("counted %d", counter.count)
+				t.Errorf("counted %d tokens, want 2", counter.count)
 			}
 		})
 	}
--- a/internal/edge/agent/header.go
+++ b/internal/edge/agent/header.go
@@ -11,9 +11,9 @@
 
 const headerIdempotencyKey = "Idempotency-Key"
 
-// requestHeaders may go on to a backend server. All others stop here, Authorization, Cookie and
-// X-Api-Key among them: a list of what is allowed stays right when a caller invents a header.
-var requestHeaders = map[string]bool{
+// forwardedRequestHeaders are the request headers that are forwarded to the backend server. All others, including
+// Authorization, Cookie and X-Api-Key, are removed. An allow-list also covers headers that a caller makes up.
+var forwardedRequestHeaders = map[string]bool{
 	"Accept":             true,
 	"Accept-Encoding":    true,
 	"Accept-Language":    true,
@@ -29,8 +29,8 @@
 	"User-Agent":         true,
 }
 
-// hopHeaders are about one connection and never go on to the caller.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders apply to a single connection and are not forwarded to the caller.
+var hopByHopHeaders = map[string]bool{
 	"Connection":        true,
 	"Keep-Alive":        true,
 	"Proxy-Connection":  true,
@@ -40,32 +40,33 @@
 	"Upgrade":           true,
 }
 
-// allowedHeader returns the fields that may go on to the backend server. A value that is a known key
-// is dropped even in an allowed field.
-func allowedHeader(view *ticket.View, header []request.HeaderField) []request.HeaderField {
+// filterRequestHeader returns the fields that are forwarded to the backend server. A field whose value is a known
+// API key is removed even if its name is allowed.
+func filterRequestHeader(view *ticket.View, header []request.HeaderField) []request.HeaderField {
 	var allowed []request.HeaderField
 	for _, field := range header {
 		name := textproto.CanonicalMIMEHeaderKey(field.Name)
-		if requestHeaders[name] && !isKey(view, field.Value) {
+		if forwardedRequestHeaders[name] && !isKnownKey(view, field.Value) {
 			allowed = append(allowed, request.HeaderField{Name: name, Value: field.Value})
 		}
 	}
 	return allowed
 }
 
-// answerHeader returns the fields of an answer that go on to the caller.
-func answerHeader(header []request.HeaderField) []request.HeaderField {
+// filterAnswerHeader returns the fields of an answer that are forwarded to the caller.
+func filterAnswerHeader(header []request.HeaderField) []request.HeaderField {
 	var kept []request.HeaderField
 	for _, field := range header {
-		if !hopHeaders[textproto.CanonicalMIMEHeaderKey(field.Name)] {
+		if !hopByHopHeaders[textproto.CanonicalMIMEHeaderKey(field.Name)] {
 			kept = append(kept, field)
 		}
 	}
 	return kept
 }
 
-// allowedQuery drops the parameters whose value is a known key; the others keep order and bytes.
-func allowedQuery(view *ticket.View, query string) string {
+// filterQuery removes the parameters whose value is a known API key. The other parameters keep their order and
+// encoding.
+func filterQuery(view *ticket.View, query string) string {
 	var kept []string
 	for part := range strings.SplitSeq(query, "&") {
 		_, raw, _ := strings.Cut(part, "=")
@@ -73,14 +74,15 @@
 		if err != nil {
 			value = raw
 		}
-		if !isKey(view, value) {
+		if !isKnownKey(view, value) {
 			kept = append(kept, part)
 		}
 	}
 	return strings.Join(kept, "&")
 }
 
-func isKey(view *ticket.View, value string) bool {
+// isKnownKey reports whether the value is a known API key, alone or after a scheme such as Bearer.
+func isKnownKey(view *ticket.View, value string) bool {
 	value = strings.TrimSpace(value)
 	if _, token, ok := strings.Cut(value, " "); ok {
 		if _, _, known := view.Authenticate(token); known {
@@ -91,8 +93,8 @@
 	return known
 }
 
-func idempotencyKey(q request.Execute) (string, bool) {
-	for _, field := range q.Header {
+func idempotencyKey(req request.Execute) (string, bool) {
+	for _, field := range req.Header {
 		if textproto.CanonicalMIMEHeaderKey(field.Name) == headerIdempotencyKey && field.Value != "" {
 			return field.Value, true
 		}
--- a/internal/edge/agent/isolation.go
+++ b/internal/edge/agent/isolation.go
@@ -8,44 +8,43 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/queue"
 )
 
-// isolationGrace is how long the configuration may stay unconfirmed before streams are cut. With the
-// 3 s after which a view counts as unconfirmed, a withdrawn key stops within 4 s even where its
-// withdrawal never arrives; a shorter grace would cut streams for a moment's delay of one message.
+// isolationGrace is how long the configuration may stay unconfirmed before streams are cancelled. A configuration
+// counts as unconfirmed after 3 s, so the streams of a withdrawn key end within 4 s even if the withdrawal never
+// reaches the agent. With a shorter grace a short delay of one message would cancel streams.
 const isolationGrace = time.Second
 
-// errIsolated is the cause of the end of a run whose agent was cut off.
+// errIsolated is the cancellation cause of a request whose agent is isolated.
 var errIsolated = errors.New("agent is isolated")
 
-// isolation watches whether the configuration is still confirmed.
+// isolation tracks how long the configuration has been unconfirmed.
 //
-// An agent that is cut off does not learn that a key was withdrawn, and a stream of that key would go
-// on for as long as the cut lasts. So an isolated agent refuses what is queued and cuts the streams.
-// Calls that may not be cut short finish. An outage of the platform is no isolation: no key can be
-// withdrawn then.
+// An agent that is cut off from its peers doesn't learn that a key was withdrawn, and a stream of that key would
+// continue until the connection is restored. An isolated agent therefore refuses queued requests and cancels streams;
+// uncancellable calls finish. An outage of the platform is not isolation, since no key can be withdrawn during it.
 type isolation struct {
-	fresh func(now time.Time) bool
-	since time.Time
+	fresh            func(now time.Time) bool
+	unconfirmedSince time.Time
 }
 
-// persists says whether the agent has been isolated for longer than the grace.
-func (i *isolation) persists(now time.Time) bool {
+// exceedsGrace reports whether the configuration has been unconfirmed for at least isolationGrace.
+func (i *isolation) exceedsGrace(now time.Time) bool {
 	if i.fresh(now) {
-		i.since = time.Time{}
+		i.unconfirmedSince = time.Time{}
 		return false
 	}
-	if i.since.IsZero() {
-		i.since = now
+	if i.unconfirmedSince.IsZero() {
+		i.unconfirmedSince = now
 	}
-	return now.Sub(i.since) >= isolationGrace
+	return now.Sub(i.unconfirmedSince) >= isolationGrace
 }
 
-// checkIsolation refuses and cuts what an isolated agent may not serve.
-func (c *control) checkIsolation(now time.Time) {
-	if !c.isolation.persists(now) {
+// enforceIsolation refuses the queued requests and cancels the cancellable running ones if the agent is isolated.
+func (c *control) enforceIsolation(now time.Time) {
+	if !c.isolation.exceedsGrace(now) {
 		return
 	}
 	for _, item := range c.queue.Remove(func(queue.Item[*job]) bool { return true }) {
-		c.drop(now, item.Value, isolated())
+		c.refuse(now, item.Value, isolatedNotRun())
 	}
 	for j := range c.running {
 		if j.cancellable {
--- a/internal/edge/agent/job.go
+++ b/internal/edge/agent/job.go
@@ -11,63 +11,63 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/request"
 )
 
-// errKeyWithdrawn is the cause of the end of a run whose key was withdrawn.
+// errKeyWithdrawn is the cancellation cause of a running request whose key was withdrawn.
 var errKeyWithdrawn = errors.New("key was withdrawn")
 
-// decided says whether a started job is sent to the backend server or withdrawn before that.
+// The values of job.sendDecision: whether a started job is sent to the backend server or cancelled before that.
 const (
 	undecided int32 = iota
 	sent
-	withdrawn
+	cancelledUnsent
 )
 
-// job is a request from its arrival to its end. The control goroutine owns all of it but q.
+// job is a request from its arrival to its end. It belongs to the control loop, except for req.
 type job struct {
-	q        request.Execute
+	req      request.Execute
 	deadline time.Time
-	// cancellable calls may be cut short: streams of a model engine, and idempotent calls.
+	// cancellable is set for calls that may be interrupted: calls to a model engine, and idempotent calls.
 	cancellable bool
-	// key is set when the caller gave an idempotency key for a call that may not be repeated.
-	key    execution.Key
-	digest execution.Digest
-	// started receives the one decision of the control goroutine: nil to run, or a refusal.
-	started chan error
-	// replay is set before started when the call ran before under the same idempotency key.
-	replay *outcome
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	since  time.Time
-	// decision is taken once, by the goroutine that is about to send the call or by a question what
-	// became of it. Without it a question that comes between start and sending had to answer "may
-	// have run" for calls that were then not sent, since their caller had gone.
-	decision atomic.Int32
+	// idempotencyKey is set if the caller sent an idempotency key for a call that is not idempotent.
+	idempotencyKey execution.Key
+	digest         execution.Digest
+	// startResult receives the control loop's only decision on the job: nil to run it, or a refusal.
+	startResult chan error
+	// replay is set before startResult receives nil if the call has already run with the same idempotency key.
+	replay    *outcome
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
+	startedAt time.Time
+	// sendDecision is set once, either by the goroutine that is about to send the call or by a Settle request.
+	// Without it, a Settle request between start and sending would have to be answered with "may have run" even
+	// if the call is then not sent because its caller has disconnected.
+	sendDecision atomic.Int32
 }
 
-// decide takes the decision, or returns false if another was taken before.
+// decide sets the send decision. It returns false if the decision was already made.
 func (j *job) decide(decision int32) bool {
-	return j.decision.CompareAndSwap(undecided, decision)
+	return j.sendDecision.CompareAndSwap(undecided, decision)
 }
 
-func newJob(ctx context.Context, q request.Execute, now time.Time, cancellable bool) *job {
-	j := &job{q: q, cancellable: cancellable, started: make(chan error, 1)}
-	if q.Remaining > 0 {
-		j.deadline = now.Add(q.Remaining)
+func newJob(ctx context.Context, req request.Execute, now time.Time, cancellable bool) *job {
+	j := &job{req: req, cancellable: cancellable, startResult: make(chan error, 1)}
+	if req.Remaining > 0 {
+		j.deadline = now.Add(req.Remaining)
 	}
-	if key, ok := idempotencyKey(q); ok && !q.Idempotent && !cancellable {
-		j.key = execution.Key{Organisation: q.Organisation, Hash: key}
-		j.digest = digest(q)
+	if key, ok := idempotencyKey(req); ok && !req.Idempotent && !cancellable {
+		j.idempotencyKey = execution.Key{Organisation: req.Organisation, Hash: key}
+		j.digest = callDigest(req)
 	}
-	j.ctx, j.cancel = context.WithCancelCause(j.base(ctx))
+	j.ctx, j.cancel = context.WithCancelCause(j.runContext(ctx))
 	return j
 }
 
-// base returns the context of the run. A call that may not be repeated and can't be cut short
-// finishes although its caller has gone: its effect would be unknown otherwise.
-func (j *job) base(ctx context.Context) context.Context {
+// runContext returns the parent context of the run. An uncancellable call finishes even if its caller has
+// disconnected, since otherwise its effect would be unknown.
+func (j *job) runContext(ctx context.Context) context.Context {
 	if j.cancellable {
 		return ctx
 	}
 	return context.WithoutCancel(ctx)
 }
 
-func (j *job) keyed() bool { return j.key != execution.Key{} }
+func (j *job) hasIdempotencyKey() bool { return j.idempotencyKey != execution.Key{} }
--- a/internal/edge/agent/kill_test.go
+++ b/internal/edge/agent/kill_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// processListener is the listener of one process of an agent, which a test can kill as SIGKILL does: from that
-// moment the process writes nothing more, whatever it does while its goroutines end.
+// processListener is the listener of an agent's simulated process. Its kill has the effect of SIGKILL on the network:
+// from then on the process sends nothing, even while its goroutines still end.
 //
-// Guard: the end of a context lets a handler answer, and the answer may leave before the connection is closed. A
-// killed process never answers. All connections are closed first, and nothing else ends before.
+// Ending the agent's context is not enough, since a handler may then answer before its connection is closed, and a
+// killed process never answers. kill closes all connections before anything else ends.
 type processListener struct {
 	net.Listener
 
@@ -20,7 +20,7 @@
 	conns  []net.Conn
 }
 
-// Accept returns the next connection, closed already if it comes after the kill.
+// Accept returns the next connection. After the kill it returns closed connections.
 func (l *processListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 }
 
-// listen returns a listener on the port, or on a new one for nil.
+// listen returns a listener on the kept port, or on a new port if it is nil.
 func listen(t testing.TB, port *os.File) *processListener {
 	t.Helper()
 	var l net.Listener
@@ -61,11 +61,11 @@
 	return &processListener{Listener: l}
 }
 
-// holdPort keeps the port for a process that is started anew at the address. A port that is free meanwhile
-// may be taken by any other connection of the machine.
-func (b *bench) holdPort(t testing.TB) *os.File {
+// keepPort keeps the port open for a process that is restarted at the same address. If the port were free in between,
+// any other connection on the machine could take it.
+func (h *harness) keepPort(t testing.TB) *os.File {
 	t.Helper()
-	port, err := b.listener.Listener.(*net.TCPListener).File()
+	port, err := h.listener.Listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/agent/metrics.go
+++ b/internal/edge/agent/metrics.go
@@ -10,11 +10,11 @@
 
 const (
 	metricPrefix = "oleandershelf_agent_"
-	// answered is the reason label of requests that were answered whole.
-	answered = "answered"
+	// reasonAnswered is the reason label of requests whose answer was delivered completely.
+	reasonAnswered = "answered"
 )
 
-// metrics are the agent's counters and gauges.
+// metrics holds the counters of the agent.
 type metrics struct {
 	requests *prometheus.CounterVec
 }
@@ -28,26 +28,26 @@
 		return m
 	}
 	registerer.MustRegister(m.requests,
-		gauge("queued", "Requests in the queue.", func() float64 { return float64(load().Queued) }),
-		gauge("running", "Requests at the backend server.", func() float64 { return float64(load().Running) }),
-		gauge("limit", "Requests that may run at a time.", func() float64 { return float64(load().Limit) }),
-		gauge("weight_version", "Weight version served.", func() float64 { return float64(load().Version) }),
+		newGauge("queued", "Requests in the queue.", func() float64 { return float64(load().Queued) }),
+		newGauge("running", "Requests at the backend server.", func() float64 { return float64(load().Running) }),
+		newGauge("limit", "Requests that may run at a time.", func() float64 { return float64(load().Limit) }),
+		newGauge("weight_version", "Weight version served.", func() float64 { return float64(load().Version) }),
 	)
 	return m
 }
 
-func gauge(name, help string, value func() float64) prometheus.Collector {
+func newGauge(name, help string, value func() float64) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: metricPrefix + name, Help: help}, value)
 }
 
-// count counts a request. Organisations that the view doesn't know share one empty label, so that
-// made-up names can't grow the number of series.
-func (m *metrics) count(view *ticket.View, organisation string, err error) {
+// countRequest counts a request. Organisations that are not in the view share one empty label, so that made-up
+// names can't increase the number of time series.
+func (m *metrics) countRequest(view *ticket.View, organisation string, err error) {
 	if _, ok := view.Organisation(organisation); !ok {
 		organisation = ""
 	}
 	if err == nil {
-		m.requests.WithLabelValues(organisation, verdict.Ran.String(), answered).Inc()
+		m.requests.WithLabelValues(organisation, verdict.Ran.String(), reasonAnswered).Inc()
 		return
 	}
 	refusal := verdict.From(err)
--- a/internal/edge/agent/outcome.go
+++ b/internal/edge/agent/outcome.go
@@ -11,31 +11,31 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// maxOutcome bounds the answer that is kept for a repeat under the same idempotency key; the answer
-// to a booking or a billing call is a small document.
-const maxOutcome = 16 << 10
+// maxStoredBody is the maximum size in bytes of an answer body that is stored for a repeat with the same idempotency
+// key. The answer to a booking or a billing call is a small document.
+const maxStoredBody = 16 << 10
 
-// outcome is the answer of a call that ran, kept for a repeat under the same idempotency key.
+// outcome is the answer of a call that ran, stored for a repeat with the same idempotency key.
 type outcome struct {
 	head request.AnswerHead
 	body []byte
-	// omitted: the answer was too large to keep.
-	omitted bool
+	// bodyTooLarge is set if the body exceeds maxStoredBody and was not stored.
+	bodyTooLarge bool
 }
 
-// add keeps a part of the body, until it grows too large.
-func (o *outcome) add(p []byte) {
-	if o.omitted || len(o.body)+len(p) > maxOutcome {
-		o.omitted = true
+// appendBody appends a part of the body. It discards the whole body once it exceeds maxStoredBody.
+func (o *outcome) appendBody(p []byte) {
+	if o.bodyTooLarge || len(o.body)+len(p) > maxStoredBody {
+		o.bodyTooLarge = true
 		o.body = nil
 		return
 	}
 	o.body = append(o.body, p...)
 }
 
-// replay sends the answer again.
+// replay sends the stored answer. It refuses if the body was too large to store.
 func (o *outcome) replay(out peer.Sink) error {
-	if o.omitted {
+	if o.bodyTooLarge {
 		return verdict.Refuse(verdict.Ran, verdict.ReasonAnswerLost, 0,
 			"the call ran; its answer is too large to be repeated")
 	}
@@ -46,16 +46,16 @@
 	return err
 }
 
-// digest sums up what makes two calls the same.
-func digest(q request.Execute) execution.Digest {
+// callDigest returns the digest of the method, path, query and body, by which two calls are compared.
+func callDigest(req request.Execute) execution.Digest {
 	sum := sha256.New()
-	for _, part := range [][]byte{[]byte(q.Method), []byte(q.Path), []byte(q.Query), q.Body} {
-		writePart(sum, part)
+	for _, part := range [][]byte{[]byte(req.Method), []byte(req.Path), []byte(req.Query), req.Body} {
+		writeLengthPrefixed(sum, part)
 	}
 	return execution.Digest(sum.Sum(nil))
 }
 
-func writePart(sum hash.Hash, part []byte) {
+func writeLengthPrefixed(sum hash.Hash, part []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 	sum.Write(length[:])
--- a/internal/edge/agent/prefixes.go
+++ b/internal/edge/agent/prefixes.go
@@ -10,41 +10,42 @@
 )
 
 const (
-	// prefixInterval is as often as load: an older answer would send a group's samples elsewhere.
-	prefixInterval = loadInterval
-	// maxPrefixes bounds the memory of the hints; an engine's cache holds far fewer.
+	// prefixPollInterval is the same as for the load. With older hints the samples of a group would be placed at
+	// other servers.
+	prefixPollInterval = enginePollInterval
+	// maxPrefixes limits the memory of the hints; an engine's cache holds far fewer.
 	maxPrefixes = 4096
 )
 
-// prefixes is what the engine's prefix cache is believed to hold. It is a hint for placement only:
-// a wrong one costs time, never a wrong answer. Events come late and with gaps, so a gap drops all
-// hints that the lost events may have made untrue.
-type prefixes struct {
-	source PrefixSource
-	last   uint64
-	held   atomic.Pointer[map[uint64]struct{}]
+// prefixHints tracks which prefixes the engine's cache is believed to hold. It is only a hint for placement: a wrong
+// hint costs time but never leads to a wrong answer. Events arrive late and some are lost. After a gap in the sequence
+// all earlier hints are dropped, since the lost events may have invalidated them.
+type prefixHints struct {
+	source       PrefixSource
+	lastSequence uint64
+	hashes       atomic.Pointer[map[uint64]struct{}]
 }
 
-func newPrefixes(source PrefixSource) *prefixes {
-	p := &prefixes{source: source}
-	p.clear()
-	return p
+func newPrefixHints(source PrefixSource) *prefixHints {
+	h := &prefixHints{source: source}
+	h.clear()
+	return h
 }
 
-func (p *prefixes) clear() { p.held.Store(&map[uint64]struct{}{}) }
+func (h *prefixHints) clear() { h.hashes.Store(&map[uint64]struct{}{}) }
 
-func (p *prefixes) cached(prefix uint64) bool {
-	_, ok := (*p.held.Load())[prefix]
+func (h *prefixHints) cached(prefix uint64) bool {
+	_, ok := (*h.hashes.Load())[prefix]
 	return ok
 }
 
-// run follows the events until ctx ends, while the server is a model engine.
-func (p *prefixes) run(ctx context.Context, serves func() bool) {
-	ticker := time.NewTicker(prefixInterval)
+// run polls for events until ctx ends, while the pool serves a model.
+func (h *prefixHints) run(ctx context.Context, servesModel func() bool) {
+	ticker := time.NewTicker(prefixPollInterval)
 	defer ticker.Stop()
 	for {
-		if serves() {
-			p.poll(ctx)
+		if servesModel() {
+			h.poll(ctx)
 		}
 		select {
 		case <-ticker.C:
@@ -54,34 +55,34 @@
 	}
 }
 
-// poll takes in new events. An engine that can't be asked may have been restarted: its cache is empty
-// then and its numbers begin anew.
-func (p *prefixes) poll(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+// poll reads and applies new events. If the read fails, the engine may have been restarted, with an empty cache and
+// sequence numbers that start again, so all hints are dropped.
+func (h *prefixHints) poll(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
-	events, err := p.source.CacheEvents(ctx, p.last)
+	events, err := h.source.CacheEvents(ctx, h.lastSequence)
 	if err != nil {
-		p.last = 0
-		p.clear()
+		h.lastSequence = 0
+		h.clear()
 		return
 	}
 	if len(events) > 0 {
-		p.apply(events)
+		h.apply(events)
 	}
 }
 
-func (p *prefixes) apply(events []backendserver.CacheEvent) {
-	held := maps.Clone(*p.held.Load())
+func (h *prefixHints) apply(events []backendserver.CacheEvent) {
+	hashes := maps.Clone(*h.hashes.Load())
 	for _, event := range events {
-		if event.Sequence != p.last+1 {
-			clear(held)
+		if event.Sequence != h.lastSequence+1 {
+			clear(hashes)
 		}
-		p.last = event.Sequence
-		if event.Kind == backendserver.CacheStored && len(held) < maxPrefixes {
-			held[event.Prefix] = struct{}{}
+		h.lastSequence = event.Sequence
+		if event.Kind == backendserver.CacheStored && len(hashes) < maxPrefixes {
+			hashes[event.Prefix] = struct{}{}
 			continue
 		}
-		delete(held, event.Prefix)
+		delete(hashes, event.Prefix)
 	}
-	p.held.Store(&held)
+	h.hashes.Store(&hashes)
 }
--- a/internal/edge/agent/prefixes_test.go
+++ b/internal/edge/agent/prefixes_test.go
@@ -27,10 +27,10 @@
 		{name: "gap", events: []backendserver.CacheEvent{stored(1, 10), stored(3, 30)}, want: []uint64{30}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := newPrefixes(&fakeEngine{events: tc.events})
-			p.poll(t.Context())
-			p.poll(t.Context())
-			got := slices.Sorted(maps.Keys(*p.held.Load()))
+			h := newPrefixHints(&fakeEngine{events: tc.events})
+			h.poll(t.Context())
+			h.poll(t.Context())
+			got := slices.Sorted(maps.Keys(*h.hashes.Load()))
 			if diff := cmp.Diff(tc.want, got); diff != "" {
 				t.Error(diff)
 			}
--- a/internal/edge/agent/settle.go
+++ b/internal/edge/agent/settle.go
@@ -8,18 +8,18 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// settle says what became of a request whose connection was lost.
+// handleSettle returns the outcome of a request whose connection was lost.
 //
-// Guard: an agent's process dies while a call runs and is started anew at the same address, with an
-// empty record. It has not seen the request, and "not run" would be false: the asker would send a
-// booking again that the backend server has made. The asker names the process to which it sent the
-// request; any other process answers that it may have run.
-func (a *Agent) settle(_ context.Context, q request.Settle) (request.Settled, error) {
+// The agent's process may have died while the call ran and been restarted at the same address with an empty record.
+// The new process has not seen the request, but "not run" could be false: the sender would repeat a booking that the
+// backend server has already made. The sender therefore names the process to which it sent the request, and any other
+// process answers "may have run".
+func (a *Agent) handleSettle(_ context.Context, req request.Settle) (request.Settled, error) {
 	var settled request.Settled
-	if !a.do(func(now time.Time) { settled = a.control.settle(now, q.ID) }) {
-		return settled, ErrEnded
+	if !a.runOnControlLoop(func(now time.Time) { settled = a.control.settle(now, req.ID) }) {
+		return settled, ErrStopped
 	}
-	if q.Process != a.process.Load() {
+	if req.Process != a.processIncarnation.Load() {
 		return request.Settled{Verdict: verdict.MayHaveRun}, nil
 	}
 	return settled, nil
--- a/internal/edge/agent/state.go
+++ b/internal/edge/agent/state.go
@@ -9,7 +9,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/request"
 )
 
-// state is the dump of an agent. It holds no key and no hash of one.
+// state is the state dump of an agent. It contains neither API keys nor hashes of them.
 type state struct {
 	HostID           string           `json:"hostId"`
 	AvailabilityZone string           `json:"availabilityZone"`
@@ -27,7 +27,7 @@
 	UsageCells       int              `json:"usageCells"`
 }
 
-// runningState is one running request in a dump.
+// runningState is a running request in the state dump.
 type runningState struct {
 	ID           string    `json:"id"`
 	Organisation string    `json:"organisation"`
@@ -37,7 +37,7 @@
 	Since        time.Time `json:"since"`
 }
 
-// State returns the dump of the agent.
+// State returns the state dump of the agent, to be encoded as JSON.
 func (a *Agent) State() any {
 	s := state{
 		HostID:           a.config.HostID,
@@ -46,34 +46,34 @@
 		ServerURL:        a.config.ServerURL,
 		Revision:         a.deps.View().Revision(),
 		Weights:          *a.weights.state.Load(),
-		EngineLoad:       *a.weights.report.Load(),
+		EngineLoad:       *a.weights.engineLoad.Load(),
 		UsageCells:       a.deps.Ledger.Len(),
 	}
-	a.do(func(now time.Time) { a.control.describe(now, &s) })
+	a.runOnControlLoop(func(now time.Time) { a.control.fillState(now, &s) })
 	return s
 }
 
-func (c *control) describe(now time.Time, s *state) {
+func (c *control) fillState(now time.Time, s *state) {
 	load := c.load(now)
 	s.Leaving = load.Draining
 	s.Queued = load.Queued
 	s.Limit = load.Limit
 	s.Record = c.record.Counts()
-	s.IdempotencyKeys = c.keys.Len()
+	s.IdempotencyKeys = c.idempotencyKeys.Len()
 	s.Running = make([]runningState, 0, len(c.running))
 	for j := range c.running {
-		s.Running = append(s.Running, describeJob(j.q, j))
+		s.Running = append(s.Running, newRunningState(j.req, j))
 	}
 	slices.SortFunc(s.Running, func(a, b runningState) int { return strings.Compare(a.ID, b.ID) })
 }
 
-func describeJob(q request.Execute, j *job) runningState {
+func newRunningState(req request.Execute, j *job) runningState {
 	return runningState{
-		ID:           q.ID.String(),
-		Organisation: q.Organisation,
-		Method:       q.Method,
-		Path:         q.Path,
+		ID:           req.ID.String(),
+		Organisation: req.Organisation,
+		Method:       req.Method,
+		Path:         req.Path,
 		Cancellable:  j.cancellable,
-		Since:        j.since,
+		Since:        j.startedAt,
 	}
 }
--- a/internal/edge/agent/state_test.go
+++ b/internal/edge/agent/state_test.go
@@ -15,11 +15,11 @@
 var update = flag.Bool("update", false, "write the golden files")
 
 func TestStateDump(t *testing.T) {
-	b := newBench(t, ticket.KindService)
-	if got := b.send(t.Context(), b.execute(pathOK)); got.err != nil {
+	h := newHarness(t, ticket.KindService)
+	if got := h.send(t.Context(), h.newRequest(pathOK)); got.err != nil {
 		t.Fatal(got.err)
 	}
-	dump, err := json.MarshalIndent(b.agent.State(), "", "  ")
+	dump, err := json.MarshalIndent(h.agent.State(), "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/agent/tokens.go
+++ b/internal/edge/agent/tokens.go
@@ -6,44 +6,45 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/ticket"
 )
 
-// Openings of the events of an engine's stream: each event is a token but for the closing one.
+// Line prefixes of the events in an engine's stream. Each event is a token, except for the closing event.
 var (
-	eventMark = []byte(`data: `)
-	doneMark  = []byte(`data: {"done"`)
+	eventPrefix        = []byte(`data: `)
+	closingEventPrefix = []byte(`data: {"done"`)
 )
 
-// tokenCounter counts the tokens of a streamed answer as its bytes pass.
+// tokenCounter counts the tokens in the bytes of a streamed answer.
 type tokenCounter struct {
-	model bool
-	line  []byte
-	count uint64
+	isModel bool
+	// lineStart holds the first bytes of the current line, at most the length of closingEventPrefix.
+	lineStart []byte
+	count     uint64
 }
 
 func newTokenCounter(kind ticket.PoolKind) tokenCounter {
-	return tokenCounter{model: kind == ticket.KindModel}
+	return tokenCounter{isModel: kind == ticket.KindModel}
 }
 
-// add takes the next bytes, which may end within a line. Only the start of each line is kept.
+// add counts the tokens in the next bytes, which may end in the middle of a line.
 func (t *tokenCounter) add(p []byte) {
-	if !t.model {
+	if !t.isModel {
 		return
 	}
 	for len(p) > 0 {
 		end := bytes.IndexByte(p, '\n')
 		if end < 0 {
-			t.extend(p)
+			t.extendLineStart(p)
 			return
 		}
-		t.extend(p[:end])
-		if bytes.HasPrefix(t.line, eventMark) && !bytes.HasPrefix(t.line, doneMark) {
+		t.extendLineStart(p[:end])
+		if bytes.HasPrefix(t.lineStart, eventPrefix) && !bytes.HasPrefix(t.lineStart, closingEventPrefix) {
 			t.count++
 		}
-		t.line = t.line[:0]
+		t.lineStart = t.lineStart[:0]
 		p = p[end+1:]
 	}
 }
 
-func (t *tokenCounter) extend(p []byte) {
-	room := len(doneMark) - len(t.line)
-	t.line = append(t.line, p[:min(len(p), max(room, 0))]...)
+func (t *tokenCounter) extendLineStart(p []byte) {
+	free := len(closingEventPrefix) - len(t.lineStart)
+	t.lineStart = append(t.lineStart, p[:min(len(p), max(free, 0))]...)
 }
--- a/internal/edge/agent/weights.go
+++ b/internal/edge/agent/weights.go
@@ -11,81 +11,84 @@
 
 const (
 	minBackoff = 200 * time.Millisecond
-	// maxBackoff keeps a server whose swap failed within the 7 s in which weights reach all servers.
-	maxBackoff   = 3 * time.Second
-	orderTimeout = time.Minute
-	loadTimeout  = 2 * time.Second
-	// lostAfter differing reports in a row, 5 s, are longer than a report lags behind its engine.
-	lostAfter = 10
+	// maxBackoff lets a server whose switch failed still meet the limit of 7 s in which new weights reach all servers.
+	maxBackoff        = 3 * time.Second
+	orderTimeout      = time.Minute
+	engineCallTimeout = 2 * time.Second
+	// mismatchThreshold is the number of consecutive reports with another version after which the engine is taken
+	// to have restarted. They span 5 s, which is longer than a report lags behind its engine.
+	mismatchThreshold = 10
 )
 
-// weights keeps a model engine at the version that the configuration names.
+// weightManager keeps a model engine at the weight version that the configuration specifies.
 //
-// A swap may fail at any step. The old version serves on until a switch succeeds; the orders are
-// given again with growing pauses, and a newer version replaces the one that is being tried.
-type weights struct {
+// Any step of a version change may fail. The old version keeps serving until a switch succeeds. The orders are
+// retried with increasing backoff, and a newer version in the configuration replaces the one being tried.
+type weightManager struct {
 	config Config
 	deps   Dependencies
-	// lost receives when the engine serves another version than the one it was switched to.
-	lost   chan struct{}
-	state  atomic.Pointer[weightState]
-	report atomic.Pointer[EngineLoad]
+	// versionMismatch receives a value if the engine serves another version than the one it was switched to.
+	versionMismatch chan struct{}
+	state           atomic.Pointer[weightState]
+	engineLoad      atomic.Pointer[EngineLoad]
 }
 
-// weightState is the published progress of the weight orders.
+// weightState is the progress of the weight orders, for loads and state dumps.
 type weightState struct {
+	// Served is the version that the engine serves; Wanted is the one it was last told to switch to.
 	Served int `json:"served"`
 	Wanted int `json:"wanted"`
-	// Prefetched is the newest version that was loaded beside the one that serves.
+	// Prefetched is the newest version that the engine has loaded; it can be above Served.
 	Prefetched int    `json:"prefetched"`
 	Failures   int    `json:"failures"`
 	LastError  string `json:"lastError,omitempty"`
 }
 
-func newWeights(config Config, deps Dependencies) *weights {
-	w := &weights{config: config, deps: deps, lost: make(chan struct{}, 1)}
+func newWeightManager(config Config, deps Dependencies) *weightManager {
+	w := &weightManager{config: config, deps: deps, versionMismatch: make(chan struct{}, 1)}
 	w.state.Store(&weightState{})
-	w.report.Store(&EngineLoad{})
+	w.engineLoad.Store(&EngineLoad{})
 	return w
 }
 
-// version is the weight version that serves.
-func (w *weights) version() int { return w.state.Load().Served }
+// servedVersion returns the weight version that the engine serves.
+func (w *weightManager) servedVersion() int { return w.state.Load().Served }
 
-// run follows the configuration until ctx ends. Each round decides by one view: a configuration that comes between two
-// looks would let it load the upcoming version before the one that is to serve.
-func (w *weights) run(ctx context.Context) {
+// run follows the configuration until ctx ends. Each iteration uses a single view. With two reads, a configuration
+// that arrives between them would make it prefetch the upcoming version before switching to the current one.
+func (w *weightManager) run(ctx context.Context) {
 	for {
 		changed := w.deps.Changed()
 		view := w.deps.View()
-		target, ok := w.target(view)
-		if !ok || target.Version == w.version() {
-			if !w.waitFor(ctx, changed, w.prefetch(ctx, changed, view)) {
+		target, ok := w.targetVersion(view)
+		if !ok || target.Version == w.servedVersion() {
+			if !w.waitForChange(ctx, changed, w.prefetch(ctx, changed, view)) {
 				return
 			}
 			continue
 		}
-		if w.swap(ctx, changed, target, view.Revision()) {
+		if w.switchTo(ctx, changed, target, view.Revision()) {
 			continue
 		}
-		if !w.waitFor(ctx, changed, w.backoff()) {
+		if !w.waitForChange(ctx, changed, w.backoff()) {
 			return
 		}
 	}
 }
 
-// waitFor waits for a change, a lost version, or the time if it isn't 0; false when ctx ends.
-func (w *weights) waitFor(ctx context.Context, changed <-chan struct{}, pause time.Duration) bool {
+// waitForChange waits for a configuration change, a version mismatch, or the delay if it is not 0. It returns false
+// if ctx ends.
+func (w *weightManager) waitForChange(ctx context.Context, changed <-chan struct{}, delay time.Duration) bool {
 	var elapsed <-chan time.Time
-	if pause > 0 {
-		timer := time.NewTimer(pause)
+	if delay > 0 {
+		timer := time.NewTimer(delay)
 		defer timer.Stop()
 		elapsed = timer.C
 	}
 	select {
 	case <-changed:
 		return true
-	case <-w.lost:
+	case <-w.versionMismatch:
 		return true
 	case <-elapsed:
 		return true
@@ -94,13 +97,13 @@
 	}
 }
 
-// serves says whether the pool serves a model.
-func (w *weights) serves() bool {
+// servesModel reports whether the pool serves a model.
+func (w *weightManager) servesModel() bool {
 	pool, ok := w.deps.View().Pool(w.config.Pool)
 	return ok && pool.Kind == ticket.KindModel
 }
 
-func (w *weights) target(view *ticket.View) (ticket.ModelVersion, bool) {
+func (w *weightManager) targetVersion(view *ticket.View) (ticket.ModelVersion, bool) {
 	pool, ok := view.Pool(w.config.Pool)
 	if !ok || pool.Kind != ticket.KindModel {
 		return ticket.ModelVersion{}, false
@@ -108,31 +111,31 @@
 	return view.ModelVersion(pool.Model)
 }
 
-// prefetched is the newest version that the engine can switch to at once.
-func (w *weights) prefetched() int { return w.state.Load().Prefetched }
+// prefetchedVersion returns the newest version that the engine can switch to at once.
+func (w *weightManager) prefetchedVersion() int { return w.state.Load().Prefetched }
 
-// upcoming is the version to load beside the one that serves.
-func (w *weights) upcoming(view *ticket.View) (ticket.ModelVersion, bool) {
+// upcomingVersion returns the version to prefetch while the current one serves; false if there is none.
+func (w *weightManager) upcomingVersion(view *ticket.View) (ticket.ModelVersion, bool) {
 	pool, ok := view.Pool(w.config.Pool)
 	if !ok || pool.Kind != ticket.KindModel {
 		return ticket.ModelVersion{}, false
 	}
 	version, ok := view.UpcomingVersion(pool.Model)
-	return version, ok && version.Version > w.prefetched()
+	return version, ok && version.Version > w.prefetchedVersion()
 }
 
-// prefetch loads the upcoming version while the old one serves, and returns after which pause to try
-// again; 0 is at the next change.
+// prefetch loads the upcoming version while the current one serves. It returns the delay until the next attempt; 0
+// means at the next configuration change.
 //
-// Load pattern: new weights for every server of a model at the same time, from a store with a rate limit.
-// Without it each server would load when it is told to switch, and they would change version over minutes. The switch
-// of all follows by one change of the configuration, when nearly all have loaded.
-func (w *weights) prefetch(ctx context.Context, changed <-chan struct{}, view *ticket.View) time.Duration {
-	version, ok := w.upcoming(view)
+// New weights reach all servers of a model at the same time, from a weight store with a rate limit. Without prefetching,
+// each server would load them when it has to switch, and the change of version would take minutes. With it, all servers
+// switch on one configuration change, made once nearly all have loaded the weights.
+func (w *weightManager) prefetch(ctx context.Context, changed <-chan struct{}, view *ticket.View) time.Duration {
+	version, ok := w.upcomingVersion(view)
 	if !ok {
 		return 0
 	}
-	if pause := w.spread(); pause > 0 && !w.waitFor(ctx, changed, pause) {
+	if delay := w.prefetchDelay(); delay > 0 && !w.waitForChange(ctx, changed, delay) {
 		return 0
 	}
 	order := WeightOrder{
@@ -142,8 +145,8 @@
 		Weights: version.Weights,
 		Fencing: view.Revision(),
 	}
-	if err := w.order(ctx, order); err != nil {
-		w.failed(order, err)
+	if err := w.sendOrder(ctx, order); err != nil {
+		w.recordFailure(order, err)
 		return w.backoff()
 	}
 	w.update(func(s *weightState) {
@@ -153,8 +156,8 @@
 	return 0
 }
 
-// swap prefetches and switches; false if it has to be tried again.
-func (w *weights) swap(ctx context.Context, changed <-chan struct{}, target ticket.ModelVersion, revision uint64) bool {
+// switchTo prefetches the version if necessary and switches to it. It returns false if it has to be retried.
+func (w *weightManager) switchTo(ctx context.Context, changed <-chan struct{}, target ticket.ModelVersion, revision uint64) bool {
 	w.update(func(s *weightState) { s.Wanted = target.Version })
 	order := WeightOrder{
 		Kind:    OrderPrefetch,
@@ -164,17 +167,17 @@
 		Fencing: revision,
 	}
 	kinds := []OrderKind{OrderPrefetch, OrderSwitch}
-	// A later version that was loaded says nothing of this one.
-	if w.prefetched() == target.Version {
+	// A prefetched later version doesn't mean that this one is loaded.
+	if w.prefetchedVersion() == target.Version {
 		kinds = []OrderKind{OrderSwitch}
 	}
-	if pause := w.spread(); len(kinds) > 1 && pause > 0 && !w.waitFor(ctx, changed, pause) {
+	if delay := w.prefetchDelay(); len(kinds) > 1 && delay > 0 && !w.waitForChange(ctx, changed, delay) {
 		return false
 	}
 	for _, kind := range kinds {
 		order.Kind = kind
-		if err := w.order(ctx, order); err != nil {
-			w.failed(order, err)
+		if err := w.sendOrder(ctx, order); err != nil {
+			w.recordFailure(order, err)
 			return false
 		}
 	}
@@ -184,40 +187,41 @@
 	return true
 }
 
-func (w *weights) order(ctx context.Context, order WeightOrder) error {
+func (w *weightManager) sendOrder(ctx context.Context, order WeightOrder) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	return w.deps.Engine.Order(ctx, order)
 }
 
-func (w *weights) failed(order WeightOrder, err error) {
+func (w *weightManager) recordFailure(order WeightOrder, err error) {
 	w.deps.Logger.Warn().Err(err).Str("kind", string(order.Kind)).Int("version", order.Version).
 		Msg("weight order failed")
 	w.update(func(s *weightState) {
-		// An engine that can't switch may have lost what it had loaded: the next try loads again.
+		// An engine that fails to switch may have lost its prefetched weights, so the next attempt loads them again.
 		s.Prefetched = 0
 		s.Failures++
 		s.LastError = err.Error()
 	})
 }
 
-// spread gives each host its own share of the spread, always the same.
-func (w *weights) spread() time.Duration {
+// prefetchDelay returns the host's fixed share of the prefetch spread, derived from a hash of the host ID.
+func (w *weightManager) prefetchDelay() time.Duration {
 	if w.config.PrefetchSpread <= 0 {
 		return 0
 	}
 	sum := fnv.New32a()
-	_, _ = sum.Write([]byte(w.config.HostID)) // never fails
+	_, _ = sum.Write([]byte(w.config.HostID)) // hash writes never fail
 	return time.Duration(int64(sum.Sum32()) % int64(w.config.PrefetchSpread))
 }
 
-func (w *weights) backoff() time.Duration {
+func (w *weightManager) backoff() time.Duration {
 	shift := min(max(w.state.Load().Failures-1, 0), 8)
 	return min(minBackoff<<shift, maxBackoff)
 }
 
-// update publishes a changed copy; readers never see a state in between. A lost race is tried again.
-func (w *weights) update(change func(*weightState)) {
+// update replaces the state by a changed copy, so that readers never see a partial change. It retries if another
+// goroutine has replaced the state meanwhile.
+func (w *weightManager) update(change func(*weightState)) {
 	for {
 		old := w.state.Load()
 		changed := *old
@@ -228,14 +232,14 @@
 	}
 }
 
-// poll asks the engine for its load until ctx ends.
-func (w *weights) poll(ctx context.Context) {
-	ticker := time.NewTicker(loadInterval)
+// pollLoad reads the engine's load periodically until ctx ends.
+func (w *weightManager) pollLoad(ctx context.Context) {
+	ticker := time.NewTicker(enginePollInterval)
 	defer ticker.Stop()
-	differing := 0
+	mismatches := 0
 	for {
-		if w.serves() {
-			differing = w.compare(w.pollOnce(ctx), differing)
+		if w.servesModel() {
+			mismatches = w.checkServedVersion(w.fetchLoad(ctx), mismatches)
 		}
 		select {
 		case <-ticker.C:
@@ -245,33 +249,33 @@
 	}
 }
 
-func (w *weights) pollOnce(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
+func (w *weightManager) fetchLoad(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, engineCallTimeout)
 	defer cancel()
 	load, err := w.deps.Engine.Load(ctx)
 	if err != nil {
 		return false
 	}
-	w.report.Store(&load)
+	w.engineLoad.Store(&load)
 	return true
 }
 
-// compare notices an engine that was restarted and serves its old weights: samples would name a
-// version that did not produce them, and grow too stale. Reports lag, so only a row of differing
-// ones counts. It returns the length of that row.
-func (w *weights) compare(reported bool, differing int) int {
+// checkServedVersion detects an engine that was restarted and serves its old weights. Undetected, its samples would
+// carry a version that did not produce them, and become too stale. Reports lag, so only mismatchThreshold mismatches in a row
+// count. It returns the number of consecutive mismatches so far.
+func (w *weightManager) checkServedVersion(reported bool, mismatches int) int {
 	state := *w.state.Load()
-	version := w.report.Load().Version
+	version := w.engineLoad.Load().Version
 	if !reported || version == state.Served || state.Served != state.Wanted {
 		return 0
 	}
-	if differing+1 < lostAfter {
-		return differing + 1
+	if mismatches+1 < mismatchThreshold {
+		return mismatches + 1
 	}
-	// What it had loaded beside its weights went with its restart.
+	// The restart discarded the prefetched weights.
 	w.update(func(s *weightState) { s.Served, s.Prefetched = version, version })
 	select {
-	case w.lost <- struct{}{}:
+	case w.versionMismatch <- struct{}{}:
 	default:
 	}
 	return 0
--- a/internal/edge/agent/weights_test.go
+++ b/internal/edge/agent/weights_test.go
@@ -13,14 +13,14 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/backendserver"
 )
 
-// fakeEngine carries out orders unless it is told to fail.
+// fakeEngine carries out orders; the first fail[kind] orders of a kind fail.
 type fakeEngine struct {
 	mu      sync.Mutex
 	orders  []WeightOrder
 	fail    map[OrderKind]int
 	version int
 	ordered chan struct{}
-	// cancelled receives the samples that were cancelled.
+	// cancelled receives the IDs of cancelled samples.
 	cancelled chan string
 	events    []backendserver.CacheEvent
 }
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// kinds returns the orders so far, each with its version.
-func (e *fakeEngine) kinds() []string {
+// orderSummaries returns the kind and version of each order so far.
+func (e *fakeEngine) orderSummaries() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	kinds := []string{}
@@ -74,28 +74,28 @@
 	return kinds
 }
 
-func startWeights(t *testing.T, fail map[OrderKind]int, count int) (*bench, *fakeEngine) {
+func startModelHarness(t *testing.T, fail map[OrderKind]int, count int) (*harness, *fakeEngine) {
 	t.Helper()
 	engine := &fakeEngine{fail: fail, ordered: make(chan struct{}, 100), cancelled: make(chan string, 10)}
-	b := &bench{config: &configuration{}, engine: engine}
-	b.config.set(t, ticket.KindModel, 0, map[string][]string{"a": {testKey}})
-	startBench(t, b, ticket.KindModel)
-	b.config.set(t, ticket.KindModel, 7, map[string][]string{"a": {testKey}})
+	h := &harness{config: &fakeConfiguration{}, engine: engine}
+	h.config.set(t, ticket.KindModel, 0, map[string][]string{"a": {testKey}})
+	startHarness(t, h, ticket.KindModel)
+	h.config.set(t, ticket.KindModel, 7, map[string][]string{"a": {testKey}})
 	for range count {
 		<-engine.ordered
 	}
-	return b, engine
+	return h, engine
 }
 
-func order(kind OrderKind) WeightOrder {
+func newOrder(kind OrderKind) WeightOrder {
 	return WeightOrder{Kind: kind, Model: "m", Version: 7, Weights: "w", Fencing: 2}
 }
 
-// Weights change and a swap fails at some step. Samples of the old version would go on until they are
-// too stale, and the trainer would wait. The agent must give the orders again until the engine
-// serves the new version, and must not report it before.
+// The weight version changes and a step of the change fails. The engine would keep producing samples of the old version
+// until they are too stale, and the trainer would wait. The agent must repeat the orders until the engine serves the
+// new version, and must not report that version before.
 func TestWeightOrders(t *testing.T) {
-	prefetch, swap := order(OrderPrefetch), order(OrderSwitch)
+	prefetch, swap := newOrder(OrderPrefetch), newOrder(OrderSwitch)
 	for _, tc := range []struct {
 		name string
 		fail map[OrderKind]int
@@ -109,9 +109,9 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, engine := startWeights(t, tc.fail, len(tc.want))
-			for b.agent.Load().Version != 7 {
-				b.untilQueued(t, 0)
+			h, engine := startModelHarness(t, tc.fail, len(tc.want))
+			for h.agent.Load().Version != 7 {
+				h.waitForQueued(t, 0)
 			}
 			engine.mu.Lock()
 			defer engine.mu.Unlock()
@@ -122,12 +122,12 @@
 	}
 }
 
-// An engine crashes and comes back with its old weights. Its samples would name the new version, and
-// tokens of the old one would be trained on as fresh. The agent must switch it again.
+// An engine crashes and restarts with its old weights. Its samples would carry the new version, and the trainer would
+// use tokens of the old version as fresh ones. The agent must switch the engine again.
 func TestEngineRestartsWithOldWeights(t *testing.T) {
-	b, engine := startWeights(t, nil, 2)
-	for b.agent.Load().Version != 7 {
-		b.untilQueued(t, 0)
+	h, engine := startModelHarness(t, nil, 2)
+	for h.agent.Load().Version != 7 {
+		h.waitForQueued(t, 0)
 	}
 	engine.mu.Lock()
 	engine.version = 6
@@ -141,48 +141,49 @@
 	}
 }
 
-// New weights are announced before they are to serve, so that all servers can switch within seconds. The
-// agent must have them loaded while the old ones serve, and give only the switch when the version is to serve.
-func TestAnnouncedWeightsAreLoadedFirst(t *testing.T) {
+// An upcoming version is announced before it is served, so that all servers can switch within seconds. The agent must
+// prefetch it while the old version serves, and later send only the switch order.
+func TestUpcomingWeightsArePrefetched(t *testing.T) {
 	organisations := map[string][]string{"a": {testKey}}
 	engine := &fakeEngine{ordered: make(chan struct{}, 100), cancelled: make(chan string, 10)}
-	b := &bench{config: &configuration{}, engine: engine}
-	b.config.set(t, ticket.KindModel, 0, organisations)
-	startBench(t, b, ticket.KindModel)
-	b.config.announce(t, ticket.KindModel, 6, 7, organisations)
+	h := &harness{config: &fakeConfiguration{}, engine: engine}
+	h.config.set(t, ticket.KindModel, 0, organisations)
+	startHarness(t, h, ticket.KindModel)
+	h.config.setWithUpcoming(t, ticket.KindModel, 6, 7, organisations)
 	for range 3 {
 		<-engine.ordered
 	}
-	for b.agent.Load().Prefetched != 7 {
-		b.untilQueued(t, 0)
+	for h.agent.Load().Prefetched != 7 {
+		h.waitForQueued(t, 0)
 	}
-	if served := b.agent.Load().Version; served != 6 {
-		t.Errorf("version %d serves before the switch", served)
+	if served := h.agent.Load().Version; served != 6 {
+		t.Errorf("version %d is served before the switch, want 6", served)
 	}
-	b.config.set(t, ticket.KindModel, 7, organisations)
+	h.config.set(t, ticket.KindModel, 7, organisations)
 	<-engine.ordered
-	for b.agent.Load().Version != 7 {
-		b.untilQueued(t, 0)
+	for h.agent.Load().Version != 7 {
+		h.waitForQueued(t, 0)
 	}
-	if diff := cmp.Diff([]string{"prefetch 6", "switch 6", "prefetch 7", "switch 7"}, engine.kinds()); diff != "" {
+	if diff := cmp.Diff([]string{"prefetch 6", "switch 6", "prefetch 7", "switch 7"}, engine.orderSummaries()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Version 7 is announced and loaded, and then an operator sets version 6. The agent told the engine to switch to
-// weights that it had not loaded, since it had loaded later ones; an engine that refuses serves the old version on for a while.
-func TestLaterLoadedVersionIsNotTheOneToServe(t *testing.T) {
+// Version 7 is announced and prefetched, then an operator sets version 6. The agent must prefetch version 6 before the
+// switch: it once omitted that because a later version was loaded, and an engine that refuses such a switch
+// keeps serving the old version for a while.
+func TestOlderVersionIsPrefetchedBeforeSwitch(t *testing.T) {
 	organisations := map[string][]string{"a": {testKey}}
 	engine := &fakeEngine{ordered: make(chan struct{}, 100), cancelled: make(chan string, 10)}
-	b := &bench{config: &configuration{}, engine: engine}
-	b.config.announce(t, ticket.KindModel, 0, 7, organisations)
-	startBench(t, b, ticket.KindModel)
+	h := &harness{config: &fakeConfiguration{}, engine: engine}
+	h.config.setWithUpcoming(t, ticket.KindModel, 0, 7, organisations)
+	startHarness(t, h, ticket.KindModel)
 	<-engine.ordered
-	b.config.set(t, ticket.KindModel, 6, organisations)
-	for b.agent.Load().Version != 6 {
-		b.untilQueued(t, 0)
+	h.config.set(t, ticket.KindModel, 6, organisations)
+	for h.agent.Load().Version != 6 {
+		h.waitForQueued(t, 0)
 	}
-	if diff := cmp.Diff([]string{"prefetch 7", "prefetch 6", "switch 6"}, engine.kinds()); diff != "" {
+	if diff := cmp.Diff([]string{"prefetch 7", "prefetch 6", "switch 6"}, engine.orderSummaries()); diff != "" {
 		t.Error(diff)
 	}
 }
