--- a/internal/edge/agent/agent.go
+++ b/internal/edge/agent/agent.go
@@ -28,7 +28,7 @@
 	MethodExecute peer.Method = "execute"
 	MethodSettle  peer.Method = "settle"
 	MethodProbe   peer.Method = "probe"
-	MethodLeave   peer.Method = "leave"
+	MethodDrain   peer.Method = "leave"
 )
 
 const (
@@ -155,7 +155,7 @@
 	peer.HandleStream(r, MethodExecute, a.Execute)
 	peer.Handle(r, MethodSettle, a.handleSettle)
 	peer.Handle(r, MethodProbe, a.handleProbe)
-	peer.Handle(r, MethodLeave, a.handleDrain)
+	peer.Handle(r, MethodDrain, a.handleDrain)
 }
 
 // runControlLoop runs the control loop, the only goroutine that accesses the control state.
