--- a/internal/edge/agent/check.go
+++ b/internal/edge/agent/check.go
@@ -17,7 +17,7 @@
 		return ticket.Pool{}, isolatedNotRun()
 	}
 	if req.Pool != a.config.Pool {
-		return ticket.Pool{}, verdict.Refuse(verdict.NotRun, verdict.ReasonWrongPool, retrySoon,
+		return ticket.Pool{}, verdict.Refuse(verdict.NotRun, verdict.ReasonWrongPool, defaultRetryDelay,
 			"this agent serves pool %s, not %s", a.config.Pool, req.Pool)
 	}
 	pool, ok := view.Pool(req.Pool)
@@ -32,7 +32,7 @@
 			"organisation %s may not use pool %s", req.Organisation, req.Pool))
 	}
 	if req.Remaining < 0 {
-		return pool, verdict.Refuse(verdict.NotRun, verdict.ReasonDeadlinePassed, retrySoon,
+		return pool, verdict.Refuse(verdict.NotRun, verdict.ReasonDeadlinePassed, defaultRetryDelay,
 			"the deadline passed before the agent was reached")
 	}
 	return pool, nil
@@ -44,7 +44,7 @@
 	if view.Revision() >= req.Revision {
 		return refusal
 	}
-	return verdict.Refuse(verdict.NotRun, verdict.ReasonStaleView, retrySoon,
+	return verdict.Refuse(verdict.NotRun, verdict.ReasonStaleView, defaultRetryDelay,
 		"the agent is at revision %d, the entry at %d", view.Revision(), req.Revision)
 }
 
@@ -59,7 +59,7 @@
 func isolatedNotRun() *verdict.Refusal { return isolatedRefusal(verdict.NotRun) }
 
 func isolatedRefusal(v verdict.Verdict) *verdict.Refusal {
-	return verdict.Refuse(v, verdict.ReasonIsolated, retrySoon,
+	return verdict.Refuse(v, verdict.ReasonIsolated, defaultRetryDelay,
 		"the agent's configuration was not confirmed lately")
 }
 
--- a/internal/edge/agent/control.go
+++ b/internal/edge/agent/control.go
@@ -11,7 +11,7 @@
 )
 
 // retrySoon is the retry delay of a refused request if there is no better estimate.
-const retrySoon = time.Second
+const defaultRetryDelay = time.Second
 
 // control is the state that only the control loop accesses: queue, concurrency limit, records and running requests.
 type control struct {
@@ -53,7 +53,7 @@
 // submit queues a request. A refusal is sent to the job's startResult.
 func (c *control) submit(now time.Time, j *job) {
 	if c.draining || c.pause.active(now) {
-		j.startResult <- verdict.Refuse(verdict.NotRun, verdict.ReasonLeaving, retrySoon,
+		j.startResult <- verdict.Refuse(verdict.NotRun, verdict.ReasonLeaving, defaultRetryDelay,
 			"the backend server is leaving")
 		return
 	}
@@ -267,7 +267,7 @@
 }
 
 func (c *control) retryAfter(now time.Time, j *job) time.Duration {
-	return max(retrySoon, c.estimateWait(now, j.req.Organisation))
+	return max(defaultRetryDelay, c.estimateWait(now, j.req.Organisation))
 }
 
 func (c *control) estimateWait(now time.Time, organisation string) time.Duration {
--- a/internal/edge/agent/execute.go
+++ b/internal/edge/agent/execute.go
@@ -95,7 +95,7 @@
 	case errors.Is(cause, errIsolated):
 		return isolatedRefusal(v)
 	case errors.Is(cause, context.DeadlineExceeded):
-		return verdict.Refuse(v, verdict.ReasonDeadlinePassed, retrySoon,
+		return verdict.Refuse(v, verdict.ReasonDeadlinePassed, defaultRetryDelay,
 			"the deadline passed")
 	case errors.Is(cause, peer.ErrCancelled):
 		return cancelledRefusal(v)
@@ -107,7 +107,7 @@
 // stoppedRefusal returns the refusal for a request whose process or connection ends. A queued request has not run,
 // since the control loop, which alone starts requests, has ended.
 func stoppedRefusal(v verdict.Verdict) *verdict.Refusal {
-	return verdict.Refuse(v, verdict.ReasonLeaving, retrySoon, "the agent has ended")
+	return verdict.Refuse(v, verdict.ReasonLeaving, defaultRetryDelay, "the agent has ended")
 }
 
 // runJob sends a started job to the backend server and records how it ended.
@@ -255,7 +255,7 @@
 // callRefusal returns the refusal for a failed call, with the verdict on whether the call ran.
 func (c *serverCall) callRefusal(ctx context.Context, err error) error {
 	if errors.Is(err, ErrNotSent) {
-		return verdict.Refuse(verdict.NotRun, verdict.ReasonNoServer, retrySoon,
+		return verdict.Refuse(verdict.NotRun, verdict.ReasonNoServer, defaultRetryDelay,
 			"the backend server can't be reached")
 	}
 	if refusal, ok := verdict.As(err); ok {
@@ -264,7 +264,7 @@
 	if ctx.Err() != nil {
 		return contextEndRefusal(ctx, verdict.MayHaveRun)
 	}
-	return verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerLost, retrySoon,
+	return verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerLost, defaultRetryDelay,
 		"the connection to the backend server was lost")
 }
 
--- a/internal/edge/agent/weights.go
+++ b/internal/edge/agent/weights.go
@@ -261,8 +261,8 @@
 }
 
 // checkServedVersion detects an engine that was restarted and serves its old weights. Undetected, its samples would
-// carry a version that did not produce them, and become too stale. Reports lag, so only mismatchThreshold mismatches in a row
-// count. It returns the number of consecutive mismatches so far.
+// carry a version that did not produce them, and become too stale. Reports lag, so only mismatchThreshold mismatches in
+// a row count. It returns the number of consecutive mismatches so far.
 func (w *weightManager) checkServedVersion(reported bool, mismatches int) int {
 	state := *w.state.Load()
 	version := w.engineLoad.Load().Version
