--- a/internal/edge/configuration/follower.go
+++ b/internal/edge/configuration/follower.go
@@ -82,9 +82,9 @@
 // FollowerOption configures a Follower.
 type FollowerOption func(*Follower)
 
-// WithExchange makes the host follow the relays that are chosen from the directory. The host is a relay itself if
+// WithRelays makes the host follow the relays that are chosen from the directory. The host is a relay itself if
 // it is one of the two live entries that serve as relays in its availability zone.
-func WithExchange(relayClient RelayClient, directory HostDirectory, self Self) FollowerOption {
+func WithRelays(relayClient RelayClient, directory HostDirectory, self Self) FollowerOption {
 	return func(f *Follower) {
 		f.relayClient = relayClient
 		f.directory = directory
--- a/internal/edge/configuration/network_test.go
+++ b/internal/edge/configuration/network_test.go
@@ -181,7 +181,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	hostStore := &disconnectableStore{Store: store}
 	self := Self{HostID: host.ID, AvailabilityZone: host.AvailabilityZone}
-	f := NewFollower(ctx, hostStore, WithExchange(networkClient{network: n, from: host.PeerAddress}, n, self))
+	f := NewFollower(ctx, hostStore, WithRelays(networkClient{network: n, from: host.PeerAddress}, n, self))
 	m := &member{host: host, follower: f, store: hostStore, stop: func() {
 		cancel()
 		f.Wait()
--- a/internal/program/capacity/followers.go
+++ b/internal/program/capacity/followers.go
@@ -108,7 +108,7 @@
 // followerStarter returns a function that starts the follower of the host with the given ID.
 func (g *configurationGroup) followerStarter(ctx context.Context) func(id string, client *peer.Client) *configuration.Follower {
 	return func(id string, client *peer.Client) *configuration.Follower {
-		return configuration.NewFollower(ctx, g.store, configuration.WithExchange(
+		return configuration.NewFollower(ctx, g.store, configuration.WithRelays(
 			configuration.NewPeerExchange(client), g, configuration.Self{HostID: id, AvailabilityZone: measuredZone}))
 	}
 }
