--- a/internal/edge/configuration/exchange.go
+++ b/internal/edge/configuration/exchange.go
@@ -85,8 +85,8 @@
 	InForce(ctx context.Context, to netip.AddrPort, request InForceRequest) (InForceResponse, error)
 }
 
-// NewPeerExchange returns a RelayClient that uses the peer protocol.
-func NewPeerExchange(client *peer.Client) RelayClient { return peerRelayClient{client: client} }
+// NewPeerRelayClient returns a RelayClient that uses the peer protocol.
+func NewPeerRelayClient(client *peer.Client) RelayClient { return peerRelayClient{client: client} }
 
 type peerRelayClient struct{ client *peer.Client }
 
--- a/internal/edge/configuration/peer_test.go
+++ b/internal/edge/configuration/peer_test.go
@@ -39,7 +39,7 @@
 		{ID: "agent-1", Role: platform.RoleAgent, State: platform.HostLive, AvailabilityZone: "begnas", PeerAddress: netip.MustParseAddrPort("127.0.0.1:1")},
 	}
 	start := func(id string, store platform.Store) *Follower {
-		f := NewFollower(ctx, store, WithRelays(NewPeerExchange(client), hosts, Self{HostID: id, AvailabilityZone: "begnas"}))
+		f := NewFollower(ctx, store, WithRelays(NewPeerRelayClient(client), hosts, Self{HostID: id, AvailabilityZone: "begnas"}))
 		waitFuncs = append(waitFuncs, f.Wait)
 		return f
 	}
--- a/internal/program/capacity/followers.go
+++ b/internal/program/capacity/followers.go
@@ -109,7 +109,7 @@
 func (g *configurationGroup) followerStarter(ctx context.Context) func(id string, client *peer.Client) *configuration.Follower {
 	return func(id string, client *peer.Client) *configuration.Follower {
 		return configuration.NewFollower(ctx, g.store, configuration.WithRelays(
-			configuration.NewPeerExchange(client), g, configuration.Self{HostID: id, AvailabilityZone: measuredZone}))
+			configuration.NewPeerRelayClient(client), g, configuration.Self{HostID: id, AvailabilityZone: measuredZone}))
 	}
 }
 
--- a/internal/program/process/configuration.go
+++ b/internal/program/process/configuration.go
@@ -10,7 +10,7 @@
 // configuration to the others.
 func (r *runtime) newFollower(ctx context.Context) *configuration.Follower {
 	follower := configuration.NewFollower(ctx, r.platform,
-		configuration.WithRelays(configuration.NewPeerExchange(r.client), r.members, configuration.Self{
+		configuration.WithRelays(configuration.NewPeerRelayClient(r.client), r.members, configuration.Self{
 			HostID:           r.set.HostID,
 			AvailabilityZone: r.set.AvailabilityZone,
 		}),
