--- a/internal/edge/billing/handover.go
+++ b/internal/edge/billing/handover.go
@@ -8,9 +8,9 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/usage"
 )
 
-// GatherAsk asks a host for the usage counts that the platform is not known to have. It is encoded as an
+// GatherRequest asks a host for the usage counts that the platform is not known to have. It is encoded as an
 // array, without field names: a relay asks 40 hosts per second, most of which have nothing new.
-type GatherAsk struct {
+type GatherRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	// Process identifies the process of the host that issued the two revisions.
 	Process uint64
@@ -68,11 +68,11 @@
 // A host may remove a count only when the platform has it. Revisions from a previous process of this host
 // refer to other counts, and accepting them would remove counts that nobody has stored, so they are treated
 // as 0.
-func (h *Handover) Answer(request GatherAsk) GatherAnswer {
+func (h *Handover) Answer(request GatherRequest) GatherAnswer {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if request.Process != h.process {
-		request = GatherAsk{}
+		request = GatherRequest{}
 	}
 	h.markStored(request.Stored)
 	h.assignRevisions()
@@ -152,12 +152,12 @@
 
 // Ask returns the next request to the host. The stored revision in it depends on which counts the relay's
 // collector knows to be stored.
-func (s *Source) Ask(collector *Collector) GatherAsk {
+func (s *Source) Ask(collector *Collector) GatherRequest {
 	for len(s.batches) > 0 && collector.HasStored(s.batches[0].counts) {
 		s.storedRevision = s.batches[0].revision
 		s.batches = s.batches[1:]
 	}
-	return GatherAsk{Process: s.process, Since: s.receivedRevision, Stored: s.storedRevision}
+	return GatherRequest{Process: s.process, Since: s.receivedRevision, Stored: s.storedRevision}
 }
 
 // Take records a response whose counts the relay's collector already has.
--- a/internal/edge/billing/handover_test.go
+++ b/internal/edge/billing/handover_test.go
@@ -43,7 +43,7 @@
 }
 
 func TestGatherMessagesAreShort(t *testing.T) {
-	request := GatherAsk{Process: math.MaxUint64, Since: 5000, Stored: 4000}
+	request := GatherRequest{Process: math.MaxUint64, Since: 5000, Stored: 4000}
 	response := GatherAnswer{Process: math.MaxUint64, Revision: 5000}
 	for name, message := range map[string]any{"request": request, "response": response} {
 		raw, err := msgpack.Marshal(message)
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var read GatherAsk
+	var read GatherRequest
 	if err := msgpack.Unmarshal(raw, &read); err != nil || read != request {
 		t.Errorf("read %+v, %v", read, err)
 	}
@@ -117,7 +117,7 @@
 	relay.flush(t)
 	newer.Merge(count(2, "sahil", start, 4))
 	host := NewHandover(newer)
-	host.Answer(GatherAsk{})
+	host.Answer(GatherRequest{})
 	got := relay.gather(host, false)
 	if diff := cmp.Diff([]usage.Count{count(2, "sahil", start, 4)}, got); diff != "" {
 		t.Error(diff)
