--- a/internal/edge/billing/handover.go
+++ b/internal/edge/billing/handover.go
@@ -20,8 +20,8 @@
 	Stored uint
 }
 
-// GatherAnswer holds the unstored counts that have changed since the requested revision.
-type GatherAnswer struct {
+// GatherResponse holds the unstored counts that have changed since the requested revision.
+type GatherResponse struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Process  uint64
 	Revision uint
@@ -68,7 +68,7 @@
 // A host may remove a count only when the platform has it. Revisions from a previous process of this host
 // refer to other counts, and accepting them would remove counts that nobody has stored, so they are treated
 // as 0.
-func (h *Handover) Answer(request GatherRequest) GatherAnswer {
+func (h *Handover) Answer(request GatherRequest) GatherResponse {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if request.Process != h.process {
@@ -76,7 +76,7 @@
 	}
 	h.markStored(request.Stored)
 	h.assignRevisions()
-	response := GatherAnswer{Process: h.process, Revision: h.revision}
+	response := GatherResponse{Process: h.process, Revision: h.revision}
 	for cell, sent := range h.handedCounts {
 		if sent.revision > request.Since {
 			response.Counts = append(response.Counts, usage.Count{Cell: cell, Amount: sent.amount})
@@ -161,7 +161,7 @@
 }
 
 // Take records a response whose counts the relay's collector already has.
-func (s *Source) Take(response GatherAnswer) {
+func (s *Source) Take(response GatherResponse) {
 	if response.Process != s.process {
 		*s = Source{process: response.Process}
 	}
--- a/internal/edge/billing/handover_test.go
+++ b/internal/edge/billing/handover_test.go
@@ -44,7 +44,7 @@
 
 func TestGatherMessagesAreShort(t *testing.T) {
 	request := GatherRequest{Process: math.MaxUint64, Since: 5000, Stored: 4000}
-	response := GatherAnswer{Process: math.MaxUint64, Revision: 5000}
+	response := GatherResponse{Process: math.MaxUint64, Revision: 5000}
 	for name, message := range map[string]any{"request": request, "response": response} {
 		raw, err := msgpack.Marshal(message)
 		if err != nil {
@@ -158,7 +158,7 @@
 	for i := range responses {
 		added := count(uint64(i), "sahil", start, 1)
 		collector.Merge(added)
-		source.Take(GatherAnswer{Process: 1, Revision: uint(i + 1), Counts: []usage.Count{added}})
+		source.Take(GatherResponse{Process: 1, Revision: uint(i + 1), Counts: []usage.Count{added}})
 		if i != unstored {
 			stored = append(stored, added)
 		}
--- a/internal/program/process/gatherer.go
+++ b/internal/program/process/gatherer.go
@@ -39,7 +39,7 @@
 
 // serveGatherRequests answers the relays of the zone with the counts of this host. It calls refresh before each answer.
 func serveGatherRequests(r *peer.Registry, handover *billing.Handover, refresh func()) {
-	peer.Handle(r, methodGatherUsage, func(_ context.Context, request billing.GatherRequest) (billing.GatherAnswer, error) {
+	peer.Handle(r, methodGatherUsage, func(_ context.Context, request billing.GatherRequest) (billing.GatherResponse, error) {
 		refresh()
 		return handover.Answer(request), nil
 	})
@@ -166,7 +166,7 @@
 func (g *gatherer) gatherFrom(ctx context.Context, host platform.Host, source *billing.Source) {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
-	answer, err := peer.Call[billing.GatherRequest, billing.GatherAnswer](ctx, g.runtime.client, host.PeerAddress, methodGatherUsage, source.Ask(g.collector))
+	answer, err := peer.Call[billing.GatherRequest, billing.GatherResponse](ctx, g.runtime.client, host.PeerAddress, methodGatherUsage, source.Ask(g.collector))
 	if err != nil {
 		g.runtime.log.Debug().Err(err).Str("from", host.ID).Msg("cannot gather usage counts")
 		return
