--- a/internal/edge/billing/collector.go
+++ b/internal/edge/billing/collector.go
@@ -137,13 +137,13 @@
 	}
 }
 
-// Follow merges the counts of the ledger in which this host counts its own usage, and removes old windows
+// ImportCounters merges the counts of the ledger in which this host counts its own usage, and removes old windows
 // from that ledger. A request is counted in the window in which it ends, so old windows no longer change.
 //
 // Counters of a window are removed no later than the collector's own counts of it. Otherwise each call would
 // bring back counts that the collector has stored and removed, and they would be handed over, read and
 // compared again at every gathering.
-func (c *Collector) Follow(counters *usage.Ledger) {
+func (c *Collector) ImportCounters(counters *usage.Ledger) {
 	c.Merge(counters.Counts()...)
 	oldest := c.oldestRetained()
 	counters.Forget(func(count usage.Count) bool { return count.Cell.Window < oldest })
--- a/internal/edge/billing/collector_test.go
+++ b/internal/edge/billing/collector_test.go
@@ -92,7 +92,7 @@
 	for hour := range 6 {
 		now = start.Add(time.Duration(hour) * DefaultWindow)
 		for gathering := range 3 {
-			collector.Follow(counters)
+			collector.ImportCounters(counters)
 			unstored := collector.Unstored()
 			if want := hour == 0 && gathering == 0; (len(unstored) > 0) != want {
 				t.Errorf("%d counts handed over at gathering %d of hour %d", len(unstored), gathering, hour)
--- a/internal/program/process/gatherer.go
+++ b/internal/program/process/gatherer.go
@@ -92,7 +92,7 @@
 func (r *runtime) newAgentCollector(ctx context.Context, counters *usage.Ledger) *billing.Collector {
 	collector := billing.NewCollector(ctx, r.platform, usage.NewLedger(), r.set.AvailabilityZone,
 		billing.WithFlushInterval(0), billing.WithWindow(r.set.UsageWindow), billing.WithCollectorLog(r.log))
-	serveGatherRequests(r.peers, billing.NewHandover(collector), func() { collector.Follow(counters) })
+	serveGatherRequests(r.peers, billing.NewHandover(collector), func() { collector.ImportCounters(counters) })
 	return collector
 }
 
