--- a/internal/edge/billing/handover.go
+++ b/internal/edge/billing/handover.go
@@ -63,12 +63,12 @@
 	}
 }
 
-// Answer returns the unstored counts that the asking host doesn't have yet.
+// Respond returns the unstored counts that the asking host doesn't have yet.
 //
 // A host may remove a count only when the platform has it. Revisions from a previous process of this host
 // refer to other counts, and accepting them would remove counts that nobody has stored, so they are treated
 // as 0.
-func (h *Handover) Answer(request GatherRequest) GatherResponse {
+func (h *Handover) Respond(request GatherRequest) GatherResponse {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if request.Process != h.process {
--- a/internal/edge/billing/handover_test.go
+++ b/internal/edge/billing/handover_test.go
@@ -26,7 +26,7 @@
 
 // gather sends a request to the host and returns the counts in the response, or nil if the response is lost.
 func (r *relay) gather(host *Handover, lost bool) []usage.Count {
-	response := host.Answer(r.source.Ask(r.collector))
+	response := host.Respond(r.source.Ask(r.collector))
 	if lost {
 		return nil
 	}
@@ -117,7 +117,7 @@
 	relay.flush(t)
 	newer.Merge(count(2, "sahil", start, 4))
 	host := NewHandover(newer)
-	host.Answer(GatherRequest{})
+	host.Respond(GatherRequest{})
 	got := relay.gather(host, false)
 	if diff := cmp.Diff([]usage.Count{count(2, "sahil", start, 4)}, got); diff != "" {
 		t.Error(diff)
--- a/internal/program/process/gatherer.go
+++ b/internal/program/process/gatherer.go
@@ -41,7 +41,7 @@
 func serveGatherRequests(r *peer.Registry, handover *billing.Handover, refresh func()) {
 	peer.Handle(r, methodGatherUsage, func(_ context.Context, request billing.GatherRequest) (billing.GatherResponse, error) {
 		refresh()
-		return handover.Answer(request), nil
+		return handover.Respond(request), nil
 	})
 }
 
