--- a/internal/edge/billing/handover.go
+++ b/internal/edge/billing/handover.go
@@ -85,10 +85,10 @@
 	return response
 }
 
-// Gathered merges counts from another host, which keeps them until they are stored. They are not passed on
+// AddGathered merges counts from another host, which keeps them until they are stored. They are not passed on
 // to a third host, which gathers them from the source itself, unless this host has stopped flushing: the
 // source may be gone by then.
-func (h *Handover) Gathered(counts ...usage.Count) {
+func (h *Handover) AddGathered(counts ...usage.Count) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for _, count := range counts {
--- a/internal/edge/billing/handover_test.go
+++ b/internal/edge/billing/handover_test.go
@@ -30,7 +30,7 @@
 	if lost {
 		return nil
 	}
-	r.handover.Gathered(response.Counts...)
+	r.handover.AddGathered(response.Counts...)
 	r.source.Take(response)
 	return response.Counts
 }
--- a/internal/program/process/gatherer.go
+++ b/internal/program/process/gatherer.go
@@ -171,7 +171,7 @@
 		g.runtime.log.Debug().Err(err).Str("from", host.ID).Msg("cannot gather usage counts")
 		return
 	}
-	g.handover.Gathered(answer.Counts...)
+	g.handover.AddGathered(answer.Counts...)
 	source.Take(answer)
 }
 
