--- a/internal/edge/billing/handover.go
+++ b/internal/edge/billing/handover.go
@@ -150,9 +150,9 @@
 	batches []responseBatch
 }
 
-// Ask returns the next request to the host. The stored revision in it depends on which counts the relay's
+// NextRequest returns the next request to the host. The stored revision in it depends on which counts the relay's
 // collector knows to be stored.
-func (s *Source) Ask(collector *Collector) GatherRequest {
+func (s *Source) NextRequest(collector *Collector) GatherRequest {
 	for len(s.batches) > 0 && collector.HasStored(s.batches[0].counts) {
 		s.storedRevision = s.batches[0].revision
 		s.batches = s.batches[1:]
--- a/internal/edge/billing/handover_test.go
+++ b/internal/edge/billing/handover_test.go
@@ -26,7 +26,7 @@
 
 // gather sends a request to the host and returns the counts in the response, or nil if the response is lost.
 func (r *relay) gather(host *Handover, lost bool) []usage.Count {
-	response := host.Respond(r.source.Ask(r.collector))
+	response := host.Respond(r.source.NextRequest(r.collector))
 	if lost {
 		return nil
 	}
@@ -167,11 +167,11 @@
 		t.Errorf("%d batches kept", len(source.batches))
 	}
 	collector.MarkStored(stored)
-	if got := source.Ask(collector); got.Stored >= unstored+1 || got.Since != responses {
+	if got := source.NextRequest(collector); got.Stored >= unstored+1 || got.Since != responses {
 		t.Errorf("request %+v, but response %d is not stored", got, unstored+1)
 	}
 	collector.MarkStored([]usage.Count{count(unstored, "sahil", start, 1)})
-	if got := source.Ask(collector); got.Stored != responses {
+	if got := source.NextRequest(collector); got.Stored != responses {
 		t.Errorf("request %+v after all are stored", got)
 	}
 }
--- a/internal/program/process/gatherer.go
+++ b/internal/program/process/gatherer.go
@@ -166,7 +166,7 @@
 func (g *gatherer) gatherFrom(ctx context.Context, host platform.Host, source *billing.Source) {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
-	answer, err := peer.Call[billing.GatherRequest, billing.GatherResponse](ctx, g.runtime.client, host.PeerAddress, methodGatherUsage, source.Ask(g.collector))
+	answer, err := peer.Call[billing.GatherRequest, billing.GatherResponse](ctx, g.runtime.client, host.PeerAddress, methodGatherUsage, source.NextRequest(g.collector))
 	if err != nil {
 		g.runtime.log.Debug().Err(err).Str("from", host.ID).Msg("cannot gather usage counts")
 		return
