--- a/internal/edge/billing/handover.go
+++ b/internal/edge/billing/handover.go
@@ -160,8 +160,8 @@
 	return GatherRequest{Process: s.process, Since: s.receivedRevision, Stored: s.storedRevision}
 }
 
-// Take records a response whose counts the relay's collector already has.
-func (s *Source) Take(response GatherResponse) {
+// RecordResponse records a response whose counts the relay's collector already has.
+func (s *Source) RecordResponse(response GatherResponse) {
 	if response.Process != s.process {
 		*s = Source{process: response.Process}
 	}
--- a/internal/edge/billing/handover_test.go
+++ b/internal/edge/billing/handover_test.go
@@ -31,7 +31,7 @@
 		return nil
 	}
 	r.handover.AddGathered(response.Counts...)
-	r.source.Take(response)
+	r.source.RecordResponse(response)
 	return response.Counts
 }
 
@@ -158,7 +158,7 @@
 	for i := range responses {
 		added := count(uint64(i), "sahil", start, 1)
 		collector.Merge(added)
-		source.Take(GatherResponse{Process: 1, Revision: uint(i + 1), Counts: []usage.Count{added}})
+		source.RecordResponse(GatherResponse{Process: 1, Revision: uint(i + 1), Counts: []usage.Count{added}})
 		if i != unstored {
 			stored = append(stored, added)
 		}
--- a/internal/program/process/gatherer.go
+++ b/internal/program/process/gatherer.go
@@ -172,7 +172,7 @@
 		return
 	}
 	g.handover.AddGathered(answer.Counts...)
-	source.Take(answer)
+	source.RecordResponse(answer)
 }
 
 func (g *gatherer) wait() {
