--- a/internal/edge/billing/closer_test.go
+++ b/internal/edge/billing/closer_test.go
@@ -114,7 +114,7 @@
 		t.Fatalf("got %v", err)
 	}
 	flush(t, memory, count(1, "sahil", start, 5))
-	// Another process goes on; nothing but the platform's objects says what was sent.
+	// Another process continues; only the objects at the platform record what was sent.
 	if err := newCloser(memory, alwaysHeld{}, end).CloseDueWindows(t.Context()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/billing/handover.go
+++ b/internal/edge/billing/handover.go
@@ -97,12 +97,12 @@
 	h.collector.Merge(counts...)
 }
 
-// markStored marks as stored what was handed over up to the revision. The caller must hold mutex. An amount
+// markStored marks as stored what was handed over up to throughRevision. The caller must hold mutex. An amount
 // that has grown since it was handed over stays unstored.
-func (h *Handover) markStored(through uint) {
+func (h *Handover) markStored(throughRevision uint) {
 	var counts []usage.Count
 	for cell, sent := range h.handedCounts {
-		if sent.revision <= through {
+		if sent.revision <= throughRevision {
 			counts = append(counts, usage.Count{Cell: cell, Amount: sent.amount})
 		}
 	}
