--- a/internal/edge/entry/generator.go
+++ b/internal/edge/entry/generator.go
@@ -54,8 +54,8 @@
 	g.sampleID = req.SampleID
 	began := false
 	g.onToken = func(token backendserver.Token) error {
-		if !began && req.Began != nil {
-			req.Began(token.Version)
+		if !began && req.OnFirstToken != nil {
+			req.OnFirstToken(token.Version)
 		}
 		began = true
 		if !req.Hedge {
--- a/internal/edge/trainer/deps.go
+++ b/internal/edge/trainer/deps.go
@@ -29,9 +29,9 @@
 	// Progress receives the number of tokens so far and never blocks. A generator need not call it, but then a
 	// straggler is detected only by its age.
 	Progress func(tokens int)
-	// Began receives the weight version of the first token that this call generates, and never blocks. A
+	// OnFirstToken receives the weight version of the first token that this call generates, and never blocks. A
 	// generator need not call it, but then a sample that a new version made stale is generated to its end.
-	Began func(version int)
+	OnFirstToken func(version int)
 }
 
 // Generator generates samples at the backend servers of a model.
--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -173,7 +173,7 @@
 		Resume:       sample.Prefix,
 		Hedge:        next.Copy,
 		Progress:     func(tokens int) { t.tokens.Store(int64(tokens)) },
-		Began:        func(version int) { t.began.Store(int64(version)) },
+		OnFirstToken:        func(version int) { t.began.Store(int64(version)) },
 	}
 	r.handle(delivery.SampleStarted{Attempt: attempt})
 	s.start(r, t)
--- a/internal/edge/trainer/schedule_test.go
+++ b/internal/edge/trainer/schedule_test.go
@@ -19,7 +19,7 @@
 func (e *endlessEngines) Generate(ctx context.Context, request GenerateRequest) ([]Token, error) {
 	version := int(e.version.Load())
 	tokens := append(slices.Clone(request.Resume), Token{Text: "a", Version: version})
-	request.Began(version)
+	request.OnFirstToken(version)
 	if version > 1 {
 		return tokens, nil
 	}
