--- a/internal/edge/entry/generator.go
+++ b/internal/edge/entry/generator.go
@@ -62,8 +62,8 @@
 			tokens := g.tokens
 			first.tokens.Store(&tokens)
 		}
-		if req.Progress != nil {
-			req.Progress(len(g.tokens))
+		if req.OnProgress != nil {
+			req.OnProgress(len(g.tokens))
 		}
 		return nil
 	}
