--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -172,8 +172,8 @@
 		MaxTokens:    r.maxTokens(),
 		Resume:       sample.Prefix,
 		Hedge:        next.Copy,
-		OnProgress:     func(tokens int) { t.tokens.Store(int64(tokens)) },
-		OnFirstToken:        func(version int) { t.began.Store(int64(version)) },
+		OnProgress:   func(tokens int) { t.tokens.Store(int64(tokens)) },
+		OnFirstToken: func(version int) { t.began.Store(int64(version)) },
 	}
 	r.handle(delivery.SampleStarted{Attempt: attempt})
 	s.start(r, t)
