--- a/internal/edge/trainer/failure_test.go
+++ b/internal/edge/trainer/failure_test.go
@@ -257,7 +257,7 @@
 // Guards against samples that are delivered twice to a trainer whose requests the balancer spreads. A is paused beyond the
 // end of its lease and B takes the lease. A resumes and still believes to hold it, and the trainer sends requests to both.
 // The failure occurs if both advance the job from their own state in memory.
-func TestTwoBelievers(t *testing.T) {
+func TestTwoHostsThatClaimTheLease(t *testing.T) {
 	cluster := clusterWithStep(t)
 	cluster.eventually(hostA, "all samples scored", scored(6))
 	cluster.lease.take(hostB, true)
--- a/internal/program/faults/table_control_test.go
+++ b/internal/program/faults/table_control_test.go
@@ -35,7 +35,7 @@
 	{steps: one(sampleBatched), faults: one(killed, answerLost, lostAndDead), tests: one("edge/trainer.TestCoordinatorKilledAfterWrite")},
 	{steps: one(sampleBatched), faults: one(short), tests: one("edge/platform.TestShortAnswerIsNoAnswer", "edge/trainer.TestBatchesUnderFaults")},
 	{steps: one(sampleBatched), faults: one(crossed), because: oneCallAConnection},
-	{steps: one(sampleBatched, sampleDelivered), faults: one(frozen), tests: one("edge/trainer.TestTwoBelievers")},
+	{steps: one(sampleBatched, sampleDelivered), faults: one(frozen), tests: one("edge/trainer.TestTwoHostsThatClaimTheLease")},
 	{steps: one(sampleBatched), faults: one(frozen), tests: one("edge/trainer.TestLeaseEndsBeforeWrite")},
 	{steps: one(sampleBatched, sampleDelivered), faults: one(platformDown, downForLong), tests: one("edge/trainer.TestOutageWithCursor", "edge/trainer.TestOutageWithoutCursor")},
 	{steps: one(sampleDelivered), faults: one(killed, frozen, cutOneWay, cutBothWays, answerLost, answerLate, short, platformDown, platformSlow, downForLong, killedInDown, wokenInDown, lostAndDead), tests: one("edge/trainer.TestDeliveryUnderFaults")},
