--- a/internal/edge/trainer/isolated_test.go
+++ b/internal/edge/trainer/isolated_test.go
@@ -65,7 +65,7 @@
 
 // Guards against a trainer that is served by a host that was replaced while it was paused. The host resumes in an outage of
 // the platform that began after its successor had taken the lease.
-func TestOutageCountsOnlySinceTheTerm(t *testing.T) {
+func TestOutageMustLastSinceTermEnd(t *testing.T) {
 	deadline := time.Now()
 	cases := []struct {
 		name     string
