--- a/internal/edge/trainer/isolated_test.go
+++ b/internal/edge/trainer/isolated_test.go
@@ -14,7 +14,7 @@
 // Guards against samples beyond the staleness bound. Host A, which holds the job, can't reach the platform, while others
 // can. Its lease expires, B takes the lease, and B accepts version 2. The balancer sends the trainer back to A, which
 // doesn't know yet that it is isolated. The failure occurs if A takes its own failed reads for an outage of the platform.
-func TestCoordinatorCutFromPlatformDoesNotMoveAlone(t *testing.T) {
+func TestCoordinatorCutOffFromPlatformDoesNotServe(t *testing.T) {
 	cluster := newTestCluster(t)
 	cluster.kill(hostA)
 	injector := standin.NewFaultInjector(cluster.store)
--- a/internal/program/faults/table_control_test.go
+++ b/internal/program/faults/table_control_test.go
@@ -44,7 +44,7 @@
 	{steps: one(sampleDelivered), faults: one(platformDown, downForLong, killedInDown, wokenInDown), tests: one("edge/trainer.TestBatchOfAnOutageIsRepeatedBySuccessors")},
 	{steps: samples, faults: one(withdrawn), tests: one("edge/trainer.TestKeyWithdrawnWhileWaiting")},
 	{steps: one(sampleBatched, sampleDelivered), faults: one(frozen, wokenInDown), tests: one("core/delivery.TestUnsentWriteIsNoOutage", "edge/trainer.TestOutageMustLastSinceTermEnd")},
-	{steps: one(sampleBatched, sampleDelivered), faults: one(cutOneWay, cutBothWays), tests: one("edge/trainer.TestCoordinatorCutFromPlatformDoesNotMoveAlone")},
+	{steps: one(sampleBatched, sampleDelivered), faults: one(cutOneWay, cutBothWays), tests: one("edge/trainer.TestCoordinatorCutOffFromPlatformDoesNotServe")},
 	{steps: one(sampleBatched, sampleDelivered), faults: one(answerLate), tests: one("core/delivery.TestCursorAheadOfLateWriteCausesReread")},
 	{steps: samples, faults: one(race), because: "a race of operators has one winner before any sample sees it"},
 	{steps: one(sampleCopied, sampleScored, sampleBatched, sampleDelivered), faults: one(swapFails), because: "the tokens are made; spans name the versions that made them"},
