--- a/internal/edge/trainer/isolated_test.go
+++ b/internal/edge/trainer/isolated_test.go
@@ -37,7 +37,7 @@
 
 // Guards against a batch from a coordinator that has been replaced. The holder of the lease is isolated from the platform
 // and the relays, and takes that for an outage. Another entry still reaches it and forwards a request with a cursor.
-func TestIsolatedCoordinatorDoesNotMoveAlone(t *testing.T) {
+func TestIsolatedCoordinatorDoesNotServe(t *testing.T) {
 	cluster, _ := clusterInOutage(t)
 	isolated := hostA
 	cluster.isolated.Store(&isolated)
