--- a/internal/edge/trainer/disturbed_test.go
+++ b/internal/edge/trainer/disturbed_test.go
@@ -37,8 +37,9 @@
 	faultKind faultKind
 	skip      int
 	remaining int
-	injected  chan struct{}
-	released  chan struct{}
+	// injected is closed with the last fault. Closing released lets held calls continue.
+	injected chan struct{}
+	released chan struct{}
 }
 
 // inject makes count calls of a stage fail, after it has let skip calls pass.
@@ -66,7 +67,7 @@
 	return f.faultKind
 }
 
-// callWithFault executes a call with the fault injected into it, if any. half truncates a complete response.
+// callWithFault executes a call with the fault injected into it, if any. truncate shortens a complete response.
 func callWithFault[T any](ctx context.Context, f *callFaults, at stage, call func() (T, error), truncate func(T) T) (T, error) {
 	var none T
 	switch f.next(at) {
@@ -100,9 +101,9 @@
 	faults *callFaults
 }
 
-func (d faultyGenerator) Generate(ctx context.Context, request GenerateRequest) ([]Token, error) {
-	tokens, err := callWithFault(ctx, d.faults, stageGenerate,
-		func() ([]Token, error) { return d.Generator.Generate(ctx, request) },
+func (f faultyGenerator) Generate(ctx context.Context, request GenerateRequest) ([]Token, error) {
+	tokens, err := callWithFault(ctx, f.faults, stageGenerate,
+		func() ([]Token, error) { return f.Generator.Generate(ctx, request) },
 		func(tokens []Token) []Token { return tokens[:len(tokens)/2] })
 	if err != nil && tokens == nil {
 		tokens = request.Resume
@@ -115,9 +116,9 @@
 	faults *callFaults
 }
 
-func (d faultyScorer) Score(ctx context.Context, pool, organisation string, samples []ScoreRequest) ([]Score, error) {
-	return callWithFault(ctx, d.faults, stageScore,
-		func() ([]Score, error) { return d.Scorer.Score(ctx, pool, organisation, samples) },
+func (f faultyScorer) Score(ctx context.Context, pool, organisation string, samples []ScoreRequest) ([]Score, error) {
+	return callWithFault(ctx, f.faults, stageScore,
+		func() ([]Score, error) { return f.Scorer.Score(ctx, pool, organisation, samples) },
 		func(scores []Score) []Score { return scores[:len(scores)/2] })
 }
 
@@ -126,8 +127,8 @@
 	faults *callFaults
 }
 
-func (d faultyCopier) Copy(ctx context.Context, job string, sample EncodedSample) (netip.AddrPort, error) {
-	return callWithFault(ctx, d.faults, stageCopy,
-		func() (netip.AddrPort, error) { return d.Copier.Copy(ctx, job, sample) },
+func (f faultyCopier) Copy(ctx context.Context, job string, sample EncodedSample) (netip.AddrPort, error) {
+	return callWithFault(ctx, f.faults, stageCopy,
+		func() (netip.AddrPort, error) { return f.Copier.Copy(ctx, job, sample) },
 		func(netip.AddrPort) netip.AddrPort { return netip.AddrPort{} })
 }
--- a/internal/edge/trainer/fakes_test.go
+++ b/internal/edge/trainer/fakes_test.go
@@ -267,8 +267,9 @@
 	isolated  atomic.Pointer[netip.AddrPort]
 	mu        sync.Mutex
 	published []int
-	reached   time.Time
-	cursor    string
+	// reached is when the platform was last known to be up.
+	reached time.Time
+	cursor  string
 }
 
 func newTestCluster(t testing.TB) *testCluster {
@@ -433,6 +434,7 @@
 	}
 }
 
+// scored returns a condition that is met when count samples are scored.
 func scored(count int) func(*runnerStatus) bool {
 	return func(s *runnerStatus) bool { return s.Samples[delivery.StateScored.String()] == count }
 }
--- a/internal/edge/trainer/heldstore_test.go
+++ b/internal/edge/trainer/heldstore_test.go
@@ -19,7 +19,8 @@
 	hold  bool
 	after bool
 	// unsent means that the held write is never sent, because its deadline has passed when it is released.
-	unsent  bool
+	unsent bool
+	// arrived is closed when the write is held. Closing release lets it continue.
 	arrived chan struct{}
 	release chan struct{}
 }
--- a/internal/edge/trainer/peer.go
+++ b/internal/edge/trainer/peer.go
@@ -65,7 +65,7 @@
 }
 
 // serveForward serves a forwarded request as the job's coordinator. It never forwards the request again, because two
-// hosts that each take the other for the holder would forward it for ever. A host that is isolated from the platform
+// hosts that each take the other for the holder would forward it forever. A host that is isolated from the platform
 // and the relays refuses the request: it can't tell its own isolation from an outage of the platform, and would
 // advance a job that a successor already serves.
 func (c *Coordinator) serveForward(ctx context.Context, forwarded ForwardedRequest, out peer.Sink) (forwardTrailer, error) {
@@ -76,7 +76,7 @@
 		return forwardTrailer{}, refusalNotHolder(forwarded.Job)
 	}
 	now := time.Now()
-	if here, _, _ := r.locateCoordinator(now); !here || !c.fresh(now) {
+	if local, _, _ := r.locateCoordinator(now); !local || !c.fresh(now) {
 		return forwardTrailer{}, refusalNotHolder(forwarded.Job)
 	}
 	reply, err := c.serveAsCoordinator(ctx, r, forwarded)
@@ -209,12 +209,13 @@
 			break
 		}
 		samples = append(samples, answer.Samples...)
-		digests = without(digests, answer.Samples)
+		digests = remainingDigests(digests, answer.Samples)
 	}
 	return samples, nil
 }
 
-func without(digests []string, samples []EncodedSample) []string {
+// remainingDigests returns the digests of which samples holds no content.
+func remainingDigests(digests []string, samples []EncodedSample) []string {
 	held := map[string]bool{}
 	for _, sample := range samples {
 		held[sample.Digest] = true
--- a/internal/edge/trainer/route.go
+++ b/internal/edge/trainer/route.go
@@ -67,8 +67,8 @@
 	if seeker, ok := r.lease.(Seeker); ok {
 		seeker.Seek()
 	}
-	here, holder, known := r.locateCoordinator(time.Now())
-	if here {
+	local, holder, known := r.locateCoordinator(time.Now())
+	if local {
 		return c.serveAsCoordinator(ctx, r, request)
 	}
 	if !known || c.deps.Forwarder == nil {
--- a/internal/edge/trainer/runner.go
+++ b/internal/edge/trainer/runner.go
@@ -383,7 +383,7 @@
 // locateCoordinator reports whether this host may serve the job, and otherwise the holder of the lease if known. This
 // host may serve if it holds the lease, or if it held it last and has seen no other holder, as in an outage of the
 // platform.
-func (r *runner) locateCoordinator(now time.Time) (here bool, holder netip.AddrPort, known bool) {
+func (r *runner) locateCoordinator(now time.Time) (local bool, holder netip.AddrPort, known bool) {
 	if _, held := r.lease.Held(now); held {
 		return true, netip.AddrPort{}, true
 	}
--- a/internal/edge/trainer/worker.go
+++ b/internal/edge/trainer/worker.go
@@ -19,6 +19,7 @@
 
 var errInvalidScore = errors.New("invalid score")
 
+// maxTokens returns the lower one of the limits of the plan and of the job. 0 means that a limit is not set.
 func (r *runner) maxTokens() int {
 	job, _ := r.deps.View().TrainerJob(r.job)
 	switch {
