--- a/internal/edge/trainer/batch_test.go
+++ b/internal/edge/trainer/batch_test.go
@@ -103,7 +103,8 @@
 	t.Helper()
 	cluster, injector := clusterWithKeepers(t)
 	cluster.requestUntilOK([]netip.AddrPort{hostA}, http.MethodPost, "/steps/1", stepBody)
-	cluster.eventually(hostA, "all samples scored, or the other host has the job", func(s *runnerStatus) bool { return scored(6)(s) || !s.Active })
+	cluster.eventually(hostA, "all samples scored, or the other host has the job",
+		func(s *runnerStatus) bool { return scored(6)(s) || !s.Active })
 	injector.InjectAtWrite(delivery.ObjectName(testJob), skip, f.platformFault, lasting)
 	taken, done := make(chan struct{}), make(chan bool, 1)
 	go func() {
--- a/internal/edge/trainer/content.go
+++ b/internal/edge/trainer/content.go
@@ -13,7 +13,9 @@
 
 // gatherContents returns the contents of all samples of a manifest by digest. It looks on this host, on the
 // coordinator that made the batch, and on the hosts that hold copies, in this order.
-func (c *Coordinator) gatherContents(ctx context.Context, job string, step int, manifest delivery.Manifest) (map[string]EncodedSample, error) {
+func (c *Coordinator) gatherContents(
+	ctx context.Context, job string, step int, manifest delivery.Manifest,
+) (map[string]EncodedSample, error) {
 	found := map[string]EncodedSample{}
 	for _, ref := range manifest.SampleRefs {
 		if sample, ok := c.contentStore.get(job, ref.Digest); ok {
--- a/internal/edge/trainer/keeper_test.go
+++ b/internal/edge/trainer/keeper_test.go
@@ -102,7 +102,9 @@
 }
 
 // duringOutage takes the platform down, waits for the given time, applies a fault, and brings the platform back.
-func duringOutage(length time.Duration, fault func(*testCluster, *standin.FaultInjector) []netip.AddrPort) func(*testCluster, *standin.FaultInjector) []netip.AddrPort {
+func duringOutage(
+	length time.Duration, fault func(*testCluster, *standin.FaultInjector) []netip.AddrPort,
+) func(*testCluster, *standin.FaultInjector) []netip.AddrPort {
 	return func(cluster *testCluster, injector *standin.FaultInjector) []netip.AddrPort {
 		cluster.store.SetOutage(true)
 		<-time.After(length)
--- a/internal/edge/trainer/manifest.go
+++ b/internal/edge/trainer/manifest.go
@@ -48,7 +48,9 @@
 
 // retryWithManifest finds the manifest of a batch that an earlier coordinator delivered, and submits the request again
 // with it.
-func (c *Coordinator) retryWithManifest(ctx context.Context, r *runner, request ForwardedRequest, needed delivery.ManifestNeeded) delivery.Result {
+func (c *Coordinator) retryWithManifest(
+	ctx context.Context, r *runner, request ForwardedRequest, needed delivery.ManifestNeeded,
+) delivery.Result {
 	manifest, ok := c.findManifest(ctx, r.job, needed)
 	if !ok {
 		// The host may be unreachable only for a moment. A permanent refusal would end the job.
