--- a/internal/program/faults/bench_test.go
+++ b/internal/program/faults/bench_test.go
@@ -245,7 +245,8 @@
 
 func (c *cluster) poolConfig(concurrency int) ticket.Pool {
 	pool := ticket.Pool{
-		Name: c.poolName(), Kind: c.kind, AvailabilityZones: c.deployment.AvailabilityZones, MinServers: 1, MaxServers: 1, Concurrency: concurrency,
+		Name: c.poolName(), Kind: c.kind, AvailabilityZones: c.deployment.AvailabilityZones,
+		MinServers: 1, MaxServers: 1, Concurrency: concurrency,
 	}
 	if c.kind == ticket.KindModel {
 		pool.Model, pool.Concurrency = c.deployment.Model, 4
--- a/internal/program/faults/hosts_test.go
+++ b/internal/program/faults/hosts_test.go
@@ -26,7 +26,9 @@
 			c.disturbHostLists(forwarderMode{hold: [2]bool{downstream: true}}, shortDelay)
 		}},
 		{name: "list " + answerCutShort, inject: func(c *cluster, _ string) { c.disturbHostLists(forwarderMode{cutAfter: 200}, shortDelay) }},
-		{name: "list answers duplicated and crossed", inject: func(c *cluster, _ string) { c.disturbHostLists(forwarderMode{duplicate: true}, listRefreshTime) }},
+		{name: "list answers duplicated and crossed", inject: func(c *cluster, _ string) {
+			c.disturbHostLists(forwarderMode{duplicate: true}, listRefreshTime)
+		}},
 		{name: "list " + longOutage, inject: func(c *cluster, _ string) {
 			c.platform.SetFaults(platform.Faults{Outage: true})
 			time.Sleep(longDisruption)
--- a/internal/program/faults/requests_test.go
+++ b/internal/program/faults/requests_test.go
@@ -100,7 +100,8 @@
 
 // book sends a booking, which must run at most once.
 func (c *cluster) book(entry int, id, idempotencyKey string) outcome {
-	got := c.do(entry, http.MethodPost, "/v1/services/"+c.poolName()+service.PathBookings, fmt.Sprintf(`{"id":%q}`, id), c.deployment.Caller, idempotencyKey)
+	got := c.do(entry, http.MethodPost, "/v1/services/"+c.poolName()+service.PathBookings,
+		fmt.Sprintf(`{"id":%q}`, id), c.deployment.Caller, idempotencyKey)
 	got.id = id
 	return got
 }
--- a/internal/program/faults/weights_test.go
+++ b/internal/program/faults/weights_test.go
@@ -137,7 +137,9 @@
 // publishVersion makes the next model version the one to serve.
 func (c *cluster) publishVersion() {
 	c.modelVersion++
-	c.apply(ticket.Ticket{ModelVersions: []ticket.ModelVersion{{Model: c.deployment.Model, Version: c.modelVersion, Weights: fmt.Sprintf("%s/%d", c.deployment.Model, c.modelVersion)}}})
+	c.apply(ticket.Ticket{ModelVersions: []ticket.ModelVersion{{
+		Model: c.deployment.Model, Version: c.modelVersion, Weights: fmt.Sprintf("%s/%d", c.deployment.Model, c.modelVersion),
+	}}})
 }
 
 // hostAtBreakpoint returns the host of the agent whose forwarder hit the breakpoint, and removes the breakpoint everywhere.
--- a/internal/program/faults/withdrawal_test.go
+++ b/internal/program/faults/withdrawal_test.go
@@ -53,7 +53,9 @@
 			revisions := c.agentRevisions()
 			c.setKeyGranted(false)
 			for i, agent := range c.topology.Agents {
-				waitFor(t, "the agent has the new revision", withdrawalTimeout, func() bool { return c.agentState(agent.Settings.AdminListen.String()).Revision > revisions[i] })
+				waitFor(t, "the agent has the new revision", withdrawalTimeout, func() bool {
+					return c.agentState(agent.Settings.AdminListen.String()).Revision > revisions[i]
+				})
 			}
 			c.setAgentModes(forwarderMode{})
 			got := <-first
