--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -35,9 +35,9 @@
 	slowIntervalFactor = 1.9
 	// minPeerIntervals is how many other servers must have a known event interval before one is called slow.
 	minPeerIntervals = 2
-	// subsetSize is how many servers that can run a request a gateway considers first, in an order of its own by
+	// subsetSize is how many servers that can run a request an entry considers first, in an order of its own by
 	// hash, and minAvailable is how many of them must be available to consider no more. This bounds the connections
-	// of a gateway and of a server, and the cost of a choice, which among thousands of servers would take longer than
+	// of an entry and of a server, and the cost of a choice, which among thousands of servers would take longer than
 	// the request.
 	subsetSize   = 32
 	minAvailable = 4
@@ -53,7 +53,7 @@
 	Model      string
 	MinVersion int
 	// Deferrable is set for work that can wait. It isn't sent to servers whose slots are all taken by the known requests
-	// of all gateways, or that refused recently.
+	// of all entries, or that refused recently.
 	Deferrable bool
 	// ReservedSlots is the number of slots of each server that work that can wait has to leave free for other requests.
 	ReservedSlots int
@@ -61,10 +61,10 @@
 	Exclude map[string]bool
 }
 
-// serverState is what a gateway knows of a server beside its registration.
+// serverState is what an entry knows of a server beside its registration.
 type serverState struct {
 	server Server
-	// running counts the requests of this gateway, peerRunning those that other gateways reported.
+	// running counts the requests of this entry, peerRunning those that other entries reported.
 	running, peerRunning int
 	// reportedLoad is the number of requests in the server's last report.
 	reportedLoad int
@@ -77,7 +77,7 @@
 	versions map[string]int
 	// eventInterval is the moving average of the time between two events of a stream; 0 if unknown.
 	eventInterval time.Duration
-	// rank is the hash by which this gateway orders servers.
+	// rank is the hash by which this entry orders servers.
 	rank uint64
 }
 
@@ -100,7 +100,7 @@
 	changed chan struct{}
 }
 
-// NewBalancer returns a Book without servers, for the gateway at the host in the availability zone.
+// NewBalancer returns a Balancer without servers, for the entry at the host in the availability zone.
 func NewBalancer(host, zone string) *Balancer {
 	return &Balancer{
 		host: host,
@@ -162,7 +162,7 @@
 	return servers
 }
 
-// RecordPeerRequests records how many requests other gateways run at each of the given servers; other servers keep their counts.
+// RecordPeerRequests records how many requests other entries run at each of the given servers; other servers keep their counts.
 func (b *Balancer) RecordPeerRequests(running map[string]int) {
 	if len(running) == 0 {
 		return
@@ -177,12 +177,12 @@
 	b.notifyChanged()
 }
 
-// Running returns the number of this gateway's requests at each server that has any.
+// Running returns the number of this entry's requests at each server that has any.
 func (b *Balancer) Running() map[string]int {
 	return b.nonZeroCounts(func(s *serverState) int { return s.running })
 }
 
-// TotalRunning returns the known number of requests of all gateways at each server that has any.
+// TotalRunning returns the known number of requests of all entries at each server that has any.
 func (b *Balancer) TotalRunning() map[string]int {
 	return b.nonZeroCounts(func(s *serverState) int { return s.running + s.peerRunning })
 }
--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -48,7 +48,7 @@
 		{name: "unreachable server is last", setup: func(b *Balancer) { b.RecordConnectionFailure(now, "b") }, need: desk, want: "a"},
 		{name: "reported load", setup: func(b *Balancer) { b.RecordLoad(now, "b", 2) }, need: desk, want: "a"},
 		{name: "outdated load report", setup: func(b *Balancer) { b.RecordLoad(now.Add(-time.Minute), "b", 2) }, need: desk, want: "b"},
-		{name: "requests of other gateways", setup: func(b *Balancer) { b.RecordPeerRequests(map[string]int{"b": 2}) }, need: desk, want: "a"},
+		{name: "requests of other entries", setup: func(b *Balancer) { b.RecordPeerRequests(map[string]int{"b": 2}) }, need: desk, want: "a"},
 		{name: "new enough weights", need: Requirements{Pool: "engines", Model: "m", MinVersion: 4}, want: "e2"},
 		{
 			name:  "weights shown by an answer",
--- a/internal/core/backend/subset_test.go
+++ b/internal/core/backend/subset_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newLargePool returns the state of a gateway with one pool of that many engines, each with twelve slots.
+// newLargePool returns the state of an entry with one pool of that many engines, each with twelve slots.
 func newLargePool(host string, engines int) *Balancer {
 	balancer := NewBalancer(host, "near")
 	var list []Server
@@ -19,10 +19,10 @@
 	return balancer
 }
 
-// Three hundred gateways share 2,700 engines. A gateway that used all of them held 2,400 connections and examined
-// each engine for every request. Guards against that: a gateway must stay with a few engines while these have free
-// slots, use more when they are full, and not use the same ones as other gateways.
-func TestGatewayUsesASubsetOfServers(t *testing.T) {
+// Three hundred entries share 2,700 engines. An entry that used all of them held 2,400 connections and examined
+// each engine for every request. Guards against that: an entry must stay with a few engines while these have free
+// slots, use more when they are full, and not use the same ones as other entries.
+func TestEntryUsesASubsetOfServers(t *testing.T) {
 	need := Requirements{Pool: "p", Model: "m", MinVersion: 1, Deferrable: true}
 	used := func(host string, requests int) map[string]bool {
 		balancer := newLargePool(host, 2700)
@@ -53,12 +53,12 @@
 		}
 	}
 	if shared > subsetSize/4 {
-		t.Errorf("two gateways share %d of their servers", shared)
+		t.Errorf("two entries share %d of their servers", shared)
 	}
 }
 
 // Guards against refusing a request, or choosing a full engine, while another one has a free slot, wherever it is in
-// the gateway's order.
+// the entry's order.
 func TestLastFreeSlotIsFound(t *testing.T) {
 	balancer := newLargePool("entry-1", 200)
 	need := Requirements{Pool: "p", Model: "m", Deferrable: true}
--- a/internal/core/batch/doc.go
+++ b/internal/core/batch/doc.go
@@ -1,5 +1,5 @@
-// Package batch decides how a gateway runs batch jobs: which item runs next, what happens after each attempt, and
-// when results are written to the store. A gateway is a process that accepts requests and forwards them to backend
+// Package batch decides how an entry runs batch jobs: which item runs next, what happens after each attempt, and
+// when results are written to the store. An entry is a process that accepts requests and forwards them to backend
 // servers.
 //
 // A trainer submits some hundred items at once and waits for nine tenths of their groups. Output lengths are
--- a/internal/core/batch/home.go
+++ b/internal/core/batch/home.go
@@ -9,15 +9,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// minCoreShare is the minimum share of the largest gateway's cores that a gateway needs to run jobs. Deployments mix
-// gateways with others that have a fifth of their cores.
+// minCoreShare is the minimum share of the largest entry's cores that an entry needs to run jobs. Deployments mix
+// entries with others that have a fifth of their cores.
 const minCoreShare = 0.5
 
-// slotsPerRunner is the number of engine slots whose items one gateway handles. It keeps that work well below a third
+// slotsPerRunner is the number of engine slots whose items one entry handles. It keeps that work well below a third
 // of a core on a busy day.
 const slotsPerRunner = 128
 
-// Demand describes the training load that is spread over the gateways. An engine is a backend server that runs a
+// Demand describes the training load that is spread over the entries. An engine is a backend server that runs a
 // model.
 type Demand struct {
 	// Models are all models being trained, in any order.
@@ -26,29 +26,29 @@
 	Slots int
 }
 
-// runnersPerModel returns the number of gateways that run the jobs of each model.
+// runnersPerModel returns the number of entries that run the jobs of each model.
 func (d Demand) runnersPerModel() int {
 	slots := d.Slots / max(1, len(d.Models))
 	return max(1, (slots+slotsPerRunner-1)/slotsPerRunner)
 }
 
-// Runner is a gateway that may run jobs.
+// Runner is an entry that may run jobs.
 type Runner struct {
 	HostID string
-	// Cores is the gateway's processor time in cores; 0 if unknown.
+	// Cores is the entry's processor time in cores; 0 if unknown.
 	Cores float64
 }
 
-// PreferredRunner returns the host ID of the gateway that should run a job of a model, or false if there are no runners. The
-// choice only affects cost: any gateway may run any job.
+// PreferredRunner returns the host ID of the entry that should run a job of a model, or false if there are no runners.
+// The choice only affects cost: any entry may run any job.
 //
-// Trainers submit a step every few seconds, each through a different gateway, and a model's engines run nothing else.
-// Without a preferred gateway every step would open new connections to all engines of its model, which makes several
+// Trainers submit a step every few seconds, each through a different entry, and a model's engines run nothing else.
+// Without a preferred entry every step would open new connections to all engines of its model, which makes several
 // times as many connections.
 //
-// Models that need one runner are assigned in sorted order, each by weighted rendezvous hashing among the gateways
-// with the fewest models so far. No two models share a gateway while another eligible one has none, and few models
-// move when a gateway joins or leaves. A model whose engines need several runners hashes each job by its ID to one of
+// Models that need one runner are assigned in sorted order, each by weighted rendezvous hashing among the entries
+// with the fewest models so far. No two models share an entry while another eligible one has none, and few models
+// move when an entry joins or leaves. A model whose engines need several runners hashes each job by its ID to one of
 // them; with that many runners the jobs spread evenly on their own.
 func PreferredRunner(job, model string, demand Demand, runners []Runner) (string, bool) {
 	eligible := eligibleRunners(runners)
@@ -75,10 +75,10 @@
 	return "", false
 }
 
-// StoreReader returns the gateway that loads a job from the store on behalf of all gateways when none is known to
+// StoreReader returns the entry that loads a job from the store on behalf of all entries when none is known to
 // have it in memory. It returns false if there are no runners.
 //
-// It prevents every gateway from loading the same jobs and pages from the store after a full restart.
+// It prevents every entry from loading the same jobs and pages from the store after a full restart.
 func StoreReader(job string, runners []Runner) (string, bool) {
 	eligible := eligibleRunners(runners)
 	if len(eligible) == 0 {
--- a/internal/core/batch/home_test.go
+++ b/internal/core/batch/home_test.go
@@ -33,9 +33,9 @@
 	return chosen
 }
 
-// Eighteen trainers submit a step every few seconds, each at any gateway. Guards against gateways that choose
-// different runners because they know the others in a different order, against a gateway with two models while
-// another eligible one has none, and against small gateways that are given models.
+// Eighteen trainers submit a step every few seconds, each at any entry. Guards against entries that choose
+// different runners because they know the others in a different order, against an entry with two models while
+// another eligible one has none, and against small entries that are given models.
 func TestPreferredRunnerSpreadsModels(t *testing.T) {
 	var models []string
 	for i := range 18 {
@@ -71,8 +71,8 @@
 	}
 }
 
-// A gateway leaves. Guards against moving the models of other gateways as well, since all connections of a moved
-// model are opened anew.
+// An entry leaves. Guards against moving the models of other entries as well, since all connections of a moved
+// model are reopened.
 func TestFewModelsMoveWhenARunnerLeaves(t *testing.T) {
 	var models []string
 	for i := range 18 {
@@ -102,8 +102,8 @@
 	}
 }
 
-// A model has 1,350 engines of twelve slots, and a hundred jobs run at once. Guards against one gateway that carries
-// all their streams: jobs must spread evenly over as many gateways as the engines need, while the jobs of a model
+// A model has 1,350 engines of twelve slots, and a hundred jobs run at once. Guards against one entry that carries
+// all their streams: jobs must spread evenly over as many entries as the engines need, while the jobs of a model
 // with few engines stay together.
 func TestPreferredRunnerSpreadsJobsOfALargeModel(t *testing.T) {
 	for _, test := range []struct {
@@ -133,8 +133,8 @@
 	}
 }
 
-// Guards against several gateways loading the same job from the store, against an uneven spread of jobs, and against
-// jobs without a reader after a gateway is lost.
+// Guards against several entries loading the same job from the store, against an uneven spread of jobs, and against
+// jobs without a reader after an entry is lost.
 func TestStoreReaderIsUniqueForEachJob(t *testing.T) {
 	runners := testRunners(88)
 	reversed := slices.Clone(runners)
--- a/internal/core/batch/job.go
+++ b/internal/core/batch/job.go
@@ -115,7 +115,7 @@
 	Serial  int      `json:"serial"`
 	Results []Result `json:"results"`
 	// Partials are the outputs received so far for items without a result. They are never shown to trainers; a
-	// gateway that takes over the job resumes from them.
+	// entry that takes over the job resumes from them.
 	Partials []Partial `json:"partials,omitempty"`
 }
 
--- a/internal/core/batch/output.go
+++ b/internal/core/batch/output.go
@@ -39,7 +39,7 @@
 	return true
 }
 
-// Partial is the state of an item without a result, as stored in a page or sent to another gateway.
+// Partial is the state of an item without a result, as stored in a page or sent to another entry.
 type Partial struct {
 	Item      string `json:"item" msgpack:"i"`
 	LastEvent int    `json:"last" msgpack:"l"`
--- a/internal/core/batch/partial.go
+++ b/internal/core/batch/partial.go
@@ -34,7 +34,7 @@
 
 // takeCheckpoints returns checkpoints of the items that need one, up to maxBytes of text, and marks them as taken.
 //
-// Without checkpoints, a power loss of all gateways while the long items of a step are in their fourth second
+// Without checkpoints, a power loss of all entries while the long items of a step are in their fourth second
 // restarts these items from the beginning. They then end after the step's deadline, and the trainer that waits for
 // them is late with every later step.
 func (p *Progress) takeCheckpoints(maxBytes int) []Partial {
@@ -63,7 +63,7 @@
 	return partials
 }
 
-// Resume applies the partials of another gateway to items that wait to run. Output is used only if the job allows its
+// Resume applies the partials of another entry to items that wait to run. Output is used only if the job allows its
 // weight versions and it is longer than what is known; failure counts always are.
 func (p *Progress) Resume(partials []Partial) {
 	for _, partial := range partials {
--- a/internal/core/batch/partial_test.go
+++ b/internal/core/batch/partial_test.go
@@ -22,7 +22,7 @@
 	return NewProgress(job, 1)
 }
 
-// A gateway hands a job over, or crashes while another has its checkpoints. Guards against items that do not resume
+// An entry hands a job over, or crashes while another has its checkpoints. Guards against items that do not resume
 // after the last event received with the same text, and against using output that the job may not use or that is
 // worse than what is known.
 func TestResumeFromPartials(t *testing.T) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// All gateways lose power in the middle of a step, again and again. Guards against a step that never ends because
-// each restart begins its long items anew: received output must be written after about a second, with a bounded
+// All entries lose power in the middle of a step, again and again. Guards against a step that never ends because
+// each restart starts its long items from the beginning: received output must be written after about a second, with a bounded
 // number of writes.
 func TestStepCompletesDespiteRepeatedPowerLoss(t *testing.T) {
 	const (
--- a/internal/core/batch/progress_rapid_test.go
+++ b/internal/core/batch/progress_rapid_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Two gateways that can't reach each other run one job, and both reach the store. In any order of their operations,
+// Two entries that can't reach each other run one job, and both reach the store. In any order of their operations,
 // with lost answers of the store and restarted processes, each item must be published once, both must publish the
 // same result at each position, and neither may deny to a reader what either has shown.
 func TestConcurrentProcessesPublishEachItemOnce(t *testing.T) {
--- a/internal/core/batch/progress_test.go
+++ b/internal/core/batch/progress_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// Two gateways ran the same job and both finished an item. Guards against publishing the item at two positions: the
+// Two entries ran the same job and both finished an item. Guards against publishing the item at two positions: the
 // process that lost the create of a page must drop its own results for the items in the other's page.
 func TestConflictingPageTakesPrecedence(t *testing.T) {
 	p := NewProgress(newTestJob(2, 2), 1)
--- a/internal/core/batch/reward_test.go
+++ b/internal/core/batch/reward_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// Guards against a gateway that takes a job over and generates complete texts again, and against attaching a score to
+// Guards against an entry that takes a job over and generates complete texts again, and against attaching a score to
 // another text: partials carry no score.
 func TestCompleteTextIsScoredAfterTakeover(t *testing.T) {
 	source := NewProgress(newScoredJob(1, 1), 1)
@@ -146,7 +146,7 @@
 	}
 }
 
-// Guards against failure counts that are lost with the gateway that saw them: the item would fail at servers without
+// Guards against failure counts that are lost with the entry that saw them: the item would fail at servers without
 // end.
 func TestCheckpointsIncludeFailures(t *testing.T) {
 	p := NewProgress(newScoredJob(1, 1), 1)
