--- a/internal/edge/batchjob/handover.go
+++ b/internal/edge/batchjob/handover.go
@@ -42,13 +42,13 @@
 	handovers.Wait()
 }
 
-// handOverJob asks the other entries, the job's home first and then in the order of rankedPeers, until one runs the job.
+// handOverJob asks the other entries, the job's preferred runner first and then in the order of rankedPeers, until one runs the job.
 func (m *Manager) handOverJob(ctx context.Context, j *job) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	home := m.home(j.spec).HostID
+	preferred := m.preferredRunner(j.spec).HostID
 	candidates := m.rankedPeers(j.spec.ID)
-	if at := slices.IndexFunc(candidates, func(member gossip.Member) bool { return member.HostID == home }); at > 0 {
+	if at := slices.IndexFunc(candidates, func(member gossip.Member) bool { return member.HostID == preferred }); at > 0 {
 		first := candidates[at]
 		candidates = slices.Insert(slices.Delete(candidates, at, at+1), 0, first)
 	}
--- a/internal/edge/batchjob/home.go
+++ b/internal/edge/batchjob/home.go
@@ -12,11 +12,12 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// homeTimeout bounds the request to a job's home to run it. Entries answer within milliseconds, and a trainer is waiting.
-const homeTimeout = 700 * time.Millisecond
+// preferredRunnerTimeout bounds the request to a job's preferred runner to run it. Entries answer within milliseconds, and a
+// trainer is waiting.
+const preferredRunnerTimeout = 700 * time.Millisecond
 
-// home returns the entry that should run a job, see batch.Home: this one unless it is leaving, or another living one.
-func (m *Manager) home(spec *batch.Job) gossip.Member {
+// preferredRunner returns the entry that should run a job, see batch.PreferredRunner: this one unless it is leaving, or another living one.
+func (m *Manager) preferredRunner(spec *batch.Job) gossip.Member {
 	return m.chooseEntry(func(runners []batch.Runner) (string, bool) {
 		return batch.PreferredRunner(spec.ID, spec.Model, m.demand(), runners)
 	})
@@ -54,25 +55,25 @@
 	return m.leaving
 }
 
-// assign has an accepted job run by its home, or here if this entry is the home or the home doesn't confirm. SpecJSON is the job as the
-// store keeps it if it was accepted just now, so that it has no pages; else it is nil.
+// assign has an accepted job run by its preferred runner, or here if this entry is the preferred runner or the preferred runner doesn't
+// confirm. SpecJSON is the job as the store keeps it if it was accepted just now, so that it has no pages; else it is nil.
 func (m *Manager) assign(spec *batch.Job, specJSON []byte) {
-	home := m.home(spec)
-	if home.HostID == m.members.Self().HostID {
+	runner := m.preferredRunner(spec)
+	if runner.HostID == m.members.Self().HostID {
 		m.startHere(spec, specJSON)
 		return
 	}
-	m.recordOwner(spec.ID, home.HostID)
+	m.recordOwner(spec.ID, runner.HostID)
 	m.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(m.ctx, homeTimeout)
+		ctx, cancel := context.WithTimeout(m.ctx, preferredRunnerTimeout)
 		defer cancel()
 		q := m.newRunRequest(spec)
 		q.SpecJSON = specJSON
-		_, err := peer.Call[RunRequest, RunAnswer](ctx, m.peers, home.Address, MethodRun, q)
-		m.log.Info().Str("request", spec.ID).Str("entry", home.HostID).Str("model", spec.Model).AnErr("answer", err).
-			Msg("batch job assigned to its home")
+		_, err := peer.Call[RunRequest, RunAnswer](ctx, m.peers, runner.Address, MethodRun, q)
+		m.log.Info().Str("request", spec.ID).Str("entry", runner.HostID).Str("model", spec.Model).AnErr("answer", err).
+			Msg("batch job assigned to its preferred runner")
 		if err != nil {
-			m.forgetOwner(spec.ID, home.HostID)
+			m.forgetOwner(spec.ID, runner.HostID)
 			m.startHere(spec, specJSON)
 		}
 	})
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -81,7 +81,7 @@
 	started := time.Now()
 	from := output.LastEvent
 	result := r.execute(ctx)
-	m.book.Release(server.ID)
+	m.balancer.Release(server.ID)
 	m.metrics.observeRun(result, time.Since(started))
 	if result == outcomeCompleted {
 		m.log.Debug().Str("request", j.spec.ID).Str("item", item.ID).Str("server", server.ID).Int("fromEvent", from).
@@ -139,7 +139,7 @@
 	}()
 	answer := platform.ReadAnswer(stream.Header())
 	if answer.Load >= 0 {
-		r.manager.book.RecordLoad(time.Now(), r.server.ID, answer.Load)
+		r.manager.balancer.RecordLoad(time.Now(), r.server.ID, answer.Load)
 	}
 	if result, ok := r.checkHeader(answer); !ok {
 		if result == outcomeRefused && answer.NotRun {
@@ -166,8 +166,8 @@
 		r.cause = cause
 	}
 	if ctx.Err() == nil || errors.Is(r.cause, errStalled) {
-		r.manager.book.RecordConnectionFailure(time.Now(), r.server.ID)
-		r.manager.book.RecordFailure(time.Now(), r.server.ID)
+		r.manager.balancer.RecordConnectionFailure(time.Now(), r.server.ID)
+		r.manager.balancer.RecordFailure(time.Now(), r.server.ID)
 	}
 	if errors.Is(err, exchange.ErrNotSent) {
 		return outcomeRefused
@@ -177,26 +177,26 @@
 
 // checkHeader decides by the status and header of an answer whether its stream is read.
 func (r *itemRun) checkHeader(answer platform.Answer) (outcome, bool) {
-	book, now := r.manager.book, time.Now()
+	balancer, now := r.manager.balancer, time.Now()
 	switch {
 	case answer.RequestID != "" && answer.RequestID != r.item.ID:
 		r.cause = errWrongRequest
-		book.RecordFailure(now, r.server.ID)
+		balancer.RecordFailure(now, r.server.ID)
 		return outcomeCut, false
 	case answer.NotRun:
 		r.cause = errors.Errorf("status %d", answer.Status)
-		book.RecordRefusal(now, r.server.ID)
+		balancer.RecordRefusal(now, r.server.ID)
 		return outcomeRefused, false
 	case answer.Status == fasthttp.StatusUnprocessableEntity:
 		r.cause = errors.New("the item can never succeed")
 		return outcomeImpossible, false
 	case answer.Status == fasthttp.StatusInternalServerError:
 		r.cause = errors.New("status 500")
-		book.RecordFailure(now, r.server.ID)
+		balancer.RecordFailure(now, r.server.ID)
 		return outcomeFailed, false
 	case answer.Status != fasthttp.StatusOK || !answer.Signed():
 		r.cause = errors.Errorf("status %d", answer.Status)
-		book.RecordFailure(now, r.server.ID)
+		balancer.RecordFailure(now, r.server.ID)
 		return outcomeCut, false
 	case answer.Version == 0:
 		// An answer without a version has no events: all were received before, and only the end of the stream was lost.
@@ -210,8 +210,8 @@
 func (r *itemRun) acceptVersion(version int) (outcome, bool) {
 	r.version = version
 	spec := r.job.spec
-	r.manager.book.RecordAcceptance(r.server.ID)
-	r.manager.book.RecordVersion(r.server.ID, spec.Model, version)
+	r.manager.balancer.RecordAcceptance(r.server.ID)
+	r.manager.balancer.RecordVersion(r.server.ID, spec.Model, version)
 	if version < spec.MinVersion {
 		r.cause = errWrongVersion
 		return outcomeRefused, false
@@ -225,7 +225,7 @@
 
 // readEvents appends the events of a stream to the item's output.
 func (r *itemRun) readEvents(ctx context.Context, events *platform.EventReader, stalled *time.Timer) outcome {
-	monitor := paceMonitor{book: r.manager.book, server: r.server.ID}
+	monitor := paceMonitor{balancer: r.manager.balancer, server: r.server.ID}
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) && r.output.LastEvent > 0 {
@@ -261,9 +261,9 @@
 // weights stops a stream for a second; both look like slow servers, and an entry would move hundreds of streams at once. A span evens out
 // the first, and two slow spans in a row are required because of the second.
 type paceMonitor struct {
-	book   *backend.Balancer
-	server string
-	events int
+	balancer *backend.Balancer
+	server   string
+	events   int
 	// spanStart is when the span began, slowSpans how many spans in a row were slow.
 	spanStart time.Time
 	slowSpans int
@@ -281,9 +281,9 @@
 	}
 	pace := now.Sub(p.spanStart) / eventsPerSpan
 	p.events, p.spanStart = 0, now
-	p.book.RecordLatency(now, p.server, pace)
-	p.book.RecordEventInterval(p.server, pace)
-	if !p.book.ShouldMove(p.server, pace) {
+	p.balancer.RecordLatency(now, p.server, pace)
+	p.balancer.RecordEventInterval(p.server, pace)
+	if !p.balancer.ShouldMove(p.server, pace) {
 		p.slowSpans = 0
 		return false
 	}
--- a/internal/edge/batchjob/item_test.go
+++ b/internal/edge/batchjob/item_test.go
@@ -7,18 +7,18 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/backend"
 )
 
-// newPacedBook returns a book of four servers, three of them with a usual pace of 30 ms an event.
-func newPacedBook() *backend.Balancer {
-	book := backend.NewBalancer("self", "near")
+// newPacedBalancer returns a balancer of four servers, three of them with a usual pace of 30 ms an event.
+func newPacedBalancer() *backend.Balancer {
+	balancer := backend.NewBalancer("self", "near")
 	var servers []backend.Server
 	for _, id := range []string{"a", "b", "c", "d"} {
 		servers = append(servers, backend.Server{ID: id, Pool: "p", Slots: 6})
 	}
-	book.Sync(servers)
+	balancer.Sync(servers)
 	for _, server := range servers[1:] {
-		book.RecordEventInterval(server.ID, 30*time.Millisecond)
+		balancer.RecordEventInterval(server.ID, 30*time.Millisecond)
 	}
-	return book
+	return balancer
 }
 
 // Guards against streams that are moved because this entry reads late: an entry with a seventh of a core read the events of its streams
@@ -48,7 +48,7 @@
 		{name: "a slow server", gap: func(int) time.Duration { return 4 * usual }, want: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			monitor := paceMonitor{book: newPacedBook(), server: "a"}
+			monitor := paceMonitor{balancer: newPacedBalancer(), server: "a"}
 			now := time.Unix(1_700_000_000, 0)
 			moved := false
 			for n := range 60 {
--- a/internal/edge/batchjob/manager.go
+++ b/internal/edge/batchjob/manager.go
@@ -4,8 +4,8 @@
 // An entry is a gateway process. Entries share the store, call each other and exchange gossip; a trainer may call any of them. A job, the
 // pages of its results and its end are objects of the store, each created once.
 //
-// The entry that runs a job is its owner. Who that is matters for liveness only: normally it is the job's home (see batch.Home), and if no
-// living entry runs a job, an entry that is asked for its results has it run again.
+// The entry that runs a job is its owner. Who that is matters for liveness only: normally it is the job's preferred runner (see
+// batch.PreferredRunner), and if no living entry runs a job, an entry that is asked for its results has it run again.
 package batchjob
 
 import (
@@ -75,19 +75,19 @@
 
 // Manager manages the batch jobs of an entry. It is safe for concurrent use.
 type Manager struct {
-	ctx     context.Context
-	store   Store
-	book    *backend.Balancer
-	servers *exchange.Client
-	calls   *call.Sender
-	route   func(host, path string) (routing.Route, bool)
-	peers   *peer.Client
-	members Members
-	outage  func(now time.Time) bool
-	demand  func() batch.Demand
-	metrics *Metrics
-	log     zerolog.Logger
-	wg      conc.WaitGroup
+	ctx      context.Context
+	store    Store
+	balancer *backend.Balancer
+	servers  *exchange.Client
+	calls    *call.Sender
+	route    func(host, path string) (routing.Route, bool)
+	peers    *peer.Client
+	members  Members
+	outage   func(now time.Time) bool
+	demand   func() batch.Demand
+	metrics  *Metrics
+	log      zerolog.Logger
+	wg       conc.WaitGroup
 
 	mu   sync.Mutex
 	jobs map[string]*job
@@ -108,7 +108,7 @@
 	Store   Store
 	Book    *backend.Balancer
 	Servers *exchange.Client
-	// Calls sends reward calls, and Route finds the route of one in the active configuration.
+	// Calls sends reward calls, and Route finds the route of one in the configuration in force.
 	Calls   *call.Sender
 	Route   func(host, path string) (routing.Route, bool)
 	Peers   *peer.Client
@@ -126,7 +126,7 @@
 	m := &Manager{
 		ctx:        ctx,
 		store:      deps.Store,
-		book:       deps.Book,
+		balancer:   deps.Book,
 		servers:    deps.Servers,
 		calls:      deps.Calls,
 		route:      deps.Route,
--- a/internal/edge/batchjob/owner_test.go
+++ b/internal/edge/batchjob/owner_test.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// The home of a job has a living entry on record as the owner that doesn't run the job any more. Asked to run the job by each entry at
-// which the trainer reads, the home must run it or refuse, as the asking entry records it as the owner.
-func TestHomeRunsAJobOrRefuses(t *testing.T) {
+// The preferred runner of a job has a living entry on record as the owner that doesn't run the job any more. Asked to run the job by each
+// entry at which the trainer reads, the preferred runner must run it or refuse, as the asking entry records it as the owner.
+func TestPreferredRunnerRunsAJobOrRefuses(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	spec := newStoredSpec()
 	spec.Accepted = time.Now().Add(-time.Minute)
--- a/internal/edge/batchjob/reward.go
+++ b/internal/edge/batchjob/reward.go
@@ -53,7 +53,8 @@
 		j.wg.Go(func() { j.postponeReward(ctx, item) })
 		return true
 	}
-	server, ok := m.book.Acquire(time.Now(), backend.Requirements{Pool: route.Pool(rand.Float64()), Deferrable: waited < rewardMaxWait, ReservedSlots: rewardReservedSlots})
+	server, ok := m.balancer.Acquire(time.Now(),
+		backend.Requirements{Pool: route.Pool(rand.Float64()), Deferrable: waited < rewardMaxWait, ReservedSlots: rewardReservedSlots})
 	if !ok {
 		return false
 	}
--- a/internal/edge/batchjob/run.go
+++ b/internal/edge/batchjob/run.go
@@ -61,7 +61,7 @@
 	writing := false
 	written := make(chan bool, 1)
 	for ctx.Err() == nil {
-		changed := m.book.Changed()
+		changed := m.balancer.Changed()
 		m.startItems(ctx, j)
 		m.startRewards(ctx, j)
 		if page, ok := j.nextPage(time.Now(), writing); ok {
@@ -132,7 +132,7 @@
 			j.mu.Unlock()
 			return
 		}
-		server, ok := m.book.Acquire(time.Now(), need)
+		server, ok := m.balancer.Acquire(time.Now(), need)
 		if !ok {
 			j.mu.Unlock()
 			return
--- a/internal/edge/batchjob/submit.go
+++ b/internal/edge/batchjob/submit.go
@@ -26,8 +26,8 @@
 		// A call to the store would delay the trainer for seconds, and leave open whether the job was accepted.
 		return refuseUnsettled(outageRetryAfter, "no entry reaches the store")
 	}
-	home := m.home(spec)
-	spec.Owner, spec.OwnerRun = home.HostID, home.Incarnation
+	runner := m.preferredRunner(spec)
+	spec.Owner, spec.OwnerRun = runner.HostID, runner.Incarnation
 	value, err := json.Marshal(spec)
 	if err != nil {
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonBadRequest, 0, "job %s: %v", spec.ID, err)
--- a/internal/edge/batchjob/takeover.go
+++ b/internal/edge/batchjob/takeover.go
@@ -18,10 +18,10 @@
 	if _, owned := m.ownerExcept(j.spec, m.members.Self().HostID); owned {
 		return j, nil
 	}
-	if m.home(j.spec).HostID == m.members.Self().HostID {
+	if m.preferredRunner(j.spec).HostID == m.members.Self().HostID {
 		return m.resumeHere(j, nil), nil
 	}
-	// All entries that know of no owner agree on the job's home, which may run it already.
+	// All entries that know of no owner agree on the job's preferred runner, which may run it already.
 	m.assign(j.spec, nil)
 	return j, nil
 }
