--- a/internal/program/demo/player.go
+++ b/internal/program/demo/player.go
@@ -224,7 +224,7 @@
 	ran := uint64(r.countRuns(func(request platformtest.Request) bool { return request.Organisation() == caller }))
 	// The error is ignored because missing reports are listed by Transcript.Violations.
 	_ = waitUntil(ctx, "the usage reports", usageLimit, func() bool {
-		r.transcript.Usage = sumUsage(caller, r.env.duties.Reports())
+		r.transcript.Usage = sumUsage(caller, r.env.usageReceiver.Reports())
 		r.transcript.Usage.Executed = ran
 		return r.transcript.Usage.Reported >= ran
 	})
--- a/internal/program/demo/stage.go
+++ b/internal/program/demo/stage.go
@@ -28,7 +28,7 @@
 type environment struct {
 	deployment    Deployment
 	store         *platformtest.Store
-	duties        *platformtest.UsageReceiver
+	usageReceiver *platformtest.UsageReceiver
 	services      []*platformtest.Server
 	engines       []*platformtest.Server
 	gateways      []*runningGateway
@@ -43,7 +43,7 @@
 
 // newEnvironment starts the stand-ins: the platform, and a plain service and an engine in each availability zone.
 func newEnvironment(t platformtest.Cleaner, d Deployment) *environment {
-	e := &environment{deployment: d, store: platformtest.NewStore(t), duties: platformtest.NewUsageReceiver(t)}
+	e := &environment{deployment: d, store: platformtest.NewStore(t), usageReceiver: platformtest.NewUsageReceiver(t)}
 	for _, zone := range d.AvailabilityZones {
 		e.services = append(e.services, platformtest.NewServer(t, d.Service+"-"+zone, d.Service, nil))
 		e.engines = append(e.engines, platformtest.NewServer(t, d.Engines+"-"+zone, d.Engines, map[string]int{d.Model: firstVersion}))
@@ -88,7 +88,7 @@
 // gatewaySettings returns the settings of a gateway; all gateways but the first have the first as their seed.
 func (e *environment) gatewaySettings(zone, storeURL string, nextAddress func() (netip.AddrPort, error)) (settings.Settings, error) {
 	set := settings.Settings{
-		HostID: "entry-" + zone, AvailabilityZone: zone, PlatformURL: storeURL, ReportsURL: e.duties.URL(),
+		HostID: "entry-" + zone, AvailabilityZone: zone, PlatformURL: storeURL, ReportsURL: e.usageReceiver.URL(),
 		PeerSecret: "secret of the played deployment", UsageWindow: usageWindow, LeaveDelay: leaveDelay,
 		DrainTime: drainTime, BodyLimitBytes: settings.DefaultBodyLimitBytes,
 	}
--- a/internal/program/demo/transcript.go
+++ b/internal/program/demo/transcript.go
@@ -69,7 +69,7 @@
 type OrderResult struct {
 	Server  string `json:"server"`
 	Version int    `json:"version"`
-	// Fenced is set if the order names its sender, a fencing token, and the orders accepted before it.
+	// Fenced is set if the order names its sender, a fencing number, and the orders accepted before it.
 	Fenced bool `json:"fenced"`
 }
 
--- a/internal/program/process/gateway_batch_test.go
+++ b/internal/program/process/gateway_batch_test.go
@@ -41,12 +41,14 @@
 	}
 	for _, engine := range d.engines {
 		for _, seen := range engine.Requests() {
-			if seen.Organisation() != "north" || seen.Body != platformtest.ItemBody || seen.Host != hostName || seen.TokenCounts() != platformtest.ItemTokens {
+			if seen.Organisation() != "north" || seen.Body != platformtest.ItemBody || seen.Host != hostName ||
+				seen.TokenCounts() != platformtest.ItemTokens {
 				t.Errorf("%+v", seen)
 			}
 		}
 	}
-	if got := d.call(d.gateways[1], http.MethodGet, platformtest.ItemTarget("j1", "item-0a"), keyNorth, "b", ""); got.status != http.StatusOK || got.body != platformtest.ItemBody {
+	if got := d.call(d.gateways[1], http.MethodGet, platformtest.ItemTarget("j1", "item-0a"), keyNorth, "b", ""); got.status != http.StatusOK ||
+		got.body != platformtest.ItemBody {
 		t.Errorf("body of an item: %+v", got)
 	}
 	if got := d.call(d.gateways[1], http.MethodGet, platformtest.JobTarget("j1", 0), keySouth, "b", ""); got.status != http.StatusNotFound {
@@ -158,7 +160,8 @@
 func TestJobsOfAModelRunAtOneEntry(t *testing.T) {
 	d := newDeployment(t, 3)
 	d.eventually("entries know each other", func() bool {
-		return len(d.gateways[0].gossip.Alive(time.Now())) == 2 && len(d.gateways[1].gossip.Alive(time.Now())) == 2 && len(d.gateways[2].gossip.Alive(time.Now())) == 2
+		return len(d.gateways[0].gossip.Alive(time.Now())) == 2 && len(d.gateways[1].gossip.Alive(time.Now())) == 2 &&
+			len(d.gateways[2].gossip.Alive(time.Now())) == 2
 	})
 	for _, engine := range d.engines {
 		engine.SetStream(streamEvents, 100*time.Millisecond)
@@ -223,7 +226,8 @@
 	d.submit(d.gateways[0], "j1", submission(4, 4, 1))
 	d.gateways[0].kill()
 	restarted := d.start("entry-9")
-	if got := d.call(restarted, http.MethodGet, platformtest.ItemTarget("j1", "item-3b"), keyNorth, "b", ""); got.status != http.StatusOK || got.body != platformtest.ItemBody {
+	if got := d.call(restarted, http.MethodGet, platformtest.ItemTarget("j1", "item-3b"), keyNorth, "b", ""); got.status != http.StatusOK ||
+		got.body != platformtest.ItemBody {
 		t.Errorf("body of an item: %+v", got)
 	}
 	d.checkResults(d.readAll(restarted, "j1", 8), 8, streamEvents)
@@ -305,7 +309,9 @@
 	if got := d.call(d.gateways[1], http.MethodDelete, platformtest.JobTarget("j1", 0), keyNorth, "e", ""); got.status != http.StatusOK {
 		t.Fatalf("%+v", got)
 	}
-	d.eventually("no request runs at the engines", func() bool { return len(d.gateways[0].balancer.Running())+len(d.gateways[1].balancer.Running()) == 0 })
+	d.eventually("no request runs at the engines", func() bool {
+		return len(d.gateways[0].balancer.Running())+len(d.gateways[1].balancer.Running()) == 0
+	})
 	before := len(d.engines[0].Requests()) + len(d.engines[1].Requests())
 	time.Sleep(300 * time.Millisecond)
 	if after := len(d.engines[0].Requests()) + len(d.engines[1].Requests()); after != before {
@@ -401,7 +407,7 @@
 func TestEntryWithoutStoreAccessAcceptsJobs(t *testing.T) {
 	d := newDeployment(t, 2)
 	d.eventually("entries know each other", func() bool { return len(d.gateways[1].gossip.Alive(time.Now())) == 1 })
-	d.gateways[1].storeDoor.RefuseCalls()
+	d.gateways[1].storeEndpoint.RefuseCalls()
 	d.submit(d.gateways[1], "j1", submission(4, 4, 1))
 	d.checkResults(d.readAll(d.gateways[1], "j1", 8), 8, streamEvents)
 }
--- a/internal/program/process/gateway_call_test.go
+++ b/internal/program/process/gateway_call_test.go
@@ -154,7 +154,7 @@
 	d := newDeployment(t, 3)
 	isolated := d.gateways[2]
 	d.eventually("entries know each other", func() bool { return len(isolated.gossip.Alive(time.Now())) == 2 })
-	isolated.storeDoor.RefuseCalls()
+	isolated.storeEndpoint.RefuseCalls()
 	d.configure("another key", keySouth)
 	for _, g := range d.gateways {
 		d.eventually("the key is refused at "+g.set.HostID, func() bool {
--- a/internal/program/process/gateway_duty_test.go
+++ b/internal/program/process/gateway_duty_test.go
@@ -57,11 +57,11 @@
 
 // reportsByWindow returns the last reported counts of each window. It checks that no window was reported with different
 // counts and that fencing numbers never decrease.
-func reportsByWindow(t *testing.T, duties *platformtest.UsageReceiver) map[int64]map[string]uint64 {
+func reportsByWindow(t *testing.T, receiver *platformtest.UsageReceiver) map[int64]map[string]uint64 {
 	t.Helper()
 	windows := map[int64]map[string]uint64{}
 	fence := uint64(0)
-	for _, report := range duties.Reports() {
+	for _, report := range receiver.Reports() {
 		if known, ok := windows[report.Window]; ok && known["north"] != report.Counts["north"] {
 			t.Errorf("window %d was reported with %v and %v", report.Window, known, report.Counts)
 		}
@@ -96,7 +96,7 @@
 	for _, g := range d.gateways {
 		call(g, 5)
 	}
-	d.eventually("the calls are reported", func() bool { return totalReported(reportsByWindow(t, d.duties)) == 15 })
+	d.eventually("the calls are reported", func() bool { return totalReported(reportsByWindow(t, d.usageReceiver)) == 15 })
 	for i, g := range d.gateways {
 		if _, held := g.keeper.Held(time.Now()); held {
 			g.kill()
@@ -104,7 +104,7 @@
 			break
 		}
 	}
-	d.eventually("the successor reports", func() bool { return totalReported(reportsByWindow(t, d.duties)) == 19 })
+	d.eventually("the successor reports", func() bool { return totalReported(reportsByWindow(t, d.usageReceiver)) == 19 })
 }
 
 func TestRetirementsAreReported(t *testing.T) {
--- a/internal/program/process/gateway_harness_test.go
+++ b/internal/program/process/gateway_harness_test.go
@@ -25,14 +25,14 @@
 
 // deployment is a simulated platform with gateways in front of its backend servers.
 type deployment struct {
-	t        *testing.T
-	store    *platformtest.Store
-	duties   *platformtest.UsageReceiver
-	services []*platformtest.Server
-	engines  []*platformtest.Server
-	gateways []*testGateway
-	version  int
-	client   http.Client
+	t             *testing.T
+	store         *platformtest.Store
+	usageReceiver *platformtest.UsageReceiver
+	services      []*platformtest.Server
+	engines       []*platformtest.Server
+	gateways      []*testGateway
+	version       int
+	client        http.Client
 }
 
 // testGateway is a running gateway with its settings and addresses.
@@ -40,15 +40,15 @@
 	*Gateway
 	set settings.Settings
 	url string
-	// storeDoor is the gateway's access to the store, which a test can close.
-	storeDoor *platformtest.Endpoint
-	closed    bool
+	// storeEndpoint is the gateway's access to the store, which a test can close.
+	storeEndpoint *platformtest.Endpoint
+	closed        bool
 }
 
 // newDeployment starts the platform with two services and two engines, and the given number of gateways.
 func newDeployment(t *testing.T, gateways int) *deployment {
 	t.Helper()
-	d := &deployment{t: t, store: platformtest.NewStore(t), duties: platformtest.NewUsageReceiver(t)}
+	d := &deployment{t: t, store: platformtest.NewStore(t), usageReceiver: platformtest.NewUsageReceiver(t)}
 	for i := range 2 {
 		d.services = append(d.services, platformtest.NewServer(t, fmt.Sprintf("desk-%d", i), "desk", nil))
 		d.engines = append(d.engines, platformtest.NewServer(t, fmt.Sprintf("engine-%d", i), "engines", map[string]int{"m": 1}))
@@ -81,20 +81,20 @@
 // start starts a gateway that has the first gateway as its seed, and waits until it is ready.
 func (d *deployment) start(hostID string) *testGateway {
 	d.t.Helper()
-	door := d.store.NewEndpoint(d.t)
+	endpoint := d.store.NewEndpoint(d.t)
 	set := settings.Settings{
 		Listen: platformtest.UnusedAddress(), PeerListen: platformtest.UnusedAddress(), AdminListen: platformtest.UnusedAddress(),
-		AvailabilityZone: "north-a", HostID: hostID, PlatformURL: door.URL(), ReportsURL: d.duties.URL(),
+		AvailabilityZone: "north-a", HostID: hostID, PlatformURL: endpoint.URL(), ReportsURL: d.usageReceiver.URL(),
 		PeerSecret: "a secret of the tests", UsageWindow: time.Second, LeaveDelay: 100 * time.Millisecond, DrainTime: 5 * time.Second,
 		BodyLimitBytes: 1 << 20,
 	}
 	if len(d.gateways) > 0 {
 		set.Seeds = []netip.AddrPort{d.gateways[0].set.PeerListen}
 	}
-	return d.startWith(set, door)
+	return d.startWith(set, endpoint)
 }
 
-func (d *deployment) startWith(set settings.Settings, door *platformtest.Endpoint) *testGateway {
+func (d *deployment) startWith(set settings.Settings, endpoint *platformtest.Endpoint) *testGateway {
 	d.t.Helper()
 	var log zerolog.Logger
 	if testing.Verbose() {
@@ -104,7 +104,7 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	g := &testGateway{Gateway: running, set: set, url: "http://" + set.Listen.String(), storeDoor: door}
+	g := &testGateway{Gateway: running, set: set, url: "http://" + set.Listen.String(), storeEndpoint: endpoint}
 	d.gateways = append(d.gateways, g)
 	d.t.Cleanup(func() { g.kill() })
 	d.eventually("gateway "+set.HostID+" is ready", func() bool {
--- a/internal/program/process/gatherer.go
+++ b/internal/program/process/gatherer.go
@@ -82,7 +82,8 @@
 func (r *runtime) handOver(ctx context.Context, host platform.Host, counts []usage.Count) bool {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
-	_, err := peer.Call[takeUsageRequest, takeUsageResponse](ctx, r.client, host.PeerAddress, methodTakeUsage, takeUsageRequest{Counts: counts})
+	_, err := peer.Call[takeUsageRequest, takeUsageResponse](ctx, r.client, host.PeerAddress, methodTakeUsage,
+		takeUsageRequest{Counts: counts})
 	return err == nil
 }
 
@@ -166,7 +167,8 @@
 func (g *gatherer) gatherFrom(ctx context.Context, host platform.Host, source *billing.Source) {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
-	answer, err := peer.Call[billing.GatherRequest, billing.GatherResponse](ctx, g.runtime.client, host.PeerAddress, methodGatherUsage, source.NextRequest(g.collector))
+	answer, err := peer.Call[billing.GatherRequest, billing.GatherResponse](ctx, g.runtime.client, host.PeerAddress, methodGatherUsage,
+		source.NextRequest(g.collector))
 	if err != nil {
 		g.runtime.log.Debug().Err(err).Str("from", host.ID).Msg("cannot gather usage counts")
 		return
--- a/internal/program/process/register_test.go
+++ b/internal/program/process/register_test.go
@@ -28,10 +28,10 @@
 // startWithSeed starts a gateway with a single seed.
 func (d *deployment) startWithSeed(hostID string, seed netip.AddrPort) *testGateway {
 	d.t.Helper()
-	door := d.store.NewEndpoint(d.t)
+	endpoint := d.store.NewEndpoint(d.t)
 	set := d.gateways[0].set
-	set.HostID, set.PlatformURL = hostID, door.URL()
+	set.HostID, set.PlatformURL = hostID, endpoint.URL()
 	set.Listen, set.PeerListen, set.AdminListen = platformtest.UnusedAddress(), platformtest.UnusedAddress(), platformtest.UnusedAddress()
 	set.Seeds = []netip.AddrPort{seed}
-	return d.startWith(set, door)
+	return d.startWith(set, endpoint)
 }
--- a/internal/program/process/restart_test.go
+++ b/internal/program/process/restart_test.go
@@ -14,7 +14,7 @@
 		d.gateways[len(d.gateways)-1].kill()
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			d.t = t
-			d.startWith(first.set, first.storeDoor)
+			d.startWith(first.set, first.storeEndpoint)
 		})
 		d.t = t
 	}
--- a/internal/program/process/trainers.go
+++ b/internal/program/process/trainers.go
@@ -16,7 +16,8 @@
 )
 
 // newCoordinator starts this entry's coordinator of trainer jobs.
-func (r *runtime) newCoordinator(ctx context.Context, keepers *keepers, follower *configuration.Follower, publisher *configuration.Publisher, generator *entry.SampleGenerator) *trainer.Coordinator {
+func (r *runtime) newCoordinator(ctx context.Context, keepers *keepers, follower *configuration.Follower,
+	publisher *configuration.Publisher, generator *entry.SampleGenerator) *trainer.Coordinator {
 	coordinator := trainer.New(ctx, trainer.Deps{
 		Store:     r.platform,
 		View:      func() trainer.Configuration { return follower.View() },
--- a/internal/program/process/weightswitch.go
+++ b/internal/program/process/weightswitch.go
@@ -58,8 +58,10 @@
 	nextIndex int
 }
 
-func newWeightSwitcher(ctx context.Context, r *runtime, follower *configuration.Follower, publisher *configuration.Publisher, keeper *duty.Keeper) *weightSwitcher {
-	s := &weightSwitcher{runtime: r, follower: follower, publisher: publisher, keeper: keeper, progress: map[ticket.ModelVersion]*loadProgress{}}
+func newWeightSwitcher(ctx context.Context, r *runtime, follower *configuration.Follower,
+	publisher *configuration.Publisher, keeper *duty.Keeper) *weightSwitcher {
+	s := &weightSwitcher{runtime: r, follower: follower, publisher: publisher, keeper: keeper,
+		progress: map[ticket.ModelVersion]*loadProgress{}}
 	s.work.Go(func() {
 		ticker.Every(ctx, loadCheckInterval, func(time.Time) { s.checkVersions(ctx) })
 	})
--- a/internal/program/process/zone.go
+++ b/internal/program/process/zone.go
@@ -99,7 +99,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	_, err := peer.Call[request.Drain, request.Load](ctx, z.runtime.client, host.PeerAddress, agent.MethodDrain, request.Drain{Drain: pause.Drain, Fencing: uint64(pause.Fencing)})
+	_, err := peer.Call[request.Drain, request.Load](ctx, z.runtime.client, host.PeerAddress, agent.MethodDrain,
+		request.Drain{Drain: pause.Drain, Fencing: uint64(pause.Fencing)})
 	return errors.Wrap(err, pause.HostID)
 }
 
--- a/internal/program/soak/check.go
+++ b/internal/program/soak/check.go
@@ -152,22 +152,23 @@
 	}
 }
 
-// checkReports checks that each usage window was reported with one set of counts and that fencing tokens never decrease.
+// checkReports checks that each usage window was reported with one set of counts and that fencing numbers never decrease.
 func (l *loadGenerator) checkReports() {
 	windows, fence := map[int64]uint64{}, uint64(0)
-	for _, report := range l.env.duties.Reports() {
+	for _, report := range l.env.usageReceiver.Reports() {
 		known, again := windows[report.Window]
 		l.checker.check(guaranteeReport, !again || known == report.Counts[organisation],
 			"usage window %d was reported as %d and then as %d", report.Window, known, report.Counts[organisation])
 		windows[report.Window] = report.Counts[organisation]
-		l.checker.check(guaranteeFencing, report.Fencing >= fence, "a usage report with fencing token %d followed one with %d", report.Fencing, fence)
+		l.checker.check(guaranteeFencing, report.Fencing >= fence,
+			"a usage report with fencing number %d followed one with %d", report.Fencing, fence)
 		fence = max(fence, report.Fencing)
 	}
 	for _, engine := range l.env.engines {
 		last := uint64(0)
 		for _, order := range engine.Orders() {
 			l.checker.check(guaranteeFencing, order.FenceToken >= last,
-				"engine %s accepted an order with fencing token %d after %d", engine.ID, order.FenceToken, last)
+				"engine %s accepted an order with fencing number %d after %d", engine.ID, order.FenceToken, last)
 			last = max(last, order.FenceToken)
 		}
 	}
--- a/internal/program/soak/promise.go
+++ b/internal/program/soak/promise.go
@@ -27,7 +27,7 @@
 	guaranteeScore         guarantee = "a score is the signature on the item's reward call, made after its text was complete"
 	guaranteeEnd           guarantee = "no item or reward call of a job starts after the job has ended"
 	guaranteeReport        guarantee = "a usage window is always reported with the same counts"
-	guaranteeFencing       guarantee = "fencing tokens never decrease"
+	guaranteeFencing       guarantee = "fencing numbers never decrease"
 	guaranteeRecovery      guarantee = "the system recovers after the last disturbance"
 )
 
--- a/internal/program/soak/world.go
+++ b/internal/program/soak/world.go
@@ -39,13 +39,13 @@
 
 // environment holds the platform stand-ins, the servers, and the gateway processes under test.
 type environment struct {
-	ctx       context.Context
-	checker   *checker
-	store     *platformtest.Store
-	duties    *platformtest.UsageReceiver
-	services  []*platformtest.Server
-	engines   []*platformtest.Server
-	processes []*process
+	ctx           context.Context
+	checker       *checker
+	store         *platformtest.Store
+	usageReceiver *platformtest.UsageReceiver
+	services      []*platformtest.Server
+	engines       []*platformtest.Server
+	processes     []*process
 
 	mu                   sync.Mutex
 	configurationVersion int
@@ -60,7 +60,7 @@
 // newEnvironment starts the stand-ins and the processes, and waits until the processes are ready. The cleaner stops them.
 func newEnvironment(ctx context.Context, o Options, c platformtest.Cleaner) (*environment, error) {
 	env := &environment{
-		ctx: ctx, checker: newChecker(), store: platformtest.NewStore(c), duties: platformtest.NewUsageReceiver(c),
+		ctx: ctx, checker: newChecker(), store: platformtest.NewStore(c), usageReceiver: platformtest.NewUsageReceiver(c),
 		modelVersion: 1, withdrawnKeys: map[string]time.Time{},
 	}
 	for i := range serversPerPool {
@@ -131,7 +131,7 @@
 	settings, err := json.Marshal(map[string]any{
 		"hostId": name, "availabilityZone": "north-a", "listen": callerAddress, "peerListen": peerAddress, "peerAdvertise": advertised,
 		"adminListen": adminAddress,
-		"platformUrl": p.storeEndpoint.URL(), "reportsUrl": env.duties.URL(), "seeds": []netip.AddrPort{seed}, "usageWindow": "1s",
+		"platformUrl": p.storeEndpoint.URL(), "reportsUrl": env.usageReceiver.URL(), "seeds": []netip.AddrPort{seed}, "usageWindow": "1s",
 		"leaveDelay": "500ms", "drainTime": "6s", "peerSecret": "the secret of the soak",
 	})
 	if err != nil {
