--- a/internal/program/scenario/player.go
+++ b/internal/program/scenario/player.go
@@ -297,7 +297,7 @@
 		}
 		r.transcript.Refusals = append(r.transcript.Refusals, refusal)
 	}
-	r.logf("%d requests refused", len(r.transcript.Refusals))
+	r.logf("%d requests without permission refused as not run", len(r.transcript.Refusals))
 	return nil
 }
 
--- a/internal/program/scenario/training.go
+++ b/internal/program/scenario/training.go
@@ -67,7 +67,7 @@
 		}
 	}
 	r.transcript.Steps = append(r.transcript.Steps, result)
-	r.logf("step %d: %d samples in %d batches by weight versions %v, took %v",
+	r.logf("step %d: %d samples in %d batches, each once, by weight versions %v, took %v",
 		number, result.Samples, result.Batches, result.Versions, time.Since(started).Round(time.Millisecond))
 	return nil
 }
