--- a/internal/core/delivery/job.go
+++ b/internal/core/delivery/job.go
@@ -27,7 +27,7 @@
 //
 // Two gaps remain. A coordinator that is cut off together with most of the hosts that decide whether there is
 // an outage may proceed offline with a model version that a successor has just replaced. And a batch that was
-// handed out offline, and not written before another coordinator takes over the job, is created anew under its
+// handed out offline, and not written before another coordinator takes over the job, is created again under its
 // number for a trainer whose cursor shows that it never received the batch. A trainer whose cursor shows that
 // it did is given the same batch again, as long as a host has the manifest that the cursor locates; see
 // ManifestLocation.
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -255,7 +255,7 @@
 	h.expectNoEffects(BatchRequested{ID: 4, Step: 1, Batch: 1, Cursor: &cursor})
 }
 
-// Guards against delivering the samples of batch 1 again. A step was begun and its batch 1 delivered in an
+// Guards against delivering the samples of batch 1 again. A step was started and its batch 1 delivered in an
 // outage; the coordinator died before the platform was back, and its successor doesn't know the step.
 func TestStepRestoredFromCursor(t *testing.T) {
 	h := newHarness(t, 0)
--- a/internal/core/roster/doc.go
+++ b/internal/core/roster/doc.go
@@ -8,6 +8,6 @@
 //
 // The entries form a ring, sorted by a hash of the host ID, so that all entries agree on the order. Several times a second each entry calls
 // three successors: the next entry and two further along (of 380 entries the 7th and the 52nd). It monitors those three and the three that
-// call it, and calls one of the other entries now and then. A change (an entry joins, leaves, restarts or falls silent) spreads as an
+// call it, and calls one of the other entries now and then. A change (an entry joins, leaves, restarts or stops responding) spreads as an
 // update, which each entry passes on for some seconds. The full list is sent only to an entry whose digest of the list differs.
 package roster
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// Guards against a restart that goes unnoticed: a process that fails and is back at once under the same address never falls silent, but the
+// Guards against an unnoticed restart: a process that fails and is back at once under the same address never counts as silent, but the
 // work of its former run is lost, so every entry must learn that the former run has ended.
 func TestRestartIsKnownToAll(t *testing.T) {
 	c := newCluster(t, 27)
--- a/internal/core/scenario/step_test.go
+++ b/internal/core/scenario/step_test.go
@@ -263,7 +263,7 @@
 	s.startSamples()
 }
 
-// requeue makes a lost sample wait again; the planner resumes it from the tokens that exist, the baselines start it anew.
+// requeue makes a lost sample wait again; the planner resumes it from the tokens that exist, the baselines start it from the beginning.
 func (s *stepSim) requeue(work rollout.Generation, tokens int) {
 	if !s.policy.usePlanner {
 		s.waiting = append([]rollout.Generation{work}, s.waiting...)
--- a/internal/edge/duty/run.go
+++ b/internal/edge/duty/run.go
@@ -97,7 +97,7 @@
 }
 
 // write carries out a write and passes its outcome to the state machine. Only errors that rule out any effect count as not
-// written; after any other error the state machine is in doubt until it has read the object.
+// written; after any other error the outcome is unknown to the state machine until it has read the object.
 func (k *Keeper) write(ctx context.Context, step lease.Step) error {
 	record := step.Record
 	record.Notes = k.writeNotes()
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -159,8 +159,8 @@
 	g.handleHeartbeat(time.Now(), answer)
 }
 
-// handleHeartbeat processes a heartbeat that was received as a call or as an answer. It applies the news first, because the roster passes
-// on only news that is new to it, and it would know the same changes already from the list or from the sender itself.
+// handleHeartbeat processes a heartbeat that was received as a call or as an answer. It applies the updates first, because the roster
+// passes on only updates that are new to it, and it would know the same changes already from the list or from the sender itself.
 func (g *Gossip) handleHeartbeat(now time.Time, heartbeat Heartbeat) {
 	var changes []roster.Change
 	g.withRoster(func(r *roster.Roster) {
--- a/internal/edge/platform/client.go
+++ b/internal/edge/platform/client.go
@@ -152,7 +152,7 @@
 	return rows.Hosts, errors.Wrap(err, "host list")
 }
 
-// read makes a call without effect. Every lost answer is an ErrUnavailable, because no effect can be in doubt.
+// read makes a call without effect. Every lost answer is an ErrUnavailable, because a read has no effect whose outcome could be unknown.
 func (c *Client) read(ctx context.Context, timeout time.Duration, path string, query url.Values, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/edge/platform/platform.go
+++ b/internal/edge/platform/platform.go
@@ -23,7 +23,7 @@
 	ErrUnavailable = errors.New("platform unavailable")
 	// ErrOutcomeUnknown means that a write was sent and its answer was lost; it may have taken effect.
 	ErrOutcomeUnknown = errors.New("write may have taken effect")
-	// ErrFenced means that the order carried an older fencing token than one that the platform has seen.
+	// ErrFenced means that the order carried an older fencing number than one that the platform has seen.
 	ErrFenced = errors.New("fencing number is old")
 )
 
@@ -61,7 +61,7 @@
 	Count            int    `json:"count"`
 	// Drained names hosts that have no requests left and are to be stopped first.
 	Drained []string `json:"drained,omitempty"`
-	// Fencing is the fencing token of the order: the version of the lease under which it is given.
+	// Fencing is the fencing number of the order: the version of the lease under which it is given.
 	Fencing Version `json:"fencing"`
 	// Holder is the host that holds the lease and gives the order.
 	Holder string `json:"holder"`
@@ -80,7 +80,7 @@
 	Figures      usage.Amount `json:"figures"`
 	// CarriedOver is the part of the figures that belongs to earlier windows but was counted only after their reports were frozen.
 	CarriedOver usage.Amount `json:"carriedOver"`
-	// Fencing is the fencing token: the version of the lease under which the report was made.
+	// Fencing is the fencing number: the version of the lease under which the report was made.
 	Fencing Version `json:"fencing"`
 }
 
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -254,7 +254,8 @@
 	return object.Version, errors.Wrapf(err, "%s/%s", kind, name)
 }
 
-// readError turns the lost answer to a read into a product.ErrUnavailable, because a read has no effect that could be in doubt.
+// readError turns the lost answer to a read into a product.ErrUnavailable, because a read has no effect whose
+// outcome could be unknown.
 func readError(err error) error {
 	if errors.Is(err, product.ErrOutcomeUnknown) {
 		return errors.Wrap(product.ErrUnavailable, err.Error())
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -45,7 +45,7 @@
 	SlowFactor float64 `json:"slowFactor"`
 	// FailSwaps fails orders to switch the weights, and leaves the current ones in use.
 	FailSwaps bool `json:"failSwaps"`
-	// IgnoreFencing accepts orders with an outdated fencing token.
+	// IgnoreFencing accepts orders with an outdated fencing number.
 	IgnoreFencing bool `json:"ignoreFencing"`
 	// LoseCacheEvents loses every n-th cache event; 0 is none.
 	LoseCacheEvents int `json:"loseCacheEvents"`
--- a/internal/standin/engine/weights.go
+++ b/internal/standin/engine/weights.go
@@ -24,7 +24,7 @@
 	return weights{version: version, prefetched: make(map[int]bool)}
 }
 
-// accept records the order. It returns false for an order whose fencing token is older than
+// accept records the order. It returns false for an order whose fencing number is older than
 // one already seen, unless fencing is ignored.
 func (w *weights) accept(order backendserver.WeightOrder, ignoreFencing bool) bool {
 	if order.Fencing < w.fencing && !ignoreFencing {
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -35,7 +35,7 @@
 	LoseAnswers int `json:"loseAnswers"`
 	// CallsPerSecond is the rate limit of all calls together; 0 means no limit.
 	CallsPerSecond float64 `json:"callsPerSecond"`
-	// IgnoreFencing accepts server orders with an old fencing token.
+	// IgnoreFencing accepts server orders with an old fencing number.
 	IgnoreFencing bool `json:"ignoreFencing"`
 	// StartupMilliseconds is the time from the order of a server until it is live.
 	StartupMilliseconds int `json:"startupMilliseconds"`
--- a/internal/standin/platform/interfaces.go
+++ b/internal/standin/platform/interfaces.go
@@ -13,7 +13,7 @@
 	edge "github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// Order implements edge.ServerOrders. It refuses an order with an older fencing token than the newest one that it has seen
+// Order implements edge.ServerOrders. It refuses an order with an older fencing number than the newest one that it has seen
 // for the availability zone.
 func (m *Memory) Order(ctx context.Context, order edge.ServerOrder) error {
 	err := m.applyWrite(ctx, KindOrder, func() error {
--- a/internal/standin/platform/memory.go
+++ b/internal/standin/platform/memory.go
@@ -38,7 +38,7 @@
 	refused int
 	bucket  tokenBucket
 	orders  []edge.ServerOrder
-	// fencing is the newest fencing token of the orders by availability zone.
+	// fencing is the newest fencing number of the orders by availability zone.
 	fencing map[string]edge.Version
 	reports map[string]json.RawMessage
 	// violations are the names under which a second report with other bytes was received.
