--- a/internal/edge/batchjob/connected_test.go
+++ b/internal/edge/batchjob/connected_test.go
@@ -52,14 +52,14 @@
 			}
 		}
 		managers = append(managers, NewManager(ctx, Deps{
-			Store:   countingStore{storeClient: store.client(), mu: &mu, reads: reads},
-			Book:    backend.NewBalancer(testHostID(i), "north-a"),
-			Peers:   peer.NewClient(ctx, []byte(testSecret)),
-			Members: fakeMembers{self: testHostID(i), others: others},
-			Outage:  func(time.Time) bool { return false },
-			Demand:  func() batch.Demand { return batch.Demand{} },
-			Metrics: NewMetrics(prometheus.NewRegistry()),
-			Log:     zerolog.Nop(),
+			Store:    countingStore{storeClient: store.client(), mu: &mu, reads: reads},
+			Balancer: backend.NewBalancer(testHostID(i), "north-a"),
+			Peers:    peer.NewClient(ctx, []byte(testSecret)),
+			Members:  fakeMembers{self: testHostID(i), others: others},
+			Outage:   func(time.Time) bool { return false },
+			Demand:   func() batch.Demand { return batch.Demand{} },
+			Metrics:  NewMetrics(prometheus.NewRegistry()),
+			Log:      zerolog.Nop(),
 		}, registries[i]))
 	}
 	return managers, reads
--- a/internal/edge/batchjob/fakes_test.go
+++ b/internal/edge/batchjob/fakes_test.go
@@ -171,14 +171,14 @@
 // newTestManager returns the manager of an entry whose calls to other entries all fail, and which has no servers.
 func newTestManager(ctx context.Context, store Store, members Members) *Manager {
 	return NewManager(ctx, Deps{
-		Store:   store,
-		Book:    backend.NewBalancer("self", "north-a"),
-		Peers:   peer.NewClient(ctx, []byte(testSecret)),
-		Members: members,
-		Outage:  func(time.Time) bool { return false },
-		Demand:  func() batch.Demand { return batch.Demand{} },
-		Metrics: NewMetrics(prometheus.NewRegistry()),
-		Log:     zerolog.Nop(),
+		Store:    store,
+		Balancer: backend.NewBalancer("self", "north-a"),
+		Peers:    peer.NewClient(ctx, []byte(testSecret)),
+		Members:  members,
+		Outage:   func(time.Time) bool { return false },
+		Demand:   func() batch.Demand { return batch.Demand{} },
+		Metrics:  NewMetrics(prometheus.NewRegistry()),
+		Log:      zerolog.Nop(),
 	}, peer.NewRegistry())
 }
 
--- a/internal/edge/batchjob/manager.go
+++ b/internal/edge/batchjob/manager.go
@@ -105,9 +105,9 @@
 
 // Deps are the dependencies of a manager.
 type Deps struct {
-	Store   Store
-	Book    *backend.Balancer
-	Servers *exchange.Client
+	Store    Store
+	Balancer *backend.Balancer
+	Servers  *exchange.Client
 	// Calls sends reward calls, and Route finds the route of one in the configuration in force.
 	Calls   *call.Sender
 	Route   func(host, path string) (routing.Route, bool)
@@ -126,7 +126,7 @@
 	m := &Manager{
 		ctx:        ctx,
 		store:      deps.Store,
-		balancer:   deps.Book,
+		balancer:   deps.Balancer,
 		servers:    deps.Servers,
 		calls:      deps.Calls,
 		route:      deps.Route,
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -146,17 +146,17 @@
 	g.follower = view.NewFollower(ctx, members, g.view, g.store, g.client, g.registry, g.log)
 	g.calls = call.NewSender(g.balancer, serverCalls, g.log)
 	g.jobs = batchjob.NewManager(ctx, batchjob.Deps{
-		Store:   g.store,
-		Book:    g.balancer,
-		Servers: serverCalls,
-		Calls:   g.calls,
-		Route:   g.route,
-		Peers:   g.client,
-		Members: members,
-		Outage:  g.follower.Outage,
-		Demand:  g.demand,
-		Metrics: batchjob.NewMetrics(metrics),
-		Log:     g.log,
+		Store:    g.store,
+		Balancer: g.balancer,
+		Servers:  serverCalls,
+		Calls:    g.calls,
+		Route:    g.route,
+		Peers:    g.client,
+		Members:  members,
+		Outage:   g.follower.Outage,
+		Demand:   g.demand,
+		Metrics:  batchjob.NewMetrics(metrics),
+		Log:      g.log,
 	}, g.registry)
 	g.gossip = gossip.New(ctx, self, g.client, g.registry, g.heartbeats, g.log)
 	relay.set(store.NewRelay(g.client, g.gossip, g.follower.ReachesStore))
