--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -46,7 +46,7 @@
 	// ServerCarrier returns the transport for calls to a backend server.
 	ServerCarrier func(backend.Server) store.Transport
 	View          *view.View
-	Book          *backend.Balancer
+	Balancer      *backend.Balancer
 	Ledger        *usage.Ledger
 	// Sweep deletes stored data that can no longer be requested. It runs every SweepPause.
 	Sweep      func(ctx context.Context, now time.Time) error
--- a/internal/edge/leader/weights.go
+++ b/internal/edge/leader/weights.go
@@ -72,7 +72,7 @@
 	if now.Sub(s.planningSince) >= tokenRateDelay {
 		rates = s.deps.TokenRates(now)
 	}
-	running := s.deps.Book.TotalRunning()
+	running := s.deps.Balancer.TotalRunning()
 	engines := map[string][]weights.Engine{}
 	for _, server := range snapshot.Servers {
 		if len(server.Models) == 0 {
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -237,7 +237,7 @@
 			return store.NewHTTPTransport(server.Address, serverCalls)
 		},
 		View:          g.view,
-		Book:          g.balancer,
+		Balancer:      g.balancer,
 		Ledger:        g.ledger,
 		Sweep:         g.jobs.Sweep,
 		SweepPause:    batchjob.SweepInterval,
