--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -119,7 +119,7 @@
 	g.withRoster(func(r *roster.Roster) {
 		heartbeat.From = r.Self()
 		heartbeat.Digest = r.Digest()
-		heartbeat.News = r.PendingUpdates(now)
+		heartbeat.Updates = r.PendingUpdates(now)
 	})
 	return heartbeat
 }
@@ -164,7 +164,7 @@
 func (g *Gossip) handleHeartbeat(now time.Time, heartbeat Heartbeat) {
 	var changes []roster.Change
 	g.withRoster(func(r *roster.Roster) {
-		changes = append(changes, r.ApplyUpdates(now, heartbeat.News)...)
+		changes = append(changes, r.ApplyUpdates(now, heartbeat.Updates)...)
 		changes = append(changes, r.MergeList(now, heartbeat.List)...)
 		if change, changed := r.RecordContact(now, heartbeat.From, heartbeat.Digest); changed {
 			changes = append(changes, change)
--- a/internal/edge/gossip/message.go
+++ b/internal/edge/gossip/message.go
@@ -21,11 +21,11 @@
 // heartbeats of some hundred bytes, an entry stays below the limit of 15 KB/s for control traffic.
 type Heartbeat struct {
 	From Member `msgpack:"f"`
-	// Digest is the digest of the sender's list of entries, and News the recent changes to that list. List is the whole list, for a
+	// Digest is the digest of the sender's list of entries, and Updates the recent changes to that list. List is the whole list, for a
 	// recipient whose list differs.
-	Digest uint64          `msgpack:"d"`
-	News   []roster.Update `msgpack:"n"`
-	List   []roster.Update `msgpack:"m"`
+	Digest  uint64          `msgpack:"d"`
+	Updates []roster.Update `msgpack:"n"`
+	List    []roster.Update `msgpack:"m"`
 	// Revisions are the revisions of the sender's copies of the store's state, by kind.
 	Revisions map[string]uint64 `msgpack:"v"`
 	// Running is the number of requests that the sender runs at each backend server, by the server's ID.
