--- a/internal/edge/trainer/worker.go
+++ b/internal/edge/trainer/worker.go
@@ -17,7 +17,7 @@
 	scoreTimeout = 30 * time.Second
 )
 
-var errInvalidScore = errors.New("invalid score")
+var errInvalidScore = errors.New("score")
 
 // maxTokens returns the lower one of the limits of the plan and of the job. 0 means that a limit is not set.
 func (r *runner) maxTokens() int {
