--- a/internal/core/admission/controller_test.go
+++ b/internal/core/admission/controller_test.go
@@ -47,8 +47,8 @@
 }
 
 // Guards against refused requests that all retry at the same time. An organisation whose limit at
-// this entry is one request a second with a burst of two sends five at once, and three are refused. If all three were
-// told the same time, they would return together and two would be refused again. Each must be told its own.
+// this entry is one request a second with a burst of two sends five at once, and three are refused. If all three got
+// the same retry time, they would retry together and two would be refused again. Each must get a different one.
 func TestRefusedRequestsRetryOneByOne(t *testing.T) {
 	c := New()
 	c.Configure([]ticket.Organisation{{Name: "a", RequestsPerSecond: 2, Burst: 4}}, 2)
--- a/internal/core/admission/fastest.go
+++ b/internal/core/admission/fastest.go
@@ -23,7 +23,7 @@
 	previousSamples int
 }
 
-// costClass returns the binary logarithm of a cost, rounded down and limited to the classes kept.
+// costClass returns the binary logarithm of a cost, rounded down and limited to the highest class.
 func costClass(cost float64) int {
 	if cost <= 1 {
 		return 0
--- a/internal/core/admission/turnedaway.go
+++ b/internal/core/admission/turnedaway.go
@@ -86,7 +86,7 @@
 	return p
 }
 
-// decay reduces refusals in proportion to the time since the last call, to none after a whole window.
+// decay reduces refusals in proportion to the time since the last call, to zero after refusalWindow.
 func (p *poolRefusals) decay(now time.Time) {
 	left := 1 - now.Sub(p.decayed).Seconds()/refusalWindow.Seconds()
 	p.refusals *= min(max(left, 0), 1)
--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -16,9 +16,9 @@
 const (
 	// loadReportTTL is how long the load in an answer is used; requests take some hundred milliseconds.
 	loadReportTTL = 500 * time.Millisecond
-	// crossZonePenalty is added to the utilization of a server in another availability zone, so that the nearer of
-	// equal servers is chosen: traffic between zones is paid for, and a twentieth of a server's slots is worth less
-	// than the longer way.
+	// crossZonePenalty is added to the utilization of a server in another availability zone, so that a server of
+	// the entry's own zone is chosen if both are equally loaded. Traffic between zones costs money and adds latency,
+	// which outweighs a difference of a twentieth of a server's slots.
 	crossZonePenalty = 0.05
 	// minRefusalBackoff is how long a server that refused for lack of a free slot is chosen last, or not at all for
 	// work that can wait. It doubles with each consecutive refusal up to maxRefusalBackoff. An engine refuses
@@ -30,8 +30,8 @@
 	// disappears from the list of servers after some seconds.
 	unreachableBackoff = time.Second
 	// slowIntervalFactor is how many times the median event interval of other servers a stream must reach to be
-	// moved. It lies above the slowdown of a full engine against an empty one, and below that of an engine in
-	// trouble.
+	// moved. It lies above the slowdown of a full engine against an empty one, and below that of a
+	// faulty engine.
 	slowIntervalFactor = 1.9
 	// minPeerIntervals is how many other servers must have a known event interval before one is called slow.
 	minPeerIntervals = 2
@@ -125,7 +125,7 @@
 	b.changed = make(chan struct{})
 }
 
-// Sync replaces the list of servers. What is known of a server is kept as long as it is the same run.
+// Sync replaces the list of servers. It preserves the state of each server whose process has not restarted.
 func (b *Balancer) Sync(servers []Server) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -220,7 +220,7 @@
 	}
 }
 
-// RecordLatency records the time that a unit of work took at the server: a whole call, or one event of a stream.
+// RecordLatency records the time that a unit of work took at the server: a complete call, or one event of a stream.
 func (b *Balancer) RecordLatency(now time.Time, id string, took time.Duration) {
 	b.tracker.ObserveRequest(now, id, took, false)
 }
--- a/internal/core/backend/doc.go
+++ b/internal/core/backend/doc.go
@@ -2,7 +2,7 @@
 // and not through agents. An entry is a process that accepts requests and forwards them to backend servers.
 //
 // A few entries share a dozen servers and see a few requests a second each. Engines, the servers that run models,
-// run a dozen requests at once and slow each other down. One server in ten is slow, or gone without notice. A
+// run a dozen requests at once and slow each other down. One server in ten is slow or has failed without notice. A
 // server's registration tells which weight versions it holds, with a lag.
 //
 // The choice guards against four faults: requests that herd onto the server with the lowest reported load, a slow
--- a/internal/core/batch/progress.go
+++ b/internal/core/batch/progress.go
@@ -210,7 +210,7 @@
 	return state.output
 }
 
-// Requeue queues an item again whose run was interrupted or refused; its output so far is kept.
+// Requeue queues an item again whose run was interrupted or refused, to resume from the output received so far.
 func (p *Progress) Requeue(id string) {
 	state := p.items[id]
 	if state.phase != phaseRunning {
@@ -295,7 +295,7 @@
 
 // NextPage returns the page to write now, or false if it is better to wait. A page is due at once when all groups that
 // the trainer waits for are complete or all items have a result, after groupWriteInterval for other complete groups,
-// after incompleteGroupDelay for parts of groups, and after checkpointInterval for checkpoints alone.
+// after incompleteGroupDelay for parts of groups, and after checkpointInterval for checkpoints without results.
 func (p *Progress) NextPage(now time.Time) (Page, bool) {
 	if p.ended || !p.pageDue(now) {
 		return Page{}, false
--- a/internal/core/delivery/ask.go
+++ b/internal/core/delivery/ask.go
@@ -6,7 +6,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// retryDelay is the Retry-After of refusals for conditions that pass by themselves: a lease changes hands
+// retryDelay is the Retry-After of refusals for temporary conditions: a lease changes its holder
 // within seconds, and an unreachable platform is retried every second.
 const retryDelay = time.Second
 
@@ -76,7 +76,7 @@
 		return false
 	}
 	if j.uncertainWrite != nil && sameTransition(*j.uncertainWrite, next) {
-		// The uncertain write may have taken effect: hand out the identical batch.
+		// The uncertain write may have taken effect: send the identical batch.
 		next = *j.uncertainWrite
 		j.extendsUncertain = true
 	}
@@ -123,10 +123,10 @@
 // rereadRecord reads the object again, once per request, if the cursor differs from the record; it returns
 // true while the request has to wait for the read.
 //
-// It guards against this failure: a write of an earlier coordinator takes effect late, after this coordinator
-// has read the object. The earlier one sees its write in the object and hands out the batch. This one would
-// take the trainer's cursor for that of a batch handed out in an outage, and refuse to repeat the batch
-// permanently.
+// It guards against this failure: a delayed write of an earlier coordinator takes effect after this coordinator
+// has read the object. The earlier one sees its write in the object and sends the batch to the trainer. This
+// one would conclude from the trainer's cursor that the batch was sent offline and never written, and would
+// refuse to repeat it permanently.
 func (j *Job) rereadRecord(request *pendingRequest) bool {
 	if request.reread || !j.confirmed || request.cursor == nil || !j.cursorDiffers(request.cursor) {
 		return false
@@ -158,7 +158,7 @@
 // accepted if its weights are the same.
 func (j *Job) evaluateVersion(e VersionRequested) outcome {
 	// Offline transitions are written before a new version is accepted. Written together with it, their
-	// manifests, which were within the staleness bound when they were handed out, would exceed it in the
+	// manifests, which were within the staleness bound when they were sent, would exceed it in the
 	// object.
 	if !j.confirmed || j.unwritten {
 		return waiting()
--- a/internal/core/delivery/cursor.go
+++ b/internal/core/delivery/cursor.go
@@ -31,15 +31,14 @@
 	ModelVersion int `json:"modelVersion"`
 	// Fencing is the fencing number of the coordinator's lease.
 	Fencing uint64 `json:"fencing"`
-	// ManifestLocation locates the manifest of Batch if it was not in the job object when the batch was handed
-	// out.
+	// ManifestLocation locates the manifest of Batch if it was not in the job object when the batch was sent.
 	ManifestLocation *ManifestLocation `json:"kept,omitempty"`
 }
 
 // ManifestLocation locates a manifest that is stored on hosts, addressed by its digest like the content of a
 // sample.
 //
-// It guards against this failure: a batch is handed out in an outage, and another coordinator takes over the
+// It guards against this failure: a batch is sent in an outage, and another coordinator takes over the
 // job before the batch is written. The samples are on two hosts, but only the former coordinator knew which of
 // them the batch contains and with which scores, so the successor would have to refuse a repeated request for
 // the batch permanently. The manifest itself is too long for an HTTP header.
--- a/internal/core/delivery/event.go
+++ b/internal/core/delivery/event.go
@@ -196,7 +196,7 @@
 		Manifest Manifest
 		Cursor   Cursor
 		// ManifestUnwritten means that the manifest is not in the job object: the caller stores the manifest
-		// on hosts before it hands out the batch.
+		// on hosts before it sends the batch.
 		ManifestUnwritten bool
 	}
 	// ManifestNeeded answers BatchRequested: the caller fetches the manifest from the given hosts and sends
--- a/internal/core/delivery/job.go
+++ b/internal/core/delivery/job.go
@@ -12,7 +12,7 @@
 // sends.
 //
 // A transition is a new step, batch or model version. Normally it is a conditional write of the job object,
-// and its result is handed out once the write is known to have taken effect. While the platform is down the
+// and its result is sent to the trainer once the write is known to have taken effect. While the platform is down the
 // job may proceed offline: it applies a transition without the write, under these rules:
 //   - the request carries a cursor, which shows what the trainer has received;
 //   - this coordinator issued the cursor, under a lease that it held, so no other coordinator can proceed
@@ -27,7 +27,7 @@
 //
 // Two gaps remain. A coordinator that is cut off together with most of the hosts that decide whether there is
 // an outage may proceed offline with a model version that a successor has just replaced. And a batch that was
-// handed out offline, and not written before another coordinator takes over the job, is created again under its
+// sent offline, and not written before another coordinator takes over the job, is created again under its
 // number for a trainer whose cursor shows that it never received the batch. A trainer whose cursor shows that
 // it did is given the same batch again, as long as a host has the manifest that the cursor locates; see
 // ManifestLocation.
@@ -174,9 +174,9 @@
 }
 
 // mayProceedOffline reports whether the rules in the comment of Job allow a transition without the platform.
-// They guard against a coordinator that resumes late, or can't reach the platform while others can: it would
-// hand out samples that its successor has delivered, or samples that are stale by a version that its successor
-// has accepted. While the platform is down for all hosts there is no successor.
+// They guard against a coordinator that was paused and resumes after it was replaced, or that can't reach the
+// platform while others can: it would send samples that its successor has delivered, or samples that are stale
+// by a version that its successor has accepted. While the platform is down for all hosts there is no successor.
 func (j *Job) mayProceedOffline(cursor *Cursor) bool {
 	return j.platformDown && j.outage && cursor != nil && j.issuedCursor(cursor) &&
 		j.loadedTerm == j.currentTerm().first && j.pendingWrite == nil
@@ -237,7 +237,7 @@
 	case WriteUnavailable:
 		// A write that was not sent doesn't prove an outage either. Failure: the process is stopped between
 		// the decision to write and the write, and the write's deadline has passed when it resumes. If that
-		// counted as an outage, the process would hand out batches of its own next to those of its successor.
+		// counted as an outage, the process would send batches that conflict with those of its successor.
 		// The read that follows tells the two cases apart: it begins after the process resumes, and returns
 		// the successor's record unless the platform is down.
 		j.clearWriteSent()
--- a/internal/core/delivery/job_rapid_test.go
+++ b/internal/core/delivery/job_rapid_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against a trainer that gets a sample twice, misses one, or gets a stale one. Coordinators die, pause
-// and keep believing that they hold the lease; answers of the platform are lost or late; the platform is down
+// and keep believing that they hold the lease; answers of the platform are lost or delayed; the platform is down
 // for a while; and new model versions race with deliveries. The failure arises when two coordinators, or one
 // and its successor, change the same job from different knowledge of its state.
 func TestEverySampleIsDeliveredOnce(t *testing.T) {
--- a/internal/core/delivery/job_test.go
+++ b/internal/core/delivery/job_test.go
@@ -272,7 +272,7 @@
 	}
 }
 
-// Guards against telling an operator "not run" of a version that is in force. Its write was sent, the answer
+// Guards against answering "not run" for a version that is in force. Its write was sent, the answer
 // was lost, and the trainer's request expires.
 func TestExpiryAfterUncertainWriteMayHaveRun(t *testing.T) {
 	h := newHarness(t, 0)
@@ -298,8 +298,8 @@
 }
 
 // Guards against refusing batch 1 permanently when the trainer repeats its request. A write of the former
-// coordinator takes effect late, after the successor has read the object; the former one finds it there and
-// hands out batch 1. The trainer then asks the successor, whose record is behind the trainer's cursor.
+// coordinator is delayed and takes effect after the successor has read the object; the former one finds it there
+// and sends batch 1. The trainer then requests it from the successor, whose record is behind the trainer's cursor.
 func TestCursorAheadOfLateWriteCausesReread(t *testing.T) {
 	for _, tookEffect := range []bool{true, false} {
 		h := newHarness(t, 0)
@@ -323,8 +323,8 @@
 	}
 }
 
-// Guards against delivering samples twice. The trainer got batch 1 from another coordinator, which handed it
-// out in an outage, while this one has written a different batch 1; now the trainer requests batch 2 here.
+// Guards against delivering samples twice. The trainer got batch 1 from another coordinator, which sent it
+// in an outage, while this one has written a different batch 1; now the trainer requests batch 2 here.
 func TestCursorDecidesBetweenBranches(t *testing.T) {
 	h := newHarness(t, 0)
 	cursor := h.postStep()
--- a/internal/core/delivery/step.go
+++ b/internal/core/delivery/step.go
@@ -178,7 +178,7 @@
 	return outcome{next: &next}
 }
 
-// repeatBatch answers with the newest batch again. The record's manifest was either written or handed out
+// repeatBatch answers with the newest batch again. The record's manifest was either written or sent
 // already, so the answer is the same each time.
 func (j *Job) repeatBatch(e BatchRequested) outcome {
 	step := j.record.Step
@@ -188,7 +188,7 @@
 	return outcome{result: BatchReady{Step: step.Step, Manifest: *step.Manifest, Cursor: j.cursor(), ManifestUnwritten: j.unwritten}}
 }
 
-// repeatUnwrittenBatch repeats a batch that an earlier coordinator handed out without writing it. The manifest
+// repeatUnwrittenBatch repeats a batch that an earlier coordinator sent without writing it. The manifest
 // does not become part of the record: a model version may have been accepted since that makes its samples too
 // old to be written.
 func (j *Job) repeatUnwrittenBatch(e BatchRequested) outcome {
--- a/internal/core/delivery/world_test.go
+++ b/internal/core/delivery/world_test.go
@@ -46,8 +46,8 @@
 	// disconnected says that the process can't reach the platform; readFailed, that its last read failed.
 	disconnected bool
 	readFailed   bool
-	// handedOut is the set of manifests that the process handed out.
-	handedOut map[string]bool
+	// sentManifests is the set of manifests that the process sent to the trainer.
+	sentManifests map[string]bool
 }
 
 // reply is an answer on its way to the trainer; digest identifies the manifest of a batch.
@@ -77,7 +77,7 @@
 	cursor         *Cursor
 	// received is the set of samples that the trainer has received.
 	received map[string]bool
-	// manifests holds the manifest handed out last for each batch, by step and batch.
+	// manifests holds the manifest sent last for each batch, by step and batch.
 	manifests   map[string]string
 	lastProcess int
 	// leaseHolders maps fencing numbers to the processes that held the lease under them.
@@ -86,7 +86,7 @@
 	requestCursors map[TrainerRequestID]*Cursor
 	// storedManifests is the set of manifests that were in the job object at some time.
 	storedManifests map[string]bool
-	// offlineBatches counts the batches handed out without being written.
+	// offlineBatches counts the batches sent without being written.
 	offlineBatches int
 	// hostManifests holds the manifests that hosts store for the cursors that locate them, by digest.
 	hostManifests map[string]Manifest
@@ -119,7 +119,7 @@
 func (s *simulation) newCoordinator() *coordinator {
 	self := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 9000)
 	s.lastProcess++
-	return &coordinator{id: s.lastProcess, job: NewJob("fees", self, s.stalenessBound), handedOut: map[string]bool{}}
+	return &coordinator{id: s.lastProcess, job: NewJob("fees", self, s.stalenessBound), sentManifests: map[string]bool{}}
 }
 
 // acquireLease gives the lease to a coordinator. It first updates what the coordinators know of an outage,
@@ -129,7 +129,7 @@
 	s.grantLease(index)
 }
 
-// announceOutage tells every coordinator whether there is an outage in which no other host has taken the
+// announceOutage reports to every coordinator whether there is an outage in which no other host has taken the
 // lease.
 func (s *simulation) announceOutage() {
 	for index, c := range s.coordinators {
@@ -200,7 +200,7 @@
 		if cursor := s.requestCursors[answer.ID]; !s.storedManifests[r.digest] && !namesManifest(cursor, r.digest) {
 			s.checkOfflineBatch(c, ready, cursor)
 		}
-		c.handedOut[r.digest] = true
+		c.sentManifests[r.digest] = true
 		key := batchKey(ready)
 		known, seen := s.manifests[key]
 		if seen && known != r.digest && (!s.useCursor || s.outages == 0) {
--- a/internal/core/delivery/worldcheck_test.go
+++ b/internal/core/delivery/worldcheck_test.go
@@ -40,14 +40,14 @@
 	}
 }
 
-// checkOfflineBatch checks a batch that was handed out without being written.
+// checkOfflineBatch checks a batch that was sent without being written.
 func (s *simulation) checkOfflineBatch(c *coordinator, ready BatchReady, cursor *Cursor) {
 	s.offlineBatches++
 	if cursor == nil || s.leaseHolders[cursor.Fencing] != c.id {
 		s.t.Fatalf("process %d proceeded offline from a cursor that it did not issue: %+v", c.id, cursor)
 	}
-	// A batch that was handed out offline may be repeated after the platform is back.
-	if repeated := c.handedOut[fmt.Sprint(ready.Manifest)]; !repeated {
+	// A batch that was sent offline may be repeated after the platform is back.
+	if repeated := c.sentManifests[fmt.Sprint(ready.Manifest)]; !repeated {
 		s.checkOfflineAllowed(c)
 	}
 	for _, ref := range ready.Manifest.SampleRefs {
--- a/internal/core/execution/record.go
+++ b/internal/core/execution/record.go
@@ -1,13 +1,13 @@
 // Package execution records the state of each request at an agent, so that a request runs at most once
 // and a verdict of "not run" stays true.
 //
-// Connections break while requests are queued or running. The sender then asks for the state of its
-// requests, and a request's frame may still arrive after that. Without the record such a late frame would
-// run a request whose caller was told that it never will, and may have sent it again.
+// Connections break while requests are queued or running. The sender then queries the state of its
+// requests, and a request's frame may still arrive after that. Without the record such a delayed frame would
+// run a request that was reported as "not run" and that its caller may have sent again.
 //
 // It is safe to forget an ended request at any time: each incarnation of a sender has a horizon, and a
-// request whose ID is at or below the horizon and not in the record is never run. Only precision is lost:
-// the answer for such a request is "may have run".
+// request whose ID is at or below the horizon and not in the record is never run. The only cost is a less precise
+// answer for such a request: "may have run".
 package execution
 
 import (
@@ -121,7 +121,7 @@
 }
 
 // Enqueue records a new request as queued. It refuses a request in any other state than Unseen: its frame
-// arrived twice, or only after the sender had asked for its state.
+// arrived twice, or only after the sender had queried its state.
 func (r *Record) Enqueue(now time.Time, id request.ID) error {
 	switch state := r.State(id); state {
 	case Unseen:
--- a/internal/core/execution/record_test.go
+++ b/internal/core/execution/record_test.go
@@ -14,7 +14,7 @@
 var start = time.Unix(1_700_000_000, 0)
 
 // Guards against a request that runs twice: an entry loses its connection while the request's frame is still
-// in flight, asks for the verdict, gets "not run" and sends the call to another agent. The late frame must
+// in flight, queries the verdict, gets "not run" and sends the call to another agent. The delayed frame must
 // not run, or an airline would be billed twice.
 func TestLateFrameAfterSettleNeverRuns(t *testing.T) {
 	r := NewRecord()
@@ -70,8 +70,8 @@
 	notRun bool
 }
 
-// Guards against a request that runs twice, that runs after its sender was told "not run", or that ran and is
-// reported as "not run". Frames arrive late, twice, and before or after queries about them, and the record forgets requests
+// Guards against a request that runs twice, that runs after it was reported as "not run", or that ran and is
+// reported as "not run". Frames arrive delayed, twice, and before or after queries about them, and the record forgets requests
 // by time and by number, in any order.
 func TestRecordUnderRandomInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/core/fleet/state.go
+++ b/internal/core/fleet/state.go
@@ -42,7 +42,7 @@
 const (
 	// HoldNone means that the decision changes the order.
 	HoldNone Hold = ""
-	// HoldSettled means that the order isn't higher than needed.
+	// HoldSettled means that the order isn't higher than the highest need of the stabilisation window.
 	HoldSettled Hold = "settled"
 	// HoldStaleView means that the host list is too old.
 	HoldStaleView Hold = "staleView"
--- a/internal/core/lease/machine.go
+++ b/internal/core/lease/machine.go
@@ -150,7 +150,7 @@
 	return m.prepareWrite(now, false)
 }
 
-// nextContender takes a free lease, or one whose term has ended. It waits by the monotonic clock alone:
+// nextContender takes a free lease, or one whose term has ended. It measures the wait by the monotonic clock only:
 // if the wall clock is stepped forward, the wait must not become shorter than the holder's term.
 func (m *Machine) nextContender(now Instant) Step {
 	waited := now.Monotonic - m.seen.firstSeen.Monotonic
@@ -161,7 +161,7 @@
 	return Step{Kind: StepWatch, IfVersion: m.seen.version, Wait: remaining}
 }
 
-// maxPast bounds the former holders in a record. More than these don't take over from each other within some seconds.
+// maxPast bounds the former holders in a record. No more than that many takeovers are expected within some seconds.
 const maxPast = 4
 
 // appendTenure returns the record's former holders followed by its holder, which is taken over from now.
--- a/internal/core/lease/machine_test.go
+++ b/internal/core/lease/machine_test.go
@@ -61,8 +61,8 @@
 type simulation struct {
 	object object
 	hosts  []*host
-	// late are writes whose senders have stopped waiting; they may still take effect.
-	late []Step
+	// delayedWrites are writes whose senders have stopped waiting; they may still take effect.
+	delayedWrites []Step
 }
 
 func newSimulation(count int, suspends func(int) bool) *simulation {
@@ -138,7 +138,7 @@
 	}
 	h.machine.WriteUncertain()
 	if !sent.arrived {
-		s.late = append(s.late, sent.step)
+		s.delayedWrites = append(s.delayedWrites, sent.step)
 	}
 }
 
@@ -163,7 +163,7 @@
 // restart replaces the host's process by one with a new incarnation.
 func (s *simulation) restart(h *host) {
 	if h.inFlight != nil && !h.inFlight.arrived && h.inFlight.step.Kind == StepWrite {
-		s.late = append(s.late, h.inFlight.step)
+		s.delayedWrites = append(s.delayedWrites, h.inFlight.step)
 	}
 	h.inFlight = nil
 	h.self.Incarnation++
@@ -183,7 +183,7 @@
 
 // Guards against two holders at once, with which two hosts would order servers for one availability zone or
 // report one window twice. Random schedules pause holders, lose the answers to renewals, step clocks, suspend
-// machines and let calls take effect late, so that a former holder may resume after another host took over.
+// machines and delay the effect of calls, so that a former holder may resume after another host took over.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 3).Draw(t, "hosts")
@@ -241,8 +241,8 @@
 	case 2, 3, 4, 5:
 		s.refuse(h)
 	default:
-		if len(s.late) > 0 {
-			s.object.put(s.late[rapid.IntRange(0, len(s.late)-1).Draw(t, "late")])
+		if len(s.delayedWrites) > 0 {
+			s.object.put(s.delayedWrites[rapid.IntRange(0, len(s.delayedWrites)-1).Draw(t, "late")])
 		}
 	}
 }
@@ -322,7 +322,7 @@
 	s.checkGrant(t, h, sent)
 }
 
-// Guards against two holders for a second. The results of two renewals are unknown: the first is written late,
+// Guards against two holders for a second. The results of two renewals are unknown: the first takes effect with a delay,
 // the second fails with a conflict and its answer is lost. The object holds the first, so the term must count
 // from that one and not from the second, which was sent after a contender may have started to wait.
 func TestOlderOfTwoLostRenewals(t *testing.T) {
@@ -331,7 +331,7 @@
 	s.run(h) // reads the object: the renewal has not been written yet
 	s.advance(time.Second)
 	s.send(h)
-	s.object.put(s.late[0])
+	s.object.put(s.delayedWrites[0])
 	s.arrive(h)
 	s.lose(h)
 	s.run(h)
@@ -381,7 +381,7 @@
 	t.Fatal("the host has not taken the duty over after five steps")
 }
 
-// Guards against a duty that nobody carries out for a whole term after its holder was killed and restarted at once: the lease names a
+// Guards against a duty that nobody carries out for a full term after its holder was killed and restarted at once: the lease names a
 // run of the process that has ended, and only its host can know that. If a host runs one process at a time, it takes over at once.
 func TestRestartedHolderTakesOverAtOnce(t *testing.T) {
 	earlier := Holder{HostID: "h1", Incarnation: 1}
@@ -416,7 +416,7 @@
 	}
 }
 
-// Guards against a duty that nobody carries out for a whole term more than needed: the holder was lost in an outage of the store. The
+// Guards against a duty that nobody carries out for a full term longer than needed: the holder was lost in an outage of the store. The
 // others had learned of its last renewal from the holder itself, and could read the object only when the store was back. The wait must
 // count from when they learned of the renewal.
 func TestContenderWaitCountsFromKnownRenewal(t *testing.T) {
--- a/internal/core/placement/belief.go
+++ b/internal/core/placement/belief.go
@@ -15,7 +15,7 @@
 	seenAt time.Time
 }
 
-// prefixLocations remembers which server holds which prefix. Cache events arrive late and with gaps, so a location
+// prefixLocations remembers which server holds which prefix. Cache events are delayed and some are lost, so a location
 // expires and only adds a candidate to probe; it never decides the placement on its own.
 type prefixLocations struct {
 	byPrefix map[uint64]prefixLocation
--- a/internal/core/placement/doc.go
+++ b/internal/core/placement/doc.go
@@ -2,13 +2,13 @@
 // accepts the requests of callers.
 //
 // Several properties of the system make the choice difficult. There are hundreds of entries, and each sees only a
-// few requests a second, so its knowledge of a server's load is seconds old. Load reports arrive late. A server
+// few requests a second, so its knowledge of a server's load is seconds old. Load reports are delayed. A server
 // may be slow without failing. Prompts share prefixes that a server may hold in its cache. Up to a third of the
 // servers may leave or fail at once.
 //
 // A simpler policy, such as sending to the server with the best load report, fails in four ways: all entries send
 // to the same server until the next report (herding), a slow server collects requests and determines the p99 of
-// the whole pool, every prompt is computed without the cache, and retries after an outage multiply the load on
+// the entire pool, every prompt is computed without the cache, and retries after an outage multiply the load on
 // the remaining servers.
 //
 // Each entry therefore uses a deterministic subset of a pool (rendezvous hashing, servers of its own availability
@@ -30,7 +30,7 @@
 //     ejections.
 //   - Trials: an ejected server gets a trial request after 5 s, and the interval then doubles up to 80 s. With trials
 //     every 5 s from four entries, one slow server determined the p99 of a pool of ten: 5 s instead of 0.3 s.
-//   - Prefix locations expire after 60 s: cache events arrive late and with gaps, and the content of a cache is
+//   - Prefix locations expire after 60 s: cache events are delayed or lost, and the content of a cache is
 //     replaced within minutes.
 //   - Load reports expire after 5 s.
 package placement
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -54,14 +54,14 @@
 		t.Error("the subset depends on the order of the server list:", diff)
 	}
 	without := slices.DeleteFunc(slices.Clone(all), func(s Server) bool { return s.HostID == first[0].HostID })
-	kept := 0
+	unchanged := 0
 	for _, id := range hostIDs(Subset("entry1", "a", without, 9)) {
 		if slices.Contains(hostIDs(first), id) {
-			kept++
+			unchanged++
 		}
 	}
-	if kept != 8 {
-		t.Errorf("the subset kept %d of its servers after one left, want 8", kept)
+	if unchanged != 8 {
+		t.Errorf("the subset kept %d of its servers after one left, want 8", unchanged)
 	}
 	if got := len(Subset("entry1", "d", all, 100)); got != 60 {
 		t.Errorf("%d servers for a subset larger than the pool, want all 60", got)
@@ -101,7 +101,7 @@
 	}
 }
 
-// Guards against refused calls in a pool of two servers of which one has just begun to leave: when all random draws
+// Guards against refused calls in a pool of two servers of which one has just started to leave: when all random draws
 // fell on that one, the call was refused although the other server was free. It happened to about one call in 128.
 func TestCandidatesIncludeAllServersOfASmallPool(t *testing.T) {
 	tracker := NewTracker()
--- a/internal/core/queue/item.go
+++ b/internal/core/queue/item.go
@@ -15,7 +15,7 @@
 	Cost     float64
 	Priority request.Priority
 	Enqueued time.Time
-	// Deadline is when the caller needs the whole answer; zero means no deadline.
+	// Deadline is when the caller needs the complete answer; zero means no deadline.
 	Deadline time.Time
 	Value    T
 	// long is set by Pop, so that Finished classifies the item as Pop did even if the typical cost has changed.
--- a/internal/core/queue/leave.go
+++ b/internal/core/queue/leave.go
@@ -38,8 +38,8 @@
 }
 
 // EstimateWait estimates how long a new item of the organisation, of typical cost, would wait. The estimate is the
-// work ahead of it at the recent throughput, and at least the time of one typical item. It is 0 while the
-// queue is empty or the throughput is unknown.
+// work ahead of it, or one typical item if that is more, at the recent throughput. While the throughput is
+// unreliable, serviceTimeBound limits the estimate. It is 0 while the queue is empty or the throughput unknown.
 func (q *Queue[T]) EstimateWait(now time.Time, organisation string, weight float64) time.Duration {
 	return q.estimateWait(now, Item[T]{
 		Organisation: organisation,
@@ -75,8 +75,8 @@
 //
 // It guards against a stall that distorts the throughput: if the server stops for some seconds while an item
 // waits, the stall makes up most of the measured time in a queue that is seldom used, because throughput is
-// measured only while items wait. Minutes later calls were refused for an estimated wait of seconds that would
-// have taken a fraction of one. Service times are measured on every item that finishes, whether others wait or
+// measured only while items wait. Minutes later calls were refused for an estimated wait of several seconds,
+// although the real one would have been well below a second. Service times are measured on every item that finishes, whether others wait or
 // not, and a server that is stalled now shows in the age of its running items.
 func (q *Queue[T]) serviceTimeBound(now time.Time) (time.Duration, bool) {
 	if q.slots == nil {
--- a/internal/core/queue/limiter.go
+++ b/internal/core/queue/limiter.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// costClass returns the binary logarithm of a cost, rounded down and limited to the classes kept.
+// costClass returns the binary logarithm of a cost, rounded down and limited to the highest class.
 func costClass(cost float64) int {
 	if cost <= 1 {
 		return 0
--- a/internal/core/queue/limiter_test.go
+++ b/internal/core/queue/limiter_test.go
@@ -14,7 +14,7 @@
 }
 
 // Guards against a limit that falls because jobs are long. A pool serves calls of a hundred tokens, then jobs of
-// ten thousand. A limit based on latency alone would take them for a hundredfold slowdown and fall to its floor,
+// ten thousand. A limit based on latency per request would treat them as a hundredfold slowdown and fall to its floor,
 // leaving the server half idle while callers are refused.
 func TestLimiterKeepsLimitOnLongJobs(t *testing.T) {
 	l := NewLimiter(8)
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -75,9 +75,9 @@
 	}
 	wait := q.estimateWait(now, item)
 	remaining := item.Deadline.Sub(now)
-	if late := wait + q.service(item.Cost) - remaining; late > 0 {
-		return verdict.Refuse(verdict.NotRun, verdict.ReasonDeadlineUnreachable, late,
-			"a wait of %v would miss the deadline by %v", wait.Round(time.Millisecond), late.Round(time.Millisecond))
+	if overrun := wait + q.service(item.Cost) - remaining; overrun > 0 {
+		return verdict.Refuse(verdict.NotRun, verdict.ReasonDeadlineUnreachable, overrun,
+			"a wait of %v would miss the deadline by %v", wait.Round(time.Millisecond), overrun.Round(time.Millisecond))
 	}
 	if over := wait - remaining/maxWaitDivisor; over > 0 {
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonOverloaded, over,
--- a/internal/core/rollout/doc.go
+++ b/internal/core/rollout/doc.go
@@ -2,7 +2,7 @@
 // samples get a second copy.
 //
 // Load pattern: several trainer jobs share the engines of a model. Each step adds groups of samples, which are of
-// use only once whole groups and the whole step are complete. A few samples fall behind because their engine is
+// use only once their group and their step are complete. A few samples fall behind because their engine is
 // slow, busy or lost. New weights arrive every few minutes, and unfinished samples become stale.
 //
 // Without it: if samples were generated first come first served, one job's large step would block the other
--- a/internal/core/roster/change.go
+++ b/internal/core/roster/change.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// DetectFailures marks neighbours that have been silent for FailureTimeout as silent, announces that, and returns them sorted by host.
+// DetectFailures marks neighbours as silent that were last heard FailureTimeout ago or earlier, announces that, and returns them sorted
+// by host.
 //
-// A new neighbour also has FailureTimeout from the moment at which it became one. Like every entry that is no neighbour it was last heard
-// long ago; judged by that alone it would count as failed at once, and its jobs would run twice.
+// A new neighbour gets FailureTimeout from the moment at which it became one. Until then it rarely called this entry, so the time since it
+// was last heard may already exceed FailureTimeout. Without this rule it would count as failed at once, and its jobs would run twice.
 func (r *Roster) DetectFailures(now time.Time) []Member {
 	var failed []Member
 	for _, p := range r.peers {
@@ -34,7 +35,7 @@
 	Silent   bool
 }
 
-// EndsPrevious reports whether the previous run has ended, no longer responds, or has begun to leave.
+// EndsPrevious reports whether the previous run has ended, no longer responds, or has started to leave.
 func (c Change) EndsPrevious() bool {
 	return c.Previous.HostID != "" && (c.Silent || c.Previous.Incarnation != c.Current.Incarnation || c.Current.Leaving && !c.Previous.Leaving)
 }
--- a/internal/core/roster/news.go
+++ b/internal/core/roster/news.go
@@ -11,7 +11,7 @@
 type updateRecord struct {
 	update    Update
 	changedAt time.Time
-	// passOnUntil is when the update is no longer passed on. It is kept for updateLifetime longer, to recognise late copies.
+	// passOnUntil is when the update is no longer passed on. It is kept for updateLifetime longer, to recognise delayed copies.
 	passOnUntil time.Time
 }
 
@@ -118,7 +118,7 @@
 		return Change{}, false
 	}
 	p := r.peer(now, update.Member.Address)
-	// A run that has begun to leave never returns to normal work, so the update counts however late it arrives.
+	// A run that has started to leave never returns to normal work, so the update counts however late it arrives.
 	leaves := update.Member.Leaving && !p.member.Leaving && p.member.Incarnation == update.Member.Incarnation
 	if p.member.HostID != "" && !changedAt.After(p.lastChange) && !leaves {
 		return Change{}, false
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -33,7 +33,7 @@
 	unknownInterval = time.Second
 	// seedInterval replaces unknownInterval during the first ringTimeout after the start while no other living entry is known.
 	seedInterval = 150 * time.Millisecond
-	// ringTimeout is the silence after which an entry is removed from the ring, since it may be gone for good.
+	// ringTimeout is the silence after which an entry is removed from the ring, since it may have failed permanently.
 	ringTimeout = 5 * time.Second
 	// forgetTimeout is how long a silent entry is still called.
 	forgetTimeout = 2 * time.Minute
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// Guards against jobs and usage counts of a failed host that are taken over late or twice: all entries must learn of the failure within
+// Guards against jobs and usage counts of a failed host that are taken over too late or twice: all entries must learn of the failure within
 // FailureTimeout and the time in which an update spreads, and each must learn of it once.
 func TestFailureIsKnownToAllInTime(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/core/scenario/call_test.go
+++ b/internal/core/scenario/call_test.go
@@ -28,7 +28,7 @@
 	entry   *entry
 }
 
-// orgStats is what the clients of an organisation asked for and received. Work is in tokens.
+// orgStats is what the clients of an organisation requested and received. Work is in tokens.
 type orgStats struct {
 	offeredWork float64
 	servedWork  float64
--- a/internal/core/scenario/fleet_test.go
+++ b/internal/core/scenario/fleet_test.go
@@ -41,7 +41,7 @@
 	// callEnds holds when each of the running calls ends.
 	callEnds []time.Duration
 	draining bool
-	// reports holds all load reports; the scaling rules see them late.
+	// reports holds all load reports; the scaling rules see them after reportLagSeconds.
 	reports []fleet.Server
 }
 
--- a/internal/core/scenario/job_test.go
+++ b/internal/core/scenario/job_test.go
@@ -53,7 +53,7 @@
 	// stepSize is the number of samples in a step.
 	step, stepSize int
 	stepStart      time.Time
-	// finishedVersions holds the weight version of each finished sample of the step. regenerations and lengths are kept for
+	// finishedVersions holds the weight version of each finished sample of the step. regenerations and lengths cover
 	// the samples of all steps.
 	finishedVersions map[string]int
 	regenerations    map[string]int
--- a/internal/core/scenario/result_test.go
+++ b/internal/core/scenario/result_test.go
@@ -40,8 +40,8 @@
 	return fluidFairShares(orgs, available, limits)
 }
 
-// asksLessThanShare reports whether an organisation asked for less than its share by weight of the capacity.
-func (s *sim) asksLessThanShare(org int) bool {
+// requestsLessThanShare reports whether an organisation requested less than its share by weight of the capacity.
+func (s *sim) requestsLessThanShare(org int) bool {
 	weight := 0.0
 	for _, o := range s.orgs {
 		weight += o.Weight
@@ -67,7 +67,7 @@
 		resubmitted += stats.resubmissions
 		resubmittedServed += stats.resubmittedServed
 		windowWork += stats.windowWork
-		if s.asksLessThanShare(i) {
+		if s.requestsLessThanShare(i) {
 			shortWaits = append(shortWaits, stats.shortWaits...)
 		}
 		r.minKeyShare = min(r.minKeyShare, minKeyShare(stats))
@@ -81,7 +81,7 @@
 	return r
 }
 
-// minKeyShare returns the lowest share that an API key received of what it asked for. A key that asked for more than an
+// minKeyShare returns the lowest share that an API key received of what it requested. A key that requested more than an
 // equal part of the organisation's served work is compared with that part.
 func minKeyShare(stats orgStats) float64 {
 	lowest := 1.0
--- a/internal/core/ticket/delta.go
+++ b/internal/core/ticket/delta.go
@@ -3,7 +3,7 @@
 import "maps"
 
 // Delta is the difference between a head and a later one. A head of a thousand organisations takes 100 KB, so
-// that a relay that sent whole heads to 58 followers would send several megabytes for each ticket.
+// that a relay that sent complete heads to 58 followers would send several megabytes for each ticket.
 type Delta struct {
 	LastTicket int `json:"lastTicket"`
 	// Digests are the digests of the tickets accepted in between, oldest first.
--- a/internal/core/ticket/duration.go
+++ b/internal/core/ticket/duration.go
@@ -6,7 +6,7 @@
 // the configuration. Relays are hosts that read it there and forward it to the other hosts.
 //
 // Head.NumberStatus decides whether a ticket may be accepted under its number. Without it two operators could
-// both be told that their ticket was accepted under the same number. Freshness decides whether a host may serve
+// both get the answer that their ticket was accepted under the same number. Freshness decides whether a host may serve
 // requests from its view. Without it a partitioned host would accept a withdrawn key for as long as the
 // partition lasts, or an outage of the platform would stop all traffic. The constants document the reasons for
 // their values.
--- a/internal/core/ticket/freshness.go
+++ b/internal/core/ticket/freshness.go
@@ -45,16 +45,16 @@
 }
 
 // OutageEstablished reports whether one round of queries to all relays establishes an outage of the platform.
-// Relays is the number of relays, and asked is a time before the round. Confirmed holds the confirmation times
+// Relays is the number of relays, and roundStart is a time before the first query. Confirmed holds the confirmation times
 // of the voters, the relays that count for this decision, that answered, including this host if it is a voter.
 // More than half of the relays have to answer, since a minority could be partitioned together with this host,
-// and no confirmation may be from the period OutageAfter before asked, or later.
-func OutageEstablished(asked time.Time, relays int, confirmed []time.Time) bool {
+// and no confirmation may be from the period OutageAfter before roundStart, or later.
+func OutageEstablished(roundStart time.Time, relays int, confirmed []time.Time) bool {
 	if 2*len(confirmed) <= relays {
 		return false
 	}
 	for _, confirmation := range confirmed {
-		if isRecent(asked, confirmation, OutageAfter) {
+		if isRecent(roundStart, confirmation, OutageAfter) {
 			return false
 		}
 	}
--- a/internal/core/ticket/order.go
+++ b/internal/core/ticket/order.go
@@ -50,11 +50,11 @@
 	if number > h.LastTicket {
 		return NumberEarly
 	}
-	kept, ok := h.Digest(number)
+	accepted, ok := h.Digest(number)
 	if !ok {
 		return NumberForgotten
 	}
-	if kept != digest {
+	if accepted != digest {
 		return NumberTaken
 	}
 	return NumberAccepted
--- a/internal/core/usage/ledger.go
+++ b/internal/core/usage/ledger.go
@@ -48,7 +48,7 @@
 	return ledger
 }
 
-// WindowSeconds returns the length of a window in whole seconds, at least one.
+// WindowSeconds returns the length of a window in seconds, rounded down but at least one.
 func WindowSeconds(length time.Duration) int64 {
 	return max(int64(length/time.Second), 1)
 }
--- a/internal/core/verdict/refusal.go
+++ b/internal/core/verdict/refusal.go
@@ -29,7 +29,7 @@
 	// ReasonDeadlineUnreachable: the answer is not expected before the deadline.
 	ReasonDeadlineUnreachable Reason = "deadlineUnreachable"
 	ReasonDeadlinePassed      Reason = "deadlinePassed"
-	// ReasonNotReady: what a trainer asked for was not ready in time; the work goes on.
+	// ReasonNotReady: what a trainer requested was not ready in time; the work continues.
 	ReasonNotReady Reason = "notReady"
 	ReasonNoServer Reason = "noServer"
 	// ReasonWrongPool: the agent that received the request serves another pool.
--- a/internal/core/weights/planner.go
+++ b/internal/core/weights/planner.go
@@ -11,8 +11,8 @@
 // these servers, those whose version the next step doesn't accept load first, even while they run requests. The others
 // serve the next step with the version that they have, and load the new one when they are idle. In addition, half of a
 // model's servers load each version within its step even if they are busy; otherwise all servers could be two versions
-// behind at the next version, and none could serve its step at once. At most half of a model's servers load at the
-// same time.
+// behind at the next version, and none could serve its step at once. A server that is only one version behind
+// doesn't load while half of the model's servers load or are further behind.
 package weights
 
 import (
@@ -33,7 +33,7 @@
 	// within a step.
 	minLoading = 2
 	// orderExpiry is how long an accepted order counts as being carried out without any sign of it. It is several times
-	// the usual time of a load, since an order whose answer was lost may be carried out that late.
+	// the usual time of a load, since an order whose answer was lost may still be carried out with such a delay.
 	orderExpiry = 4 * time.Second
 	// firstVersion is the version of a model before its trainer has announced one.
 	firstVersion = 1
@@ -108,7 +108,7 @@
 	return orders
 }
 
-// prune removes servers that are gone, and orders that took effect or have expired.
+// prune removes servers that are no longer in the list, and orders that took effect or have expired.
 func (p *Planner) prune(now time.Time, engines []Engine) {
 	live := map[backend.Key]Engine{}
 	for _, engine := range engines {
