--- a/internal/core/admission/controller.go
+++ b/internal/core/admission/controller.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// minBurst is the smallest burst of a rate limit at an entry. It lets each key of an organisation find a token,
-	// however many entries share the limit.
+	// minBurst is the smallest burst of a rate limit at an entry, however many entries share the limit. With keyReserve
+	// a hot key always leaves one of the two tokens to the organisation's other keys.
 	minBurst = 2
 	// defaultBurstSeconds is the burst of a rate limit that sets none, in seconds of its rate.
 	defaultBurstSeconds = 4
--- a/internal/core/admission/keys.go
+++ b/internal/core/admission/keys.go
@@ -10,7 +10,7 @@
 	keyWindow = 10 * time.Second
 	// maxKeys bounds the number of keys of an organisation that are tracked separately.
 	maxKeys = 256
-	// keyReserve is the part of a bucket that a key above its equal part leaves to the others.
+	// keyReserve is the part of a bucket that a key which has used more than its equal share must leave to the others.
 	keyReserve = 0.5
 )
 
--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -33,7 +33,7 @@
 	// moved. It lies above the slowdown of a full engine against an empty one, and below that of a
 	// faulty engine.
 	slowIntervalFactor = 1.9
-	// minPeerIntervals is how many other servers must have a known event interval before one is called slow.
+	// minPeerIntervals is how many other servers must have a known event interval before one counts as slow.
 	minPeerIntervals = 2
 	// subsetSize is how many servers that can run a request an entry considers first, in an order of its own by
 	// hash, and minAvailable is how many of them must be available to consider no more. This bounds the connections
--- a/internal/core/backend/book_test.go
+++ b/internal/core/backend/book_test.go
@@ -161,7 +161,7 @@
 	}
 	balancer.Sync(list)
 	if balancer.ShouldMove("a", time.Second) {
-		t.Error("called slow without other servers to compare with")
+		t.Error("counted as slow without other servers to compare with")
 	}
 	for _, id := range []string{"b", "c", "d"} {
 		for range 50 {
--- a/internal/core/delivery/job.go
+++ b/internal/core/delivery/job.go
@@ -12,8 +12,8 @@
 // sends.
 //
 // A transition is a new step, batch or model version. Normally it is a conditional write of the job object,
-// and its result is sent to the trainer once the write is known to have taken effect. While the platform is down the
-// job may proceed offline: it applies a transition without the write, under these rules:
+// and its result is sent to the trainer once the write is known to have taken effect. While the platform is
+// down the job may proceed offline: it applies a transition without the write, under these rules:
 //   - the request carries a cursor, which shows what the trainer has received;
 //   - this coordinator issued the cursor, under a lease that it held, so no other coordinator can proceed
 //     offline from the same cursor;
--- a/internal/core/execution/record_test.go
+++ b/internal/core/execution/record_test.go
@@ -25,7 +25,7 @@
 	err := r.Enqueue(start, id)
 	refusal, ok := verdict.As(err)
 	if !ok || refusal.Verdict != verdict.NotRun || refusal.Reason != verdict.ReasonFenced {
-		t.Errorf("late frame: got %v, want a refusal as fenced", err)
+		t.Errorf("delayed frame: got %v, want a refusal as fenced", err)
 	}
 }
 
--- a/internal/core/fleet/state.go
+++ b/internal/core/fleet/state.go
@@ -40,7 +40,7 @@
 type Hold string
 
 const (
-	// HoldNone means that the decision changes the order.
+	// HoldNone means that the decision places an order.
 	HoldNone Hold = ""
 	// HoldSettled means that the order isn't higher than the highest need of the stabilisation window.
 	HoldSettled Hold = "settled"
--- a/internal/core/lease/machine.go
+++ b/internal/core/lease/machine.go
@@ -266,7 +266,7 @@
 	m.grant = nil
 }
 
-// Released reports whether a release is complete: the lease is known to be free or held by another process. A holder that never
+// Released reports whether Release was called and is complete: the lease is known to be free or held by another process. A holder that never
 // wrote has nothing to release, so that a host that leaves during an outage need not wait for leases that it never held.
 func (m *Machine) Released() bool {
 	return m.released && (m.renewal == 0 || !m.uncertain && !m.heldBySelf())
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -224,18 +224,18 @@
 }
 
 // dropIfIdle deletes an empty flow unless its start time is ahead of the virtual time. Such a flow is kept;
-// otherwise an organisation could let its queue run empty for a moment to clear the service it has received.
+// otherwise an organisation could reset its record of received service by letting its queue run empty briefly.
 func (q *Queue[T]) dropIfIdle(empty *flow[T]) {
 	if len(empty.items) == 0 && empty.start <= q.virtualTime {
 		delete(q.flows, empty.organisation)
 	}
-	if len(q.flows) > 2*len(q.heap)+idleFlowsKept {
+	if len(q.flows) > 2*len(q.heap)+maxIdleFlows {
 		q.dropIdleFlows()
 	}
 }
 
-// idleFlowsKept is how many idle flows, beyond as many as there are active ones, are kept before they are cleaned up.
-const idleFlowsKept = 64
+// maxIdleFlows is how many more idle than active flows there may be before dropIdleFlows is called.
+const maxIdleFlows = 64
 
 // dropIdleFlows deletes the empty flows whose start time the virtual time has reached.
 func (q *Queue[T]) dropIdleFlows() {
--- a/internal/core/queue/queue_test.go
+++ b/internal/core/queue/queue_test.go
@@ -333,7 +333,7 @@
 	}
 }
 
-// Guards against an agent that was cut off while its slots were busy and then refuses calls for an estimated wait of
+// Guards against an agent that was paused while its slots were busy and then refuses calls for an estimated wait of
 // seconds. The first item that finishes shows that the server works again, although the age of the other running
 // items still includes the pause.
 func TestWaitRecoversOnceAnItemFinishes(t *testing.T) {
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -68,7 +68,7 @@
 	reportedAt, agreedAt, fullListAt time.Time
 }
 
-// setMember replaces the member. A new run of the process knows nothing, so the full list is due to it at its first call.
+// setMember replaces the member. A new run of the process has an empty list, so it is sent the full list at its first call.
 func (p *peerState) setMember(member Member) {
 	if p.member.Incarnation != member.Incarnation {
 		p.reportedDigest = 0
--- a/internal/core/scenario/result_test.go
+++ b/internal/core/scenario/result_test.go
@@ -16,7 +16,7 @@
 	// p50Wait and p99Wait are quantiles of the waits of the worst-served organisation.
 	p50Wait time.Duration
 	p99Wait time.Duration
-	// shortP99Wait is the 99th percentile for short calls of the organisations that ask for less than their share.
+	// shortP99Wait is the 99th percentile for short calls of the organisations that request less than their share.
 	shortP99Wait time.Duration
 	// goodput is the work answered in time between measureStart and measureEnd, divided by the capacity in that time.
 	goodput float64
@@ -117,7 +117,7 @@
 }
 
 // scenarioHeader names the columns of the scenario table, in the order in which row fills them. "Its" refers to the
-// organisation with the worst share, "modest" to organisations that ask for less than their share, and "came back" to
+// organisation with the worst share, "modest" to organisations that request less than their share, and "came back" to
 // calls that were resubmitted after a refusal.
 const scenarioHeader = "| scenario | policy | worst share | worst mean | its p50 wait | its p99 wait | p99 wait of modest | goodput | refused | late or failed | came back served | worst key |\n|---|---|---|---|---|---|---|---|---|---|---|---|\n"
 
--- a/internal/core/scenario/scenario_test.go
+++ b/internal/core/scenario/scenario_test.go
@@ -29,7 +29,7 @@
 }
 
 // eightSources returns the sources of eight organisations, two of them with three times the weight and load of the
-// others. Together they ask for total, as a share of the capacity.
+// others. Together they offer the load total, as a share of the capacity.
 func eightSources(total float64) []trafficSource {
 	out := make([]trafficSource, 8)
 	for i := range out {
--- a/internal/core/scenario/step_test.go
+++ b/internal/core/scenario/step_test.go
@@ -44,7 +44,7 @@
 	interleaveGroups bool
 	// copyShare is the limit of the work of copies as a share of all work.
 	copyShare float64
-	// placeByPrefix tells the tracker the prompt's prefix, so that the samples of a group tend to meet on one server.
+	// placeByPrefix passes the prompt's prefix to the tracker, so that the samples of a group tend to run on one server.
 	placeByPrefix bool
 }
 
--- a/internal/core/weights/planner.go
+++ b/internal/core/weights/planner.go
@@ -43,7 +43,7 @@
 	busyLoadDelay = 1500 * time.Millisecond
 )
 
-// Order tells a server to load a version of a model.
+// Order instructs a server to load a version of a model.
 type Order struct {
 	Server  backend.Server
 	Model   string
