--- a/internal/core/backend/book.go
+++ b/internal/core/backend/book.go
@@ -119,7 +119,7 @@
 	return b.changed
 }
 
-// notifyChanged wakes those who wait on Changed. The caller holds the lock.
+// notifyChanged wakes the goroutines that wait on the channel of Changed. The caller holds the lock.
 func (b *Balancer) notifyChanged() {
 	close(b.changed)
 	b.changed = make(chan struct{})
--- a/internal/core/batch/doc.go
+++ b/internal/core/batch/doc.go
@@ -16,5 +16,5 @@
 // Results are kept in the store as a log of numbered pages, each created under the next number. If two processes run
 // the same job by mistake, only one of them succeeds in creating each page; the other applies the page that it finds
 // and drops its own results for the items in that page. A published position therefore never changes, and no lease is
-// needed. Results are shown to a trainer only after their page is written.
+// needed. Results are returned to a trainer only after their page is written.
 package batch
--- a/internal/core/batch/job.go
+++ b/internal/core/batch/job.go
@@ -114,7 +114,7 @@
 	Writer  uint64   `json:"writer"`
 	Serial  int      `json:"serial"`
 	Results []Result `json:"results"`
-	// Partials are the outputs received so far for items without a result. They are never shown to trainers; a
+	// Partials are the outputs received so far for items without a result. They are never returned to trainers; an
 	// entry that takes over the job resumes from them.
 	Partials []Partial `json:"partials,omitempty"`
 }
--- a/internal/core/batch/partial.go
+++ b/internal/core/batch/partial.go
@@ -36,7 +36,7 @@
 //
 // Without checkpoints, a power loss of all entries while the long items of a step are in their fourth second
 // restarts these items from the beginning. They then end after the step's deadline, and the trainer that waits for
-// them falls behind for good: every later step is delayed as well.
+// them falls behind permanently: every later step is delayed as well.
 func (p *Progress) takeCheckpoints(maxBytes int) []Partial {
 	var checkpoints []Partial
 	size := 0
--- a/internal/core/batch/progress_rapid_test.go
+++ b/internal/core/batch/progress_rapid_test.go
@@ -10,8 +10,8 @@
 // pageLog simulates the store's log of pages: a create succeeds only under the next number.
 type pageLog struct {
 	pages []Page
-	// shown are the results that any process has returned to a reader, by position.
-	shown []Result
+	// returned holds the results that any process has returned to a reader, by position.
+	returned []Result
 }
 
 // process runs the job beside another one; it may not know the latest pages of the log.
@@ -48,33 +48,33 @@
 	}
 }
 
-// show reads from a position at or before the end of what was shown, and checks the results against all that were
-// shown.
-func (p *process) show(t *rapid.T, log *pageLog) {
-	from := rapid.IntRange(0, len(log.shown)).Draw(t, "position")
+// checkRead reads from a position at or before the end of the returned results, and checks the results against all
+// that were returned before.
+func (p *process) checkRead(t *rapid.T, log *pageLog) {
+	from := rapid.IntRange(0, len(log.returned)).Draw(t, "position")
 	results, ok := p.progress.ReadResults(from, 1<<30, false)
 	if !ok {
 		p.catchUp(log)
 		results, _ = p.progress.ReadResults(from, 1<<30, true)
 	}
-	// The results may be fewer than were shown, since a reader continues from their end. They may be empty only where
-	// nothing was shown.
-	if len(results) == 0 && from < len(log.shown) {
-		t.Fatalf("no result at position %d, but %d results were shown", from, len(log.shown))
+	// There may be fewer results than were returned before, since a reader continues from their end. There may be none
+	// only where none were returned before.
+	if len(results) == 0 && from < len(log.returned) {
+		t.Fatalf("no result at position %d, but %d results were returned", from, len(log.returned))
 	}
 	for i, result := range results {
-		if from+i == len(log.shown) {
-			log.shown = append(log.shown, result)
+		if from+i == len(log.returned) {
+			log.returned = append(log.returned, result)
 		}
-		if shown := log.shown[from+i]; shown.ID != result.ID || shown.State != result.State {
-			t.Fatalf("position %d has result %v, but %v was shown", from+i, result, shown)
+		if returned := log.returned[from+i]; returned.ID != result.ID || returned.State != result.State {
+			t.Fatalf("position %d has result %v, but %v was returned", from+i, result, returned)
 		}
 	}
 }
 
 // Two entries that can't reach each other run one job, and both reach the store. In any order of their operations,
 // with lost answers of the store and restarted processes, each item must be published once, both must publish the
-// same result at each position, and neither may deny to a reader what either has shown.
+// same result at each position, and neither may omit a result that either has returned to a reader.
 func TestConcurrentProcessesPublishEachItemOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := newTestJob(rapid.IntRange(1, 5).Draw(t, "groups"), 2)
@@ -122,7 +122,7 @@
 			progress.ApplyConflictingPage(log.pages[progress.Pages()])
 		}
 	case "show":
-		p.show(t, log)
+		p.checkRead(t, log)
 	case "start":
 		p.unanswered = nil
 		p.progress = NewProgress(progress.Job(), progress.writer+2)
--- a/internal/core/roster/call.go
+++ b/internal/core/roster/call.go
@@ -12,12 +12,12 @@
 	Address netip.AddrPort
 	// Member is what is known of the entry; only its address is set if the entry is unknown.
 	Member Member
-	// KeepsCopies reports whether the entry is to keep copies of data that only this one has.
+	// KeepsCopies reports whether the called entry is to keep copies of this entry's data, such as usage counts.
 	KeepsCopies bool
 }
 
 // DueCalls returns the entries to call now, sorted by address, and marks each as being called until CallEnded. Direct are the
-// addresses of entries that must hear from this one directly.
+// addresses of entries that this one must call itself, even if they are not neighbours.
 func (r *Roster) DueCalls(now time.Time, direct ...netip.AddrPort) []DueCall {
 	r.updateNeighbours(now)
 	var due []DueCall
