--- a/internal/edge/backendserver/errors.go
+++ b/internal/edge/backendserver/errors.go
@@ -13,7 +13,7 @@
 var (
 	// ErrNotSent: no byte of the request was sent, so the call can't have run.
 	ErrNotSent = exchange.ErrNotSent
-	// ErrAnswerLost: the request was sent, but its whole answer was not received; the call may have run.
+	// ErrAnswerLost: the request was sent, but its complete answer was not received; the call may have run.
 	ErrAnswerLost = exchange.ErrAnswerLost
 	// ErrFenced: the server has seen a newer fencing number than the order's.
 	ErrFenced = errors.New("fencing number is old")
--- a/internal/edge/batchjob/contradiction_test.go
+++ b/internal/edge/batchjob/contradiction_test.go
@@ -286,7 +286,7 @@
 	case "fault":
 		s.clients[number].setFault(rapid.SampledFrom(storeFaults).Draw(s.t, "fault"))
 	case "late":
-		s.store.carryOutLate()
+		s.store.carryOutDelayed()
 	case "outage":
 		s.outage.Store(!s.outage.Load())
 	case "forget":
--- a/internal/edge/batchjob/fakes_test.go
+++ b/internal/edge/batchjob/fakes_test.go
@@ -28,7 +28,7 @@
 
 const (
 	faultNone storeFault = "none"
-	// faultDown: the call fails without effect, and the entry is told so.
+	// faultDown: the call fails with an error that says that it had no effect.
 	faultDown storeFault = "down"
 	// faultLost: a write is carried out, and its answer is lost.
 	faultLost storeFault = "lost"
@@ -44,8 +44,8 @@
 type memoryStore struct {
 	mu      sync.Mutex
 	objects map[string]json.RawMessage
-	// late are the writes that are still to be carried out.
-	late []func()
+	// delayed are the writes that are still to be carried out.
+	delayed []func()
 }
 
 func newMemoryStore() *memoryStore { return &memoryStore{objects: map[string]json.RawMessage{}} }
@@ -72,12 +72,12 @@
 	return nil, true
 }
 
-// carryOutLate carries out the oldest late write.
-func (s *memoryStore) carryOutLate() {
+// carryOutDelayed carries out the oldest delayed write.
+func (s *memoryStore) carryOutDelayed() {
 	s.mu.Lock()
 	var write func()
-	if len(s.late) > 0 {
-		write, s.late = s.late[0], s.late[1:]
+	if len(s.delayed) > 0 {
+		write, s.delayed = s.delayed[0], s.delayed[1:]
 	}
 	s.mu.Unlock()
 	if write != nil {
@@ -127,7 +127,7 @@
 	case faultLate:
 		c.store.mu.Lock()
 		defer c.store.mu.Unlock()
-		c.store.late = append(c.store.late, func() { c.store.create(kind, name, value) })
+		c.store.delayed = append(c.store.delayed, func() { c.store.create(kind, name, value) })
 		return 0, product.ErrOutcomeUnknown
 	case faultDropped:
 		return 0, product.ErrOutcomeUnknown
@@ -193,7 +193,7 @@
 	return newTestManager(ctx, store.client(), members)
 }
 
-// newStoredSpec returns a job of two items, accepted a moment ago by an entry that is gone.
+// newStoredSpec returns a job of two items, accepted a moment ago by an entry that is no longer alive.
 func newStoredSpec() *batch.Job {
 	return &batch.Job{
 		ID: "j", Organisation: "north", Owner: "gone", Accepted: time.Now(), Terms: batch.Terms{ItemTimeout: time.Hour},
--- a/internal/edge/batchjob/handover.go
+++ b/internal/edge/batchjob/handover.go
@@ -19,8 +19,8 @@
 
 // HandOverJobs writes the finished items of the jobs that run here and asks other entries to run the rest.
 //
-// Without it nobody would run these jobs until the trainers' connections end: the connections stay with the leaving entry, where reads
-// find no new results, and no other entry is asked for them.
+// Without a handover no entry would run these jobs until the trainers' connections end: the trainers stay connected to the leaving entry
+// and read no new results there, and no other entry receives a read that would make it run the job.
 func (m *Manager) HandOverJobs(ctx context.Context) {
 	m.mu.Lock()
 	m.leaving = true
@@ -75,12 +75,12 @@
 	return members
 }
 
-// RerunJobsOf has the jobs run again that the lost process of an entry ran. It doesn't wait for reads: a trainer may be connected to the
-// lost entry, and then asks no other one for results for seconds.
+// RerunJobsOf restarts the jobs that ran in a lost process of an entry, here or at their preferred runners. It doesn't wait for a trainer
+// to read results: a trainer that is connected to the lost entry may take seconds to connect to another one.
 //
-// All living entries try one after the other until the job is known to run. If only the first in the job's order tried, a job could stand
-// still until its trainer asks: when several entries die at once and restart a moment later, the first may be one of them and know nothing
-// of the job.
+// All living entries try one after the other, in an order that depends on the job, until the job is known to run. If only the first entry
+// tried, the job could stall until its trainer reads: when several entries die at once and restart a moment later, the first may be one of
+// them and know nothing of the job.
 func (m *Manager) RerunJobsOf(lost gossip.Member) {
 	for _, id := range m.jobsOwnedBy(lost.HostID) {
 		m.forgetOwner(id, lost.HostID)
@@ -91,7 +91,7 @@
 const (
 	// rerunTurn is how long each entry in the order for a job has to announce that it runs the job: a request and a gossip message.
 	rerunTurn = 300 * time.Millisecond
-	// maxRerunTurns bounds the wait of entries late in the order; by then all of them have heard who runs the job.
+	// maxRerunTurns bounds the wait of the last entries in the order; by then all of them have learned by gossip who runs the job.
 	maxRerunTurns = 7
 )
 
@@ -101,7 +101,7 @@
 	rerunRetryDelay  = 500 * time.Millisecond
 )
 
-// rerun has a job run again whose entry was lost. The host id of that entry is only logged.
+// rerun restarts a job whose entry was lost, and retries after failures. The host id of that entry is only logged.
 func (m *Manager) rerun(id, lost string) {
 	for range maxRerunAttempts {
 		err := m.tryRerun(id)
@@ -131,8 +131,8 @@
 	return ok && j.isRunning()
 }
 
-// rerunInTurn has a job run again once the entries that precede this one in the job's order had their turn, unless the job is known to
-// run.
+// rerunInTurn waits until the entries that precede this one in the job's order have had their turns, and then restarts the job unless it
+// has ended or is known to run.
 func (m *Manager) rerunInTurn(id, lost string) {
 	turn := time.Duration(min(m.ownRank(id), maxRerunTurns)) * rerunTurn
 	if ticker.Sleep(m.ctx, turn) && !m.isEndedOrRunning(id) {
--- a/internal/edge/batchjob/item.go
+++ b/internal/edge/batchjob/item.go
@@ -25,7 +25,7 @@
 	slowSpansToMove = 2
 	// maxRefusalBytes bounds how much of a refusal is read.
 	maxRefusalBytes = 64 << 10
-	// itemRetryDelay is the pause after a server refused or failed an item, so that a full pool isn't asked in a tight loop.
+	// itemRetryDelay is the pause after a server refused or failed an item, so that items aren't sent to a full pool in a tight loop.
 	itemRetryDelay = 60 * time.Millisecond
 )
 
@@ -33,30 +33,30 @@
 type outcome uint8
 
 const (
-	// outcomeCut: the stream broke off, and the item may continue at another server after the last event received.
-	outcomeCut outcome = iota + 1
+	// outcomeInterrupted: the stream broke off, and the item may resume at another server after the last event received.
+	outcomeInterrupted outcome = iota + 1
 	// outcomeRefused: the server did not run the item.
 	outcomeRefused
-	// outcomeCompleted: the whole stream was received.
+	// outcomeCompleted: the stream was received to its end.
 	outcomeCompleted
 	// outcomeFailed: the server answered with status 500, which counts as a failure of the item.
 	outcomeFailed
 	// outcomeImpossible: the server answered that the item can never succeed.
 	outcomeImpossible
-	// outcomeMoved: the server is slow and others are not, so that the item moves.
+	// outcomeMoved: the server is slower than others, so the item moves to another one.
 	outcomeMoved
-	// outcomeUnfit: the job allows a single weight version, and the server's differs from that of the text received so far.
-	outcomeUnfit
+	// outcomeVersionMismatch: the job allows a single weight version, and the server's differs from that of the text received so far.
+	outcomeVersionMismatch
 )
 
 var outcomeNames = map[outcome]string{
-	outcomeCut:        "cut",
-	outcomeRefused:    "refused",
-	outcomeCompleted:  "completed",
-	outcomeFailed:     "failed",
-	outcomeImpossible: "impossible",
-	outcomeMoved:      "moved",
-	outcomeUnfit:      "unfit",
+	outcomeInterrupted:     "cut",
+	outcomeRefused:         "refused",
+	outcomeCompleted:       "completed",
+	outcomeFailed:          "failed",
+	outcomeImpossible:      "impossible",
+	outcomeMoved:           "moved",
+	outcomeVersionMismatch: "unfit",
 }
 
 // String returns the name of the outcome in logs and metrics.
@@ -111,7 +111,7 @@
 		progress.RecordFailure(now, r.item.ID)
 	case outcomeImpossible:
 		progress.MarkLost(now, r.item.ID)
-	case outcomeUnfit:
+	case outcomeVersionMismatch:
 		progress.DiscardOutput(r.item.ID)
 		progress.Requeue(r.item.ID)
 	default:
@@ -172,7 +172,7 @@
 	if errors.Is(err, exchange.ErrNotSent) {
 		return outcomeRefused
 	}
-	return outcomeCut
+	return outcomeInterrupted
 }
 
 // checkHeader decides by the status and header of an answer whether its stream is read.
@@ -182,7 +182,7 @@
 	case answer.RequestID != "" && answer.RequestID != r.item.ID:
 		r.cause = errWrongRequest
 		balancer.RecordFailure(now, r.server.ID)
-		return outcomeCut, false
+		return outcomeInterrupted, false
 	case answer.NotRun:
 		r.cause = errors.Errorf("status %d", answer.Status)
 		balancer.RecordRefusal(now, r.server.ID)
@@ -197,7 +197,7 @@
 	case answer.Status != fasthttp.StatusOK || !answer.Signed():
 		r.cause = errors.Errorf("status %d", answer.Status)
 		balancer.RecordFailure(now, r.server.ID)
-		return outcomeCut, false
+		return outcomeInterrupted, false
 	case answer.Version == 0:
 		// An answer without a version has no events: all were received before, and only the end of the stream was lost.
 		return 0, true
@@ -218,7 +218,7 @@
 	}
 	if spec.SingleVersion && len(r.output.Versions) > 0 && r.output.Versions[0] != version {
 		r.cause = errWrongVersion
-		return outcomeUnfit, false
+		return outcomeVersionMismatch, false
 	}
 	return 0, true
 }
@@ -242,11 +242,11 @@
 		}
 		if r.version == 0 {
 			r.cause = errWrongVersion
-			return outcomeCut
+			return outcomeInterrupted
 		}
 		if !r.append(event) {
 			r.cause = errEventOrder
-			return outcomeCut
+			return outcomeInterrupted
 		}
 		if monitor.eventReceived(time.Now()) {
 			r.cause = errSlow
--- a/internal/edge/batchjob/message.go
+++ b/internal/edge/batchjob/message.go
@@ -28,7 +28,7 @@
 
 // ReadAnswer holds listed results. Known is false if the entry can't answer for the job.
 type ReadAnswer struct {
-	// Waited is set if the answer was given after the whole wait; the store was then queried right before it.
+	// Waited is set if the answer was given after the full wait time; the store was then queried right before it.
 	Waited  bool           `msgpack:"w"`
 	Known   bool           `msgpack:"k"`
 	Total   int            `msgpack:"t"`
--- a/internal/edge/batchjob/metrics.go
+++ b/internal/edge/batchjob/metrics.go
@@ -27,7 +27,7 @@
 	rewardScored rewardOutcome = "scored"
 	// rewardFailed: the server answered with a failure.
 	rewardFailed rewardOutcome = "failed"
-	// rewardNoAnswer: no server ran the call, or no whole answer came.
+	// rewardNoAnswer: no server ran the call, or no complete answer was received.
 	rewardNoAnswer rewardOutcome = "noAnswer"
 	// rewardNoRoute: no route serves the call.
 	rewardNoRoute rewardOutcome = "noRoute"
--- a/internal/edge/batchjob/owner_test.go
+++ b/internal/edge/batchjob/owner_test.go
@@ -97,7 +97,7 @@
 	if err := m.takeOver(ctx, RunRequest{Job: "j", Organisation: "north"}); err != nil {
 		t.Fatal(err)
 	}
-	store.carryOutLate()
+	store.carryOutDelayed()
 	write("b")
 	_, results, err := m.Results(ctx, spec.ID, spec.Organisation, 0, 0, 1<<20)
 	if err != nil {
--- a/internal/edge/batchjob/run.go
+++ b/internal/edge/batchjob/run.go
@@ -143,7 +143,8 @@
 	}
 }
 
-// writePage writes a page until it is known which page has its number. It returns false if the job stopped first.
+// writePage retries the write of a page until the store holds a page under its number, this one or another process's. It returns false if the job
+// stops first or the page can't be encoded.
 func (m *Manager) writePage(ctx context.Context, j *job, page batch.Page) bool {
 	value, err := json.Marshal(page)
 	if err != nil {
--- a/internal/edge/batchjob/takeover.go
+++ b/internal/edge/batchjob/takeover.go
@@ -9,7 +9,8 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// loadAndEnsureRun returns a job with all its pages, and has it run if no entry is known to. An empty organisation is the system itself.
+// loadAndEnsureRun returns a job with all its pages. If the job is not finished and no entry is known to run it, it starts the job here or
+// requests its preferred runner to run it. An empty organisation stands for a call by the system itself.
 func (m *Manager) loadAndEnsureRun(ctx context.Context, id, organisation string) (*job, error) {
 	j, err := m.readJob(ctx, id, organisation)
 	if err != nil || j.finished() {
@@ -28,8 +29,8 @@
 
 // takeOver reads a job and runs it here, unless the entry that is recorded as its owner confirms that it runs the job.
 //
-// The record may be outdated: when the owner wasn't asked, an entry agreed to run a job, left it to a recorded owner that didn't run it
-// any more, and nobody ran it.
+// The owner must confirm because the record may be outdated. Without the confirmation, an entry accepted the request to run a job but
+// relied on a recorded owner that no longer ran it, so that no entry ran the job.
 func (m *Manager) takeOver(ctx context.Context, q RunRequest) error {
 	j, err := m.readJob(ctx, q.Job, q.Organisation)
 	if err != nil || j.finished() {
@@ -61,8 +62,8 @@
 // ownerExcept returns a living entry other than except that is not leaving, and is recorded as running the job or was given it a moment
 // ago.
 //
-// An entry that is killed right after it was given a job restarts at once and knows nothing of the job. Its incarnation is therefore
-// compared: identified by its host id alone, it was left to run the job for two seconds, in which nobody did.
+// An entry that is killed right after it was given a job restarts at once and knows nothing of the job. The check therefore compares the
+// incarnation as well: with the host id only, the restarted entry counted as the owner for ownerGracePeriod, in which no entry ran the job.
 func (m *Manager) ownerExcept(spec *batch.Job, except string) (gossip.Member, bool) {
 	if owner, ok := m.livingOwner(spec.ID); ok && !owner.Leaving && owner.HostID != except {
 		return owner, true
@@ -72,16 +73,16 @@
 	return owner, assigned && time.Since(spec.Accepted) < ownerGracePeriod
 }
 
-// resumeHere runs a job here that another entry ran, or may still run. Given is what that one had received of unfinished items.
-func (m *Manager) resumeHere(j *job, given []batch.Partial) *job {
+// resumeHere runs a job here that another entry ran, or may still run. The partials are what that entry had received of unfinished items.
+func (m *Manager) resumeHere(j *job, partials []batch.Partial) *job {
 	if j.isRunning() {
 		return j
 	}
 	j.mu.Lock()
-	j.progress.Resume(given)
+	j.progress.Resume(partials)
 	resumed := len(j.progress.Partials())
 	j.mu.Unlock()
-	m.log.Info().Str("request", j.spec.ID).Str("owner", j.spec.Owner).Int("given", len(given)).Int("itemsGoOn", resumed).
+	m.log.Info().Str("request", j.spec.ID).Str("owner", j.spec.Owner).Int("given", len(partials)).Int("itemsGoOn", resumed).
 		Msg("batch job taken over")
 	return m.startJob(j)
 }
--- a/internal/edge/call/attempt.go
+++ b/internal/edge/call/attempt.go
@@ -14,10 +14,10 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// maxAnswerBytes bounds how much is read of an answer, which is held in memory as a whole before any of it is passed on.
+// maxAnswerBytes bounds how much is read of an answer, which is read completely into memory before any of it is passed on.
 const maxAnswerBytes = 64 << 20
 
-// sendOnce sends the request to a server once and reads the whole answer.
+// sendOnce sends the request to a server once and reads the complete answer.
 func (s *Sender) sendOnce(ctx context.Context, req *fasthttp.Request, server backend.Server, request *Request) *Attempt {
 	attempt := &Attempt{Server: server, SentAt: time.Now(), Outcome: verdict.MayHaveRun}
 	defer s.balancer.Release(server.ID)
--- a/internal/edge/call/call.go
+++ b/internal/edge/call/call.go
@@ -24,7 +24,7 @@
 	Pool func() (string, bool)
 	// Build fills in the HTTP request for a server. It is never called concurrently.
 	Build func(to *fasthttp.Request, server backend.Server)
-	// Deadline is when the whole answer must have been received.
+	// Deadline is when the complete answer must have been received.
 	Deadline time.Time
 	// Idempotent requests may run more than once, in up to MaxAttempts attempts. Others are only sent again if no attempt can have run.
 	Idempotent  bool
@@ -46,7 +46,7 @@
 	// Header and Body are the server's answer, set if Outcome is Ran.
 	Header fasthttp.ResponseHeader
 	Body   []byte
-	// Outcome is Ran if the server's whole answer was received.
+	// Outcome is Ran if the server's complete answer was received.
 	Outcome verdict.Verdict
 	// Cause says why no answer can be passed on; nil if Outcome is Ran.
 	Cause error
--- a/internal/edge/duty/keeper.go
+++ b/internal/edge/duty/keeper.go
@@ -30,8 +30,8 @@
 	jitterFraction = 0.3
 )
 
-// ErrNotReleased is returned by Release if the lease object still names this holder or could not be read. This holder no
-// longer has the duty even so; the next holder has to wait for the end of the term.
+// ErrNotReleased is returned by Release if the lease object still names this holder or could not be read. Held returns
+// false nevertheless, but the next holder has to wait for the end of the term.
 var ErrNotReleased = errors.New("lease is not released")
 
 // Holder identifies one run of a process that may hold a duty.
@@ -127,7 +127,7 @@
 
 // Heard records the holder's announcement that its renewal wrote this version of the lease object. A contender that
 // reads that version later counts the term from this call, not from the read: otherwise, after an outage of the store in which
-// the holder died, the duty would stay unheld for another whole term.
+// the holder died, the duty would stay unheld for another full term.
 func (k *Keeper) Heard(version platform.Version) {
 	if last := k.reported.Load(); last == nil || version > last.version {
 		k.reported.Store(&reportedVersion{version: version, firstHeard: k.instant(k.clock())})
@@ -183,7 +183,8 @@
 func (k *Keeper) Wait() { k.wg.Wait() }
 
 // Held reports whether the duty is held at now, without any I/O. Call it right before each write, and end the write by the
-// fence's deadline: a holder that was paused may resume long after its term, and then learns it at once from its own clocks.
+// fence's deadline. The result depends only on the local clocks, so that a holder that was paused and resumes after the end of
+// its term detects it without a store call.
 func (k *Keeper) Held(now time.Time) (Fence, bool) {
 	s := k.current.Load()
 	if k.released.Load() || !s.granted || !k.timing.Held(s.grant, k.instant(now)) {
--- a/internal/edge/duty/keeper_test.go
+++ b/internal/edge/duty/keeper_test.go
@@ -77,8 +77,8 @@
 	})
 }
 
-// Guards against an order by a host that is no longer in charge. Its process is paused right after a check until after the end
-// of its term, and its control goroutine has not run since. The clock alone must reveal it.
+// Guards against an order by a host that no longer holds the duty. Its process is paused right after a check until after the end
+// of its term, and its control goroutine has not run since. Held must detect this from the clock, without a store call.
 func TestPausedHolderKnowsWithoutCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var skipped atomic.Int64
@@ -137,7 +137,7 @@
 	})
 }
 
-// Guards against a graceful restart that leaves a zone without orders for a whole term. The holder releases the lease object,
+// Guards against a graceful restart that leaves a zone without orders for a full term. The holder releases the lease object,
 // and the contender that watches it takes over at once.
 func TestRelease(t *testing.T) {
 	defer goleak.VerifyNone(t)
@@ -204,7 +204,7 @@
 	})
 }
 
-// A starting host reads from the lease what its holder knew at its last renewal, even if the holder is gone. Notes must not
+// A starting host reads from the lease what its holder knew at its last renewal, even if the holder has since died. Notes must not
 // affect the lease: the next host takes it over, and its own notes replace the earlier ones.
 func TestNotesAreStoredWithLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/edge/exchange/client.go
+++ b/internal/edge/exchange/client.go
@@ -19,7 +19,7 @@
 var (
 	// ErrNotSent: no byte of the request was sent, so it can't have run.
 	ErrNotSent = errors.New("request not sent")
-	// ErrAnswerLost: the request was sent at least in part, and its whole answer was not received.
+	// ErrAnswerLost: the request was sent at least in part, and its complete answer was not received.
 	ErrAnswerLost = errors.New("answer lost")
 )
 
@@ -88,7 +88,7 @@
 	return client
 }
 
-// Do sends the request and reads the whole answer. It doesn't follow redirects.
+// Do sends the request and reads the complete answer. It doesn't follow redirects.
 func (c *Client) Do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) error {
 	resp.StreamBody = false
 	trip, err := c.start(ctx, req, resp)
@@ -159,7 +159,7 @@
 	return trip, nil
 }
 
-// finish returns the connection to the pool if the whole answer was read and the connection can be reused, and closes it otherwise.
+// finish returns the connection to the pool if the complete answer was read and the connection can be reused, and closes it otherwise.
 func (t *roundTrip) finish(complete bool) {
 	if t.stop() && complete && t.reusable {
 		t.client.release(t.conn)
--- a/internal/edge/exchange/client_test.go
+++ b/internal/edge/exchange/client_test.go
@@ -48,7 +48,7 @@
 	return listener.Addr().String()
 }
 
-// readRequest reports whether a whole request arrived.
+// readRequest reports whether a complete request arrived.
 func readRequest(reader *bufio.Reader) bool {
 	var req fasthttp.Request
 	return req.Read(reader) == nil
--- a/internal/edge/gossip/gossip.go
+++ b/internal/edge/gossip/gossip.go
@@ -176,7 +176,7 @@
 	g.handler.HeartbeatReceived(now, heartbeat)
 }
 
-// reportChange logs a change, and tells the handler if a run of an entry is over.
+// reportChange logs a change, and calls MemberGone if the previously known run of an entry ended, became silent, or starts to leave.
 func (g *Gossip) reportChange(now time.Time, change roster.Change) {
 	switch {
 	case change.Silent:
@@ -187,9 +187,9 @@
 		g.log.Info().Str("dependency", "entry").Str("entry", change.Current.HostID).Msg("regained")
 	}
 	if change.EndsPrevious() {
-		gone := change.Previous
-		gone.Leaving = change.Current.Leaving
-		g.handler.MemberGone(now, gone)
+		previous := change.Previous
+		previous.Leaving = change.Current.Leaving
+		g.handler.MemberGone(now, previous)
 	}
 }
 
--- a/internal/edge/gossip/message.go
+++ b/internal/edge/gossip/message.go
@@ -21,7 +21,7 @@
 // heartbeats of some hundred bytes, an entry stays below the limit of 15 KB/s for control traffic.
 type Heartbeat struct {
 	From Member `msgpack:"f"`
-	// Digest is the digest of the sender's list of entries, and Updates the recent changes to that list. List is the whole list, for a
+	// Digest is the digest of the sender's list of entries, and Updates the recent changes to that list. List is the complete list, for a
 	// recipient whose list differs.
 	Digest  uint64          `msgpack:"d"`
 	Updates []roster.Update `msgpack:"n"`
--- a/internal/edge/leader/leader.go
+++ b/internal/edge/leader/leader.go
@@ -32,7 +32,7 @@
 const (
 	// stepInterval is how often the holder checks for work.
 	stepInterval = 200 * time.Millisecond
-	// retirementInterval is how often the holder reads which hosts are to be emptied.
+	// retirementInterval is how often the holder reads which hosts are to be retired.
 	retirementInterval = 3 * time.Second
 )
 
@@ -89,12 +89,12 @@
 
 // step reports usage and retirements if this entry may act.
 func (l *Leader) step(ctx context.Context, now time.Time) {
-	fence, held := l.guard.mayAct(now)
-	if held != l.acting {
-		l.acting = held
-		l.deps.Log.Info().Bool("held", held).Uint64("fencing", uint64(fence.Number)).Time("until", fence.Deadline).Msg("duties")
+	fence, mayAct := l.guard.mayAct(now)
+	if mayAct != l.acting {
+		l.acting = mayAct
+		l.deps.Log.Info().Bool("held", mayAct).Uint64("fencing", uint64(fence.Number)).Time("until", fence.Deadline).Msg("duties")
 	}
-	if !held {
+	if !mayAct {
 		l.reports.reset()
 		l.orders.reset()
 		return
@@ -108,7 +108,7 @@
 
 // sweep deletes obsolete stored data if this entry may act.
 func (l *Leader) sweep(ctx context.Context, now time.Time) {
-	if _, acting := l.guard.mayAct(now); !acting {
+	if _, mayAct := l.guard.mayAct(now); !mayAct {
 		return
 	}
 	if err := l.deps.Sweep(ctx, now); err != nil {
@@ -121,7 +121,7 @@
 func (l *Leader) followVersions(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := l.deps.View.Changed()
-		if _, held := l.guard.mayAct(time.Now()); held {
+		if _, mayAct := l.guard.mayAct(time.Now()); mayAct {
 			l.orders.step(ctx, time.Now())
 		}
 		timer := time.NewTimer(stepInterval)
@@ -134,7 +134,8 @@
 	}
 }
 
-// reportRetirements reports every host that is to be emptied as empty: all data that must be kept is in the store.
+// reportRetirements reports every host with an open retirement as drained, without a check: all data that must outlive the host is in the
+// store.
 func (l *Leader) reportRetirements(ctx context.Context) {
 	hosts, _, err := l.deps.Store.OpenRetirements(ctx)
 	if err != nil {
--- a/internal/edge/refusal/refusal.go
+++ b/internal/edge/refusal/refusal.go
@@ -56,7 +56,7 @@
 }
 
 // Status returns the status of a refusal. If the reason is unknown here, for example because it comes from a newer process, the status
-// depends on the verdict alone.
+// depends only on the verdict.
 func Status(r *verdict.Refusal) int {
 	if status, ok := statuses[r.Reason]; ok {
 		return status
--- a/internal/edge/store/relay.go
+++ b/internal/edge/store/relay.go
@@ -15,10 +15,10 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// MethodCall asks another entry to send a call to the store.
+// MethodCall has another entry send a call to the store.
 const MethodCall peer.Method = "store.call"
 
-// maxRelayAttempts is how many other entries are asked at most. Those that reached the store recently come first, so that one
+// maxRelayAttempts is through how many other entries a call is tried at most. Those that reached the store recently come first, so that one
 // is enough unless they were cut off a moment ago.
 const maxRelayAttempts = 3
 
@@ -49,7 +49,7 @@
 	return &Relay{client: client, members: members, reachesStore: reachesStore}
 }
 
-// candidates returns the entries to ask, at most maxRelayAttempts: first those that reached the store recently, then the
+// candidates returns the entries to send a call through, at most maxRelayAttempts: first those that reached the store recently, then the
 // others, both in random order.
 //
 // With the same order on every host, a store that rejects the first few entries would be unreachable for every other
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -82,9 +82,9 @@
 
 // call sends a call to the store directly or through another entry.
 //
-// A write may be sent over several paths, and each of them may have taken effect although its answer was lost. Judged by
-// the last attempt alone, a write was reported as without effect although the job or the end of a job that it wrote was in
-// the store. So a write returns product.ErrOutcomeUnknown if any of its attempts did, unless a later attempt gets an answer
+// A write may be sent over several paths, and each of them may have taken effect although its answer was lost. When
+// only the last attempt decided, a write was reported as without effect although the job or the end of a job that it wrote was
+// in the store. So a write returns product.ErrOutcomeUnknown if any of its attempts did, unless a later attempt gets an answer
 // that is not a rejection.
 func (s *Store) call(ctx context.Context, call platform.Call) (platform.Reply, error) {
 	var uncertain error
--- a/internal/edge/view/part.go
+++ b/internal/edge/view/part.go
@@ -8,7 +8,7 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// maxRemovals is how many removals of a kind are kept. An entry that is further behind receives the complete collection.
+// maxRemovals is how many of the latest removals of a kind are stored. An entry that is further behind receives the complete collection.
 const maxRemovals = 256
 
 // removal records that an object was removed.
@@ -40,7 +40,7 @@
 }
 
 // CollectionUpdate holds the changes of a kind. With 2,200 servers a complete collection takes about 800 KB (twelve servers
-// took 4.5 KB), and while weights are loaded it changes several times a second; the changes alone take a few KB.
+// took 4.5 KB), and while weights are loaded it changes several times a second; an update that holds only the changes takes a few KB.
 type CollectionUpdate struct {
 	Kind     string `msgpack:"k"`
 	Revision uint64 `msgpack:"r"`
