--- a/internal/edge/batchjob/end_test.go
+++ b/internal/edge/batchjob/end_test.go
@@ -13,7 +13,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// Guards against a job that continues to run at the servers after its trainer was told that it ended: the end reached an entry before the
+// Guards against a job that continues to run at the servers after the end was confirmed to its trainer: the end reached an entry before the
 // request to run the job, and the entry recorded ends only of jobs that it knew already.
 func TestEndArrivesBeforeTheRunRequest(t *testing.T) {
 	for _, withSpec := range []bool{true, false} {
@@ -64,7 +64,7 @@
 }
 
 // An entry runs a job and gets no gossip from other entries, while it reaches the store and the servers. The job is ended at another
-// entry, and its trainer told so. Three seconds later no item of it may start any more.
+// entry, which confirms the end to the trainer. Three seconds later no item of it may start any more.
 func TestPartitionedOwnerLearnsOfTheEndFromTheStore(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	spec := newStoredSpec()
@@ -87,18 +87,18 @@
 	t.Error("the job still runs three seconds after its end was stored")
 }
 
-// A job is ended at one entry while another is known to run it. The owner must be told, whether or not the first entry has the job in
+// A job is ended at one entry while another is known to run it. The owner must be notified, whether or not the first entry has the job in
 // memory.
-func TestOwnerIsToldOfAnEndAtAnotherEntry(t *testing.T) {
+func TestOwnerIsNotifiedOfAnEndAtAnotherEntry(t *testing.T) {
 	for _, read := range []bool{false, true} {
 		ctx, cancel := context.WithCancel(t.Context())
 		spec := newStoredSpec()
 		store := newMemoryStore()
 		store.put(t, KindJobs, spec.ID, spec)
-		var told atomic.Int32
+		var notifications atomic.Int32
 		registry := peer.NewRegistry()
 		peer.Handle(registry, MethodEnd, func(context.Context, EndRequest) (EndAnswer, error) {
-			told.Add(1)
+			notifications.Add(1)
 			return EndAnswer{Known: true}, nil
 		})
 		owner := gossip.Member{HostID: "other", Address: startPeer(ctx, t, registry)}
@@ -113,8 +113,8 @@
 			t.Fatal(err)
 		}
 		time.Sleep(200 * time.Millisecond)
-		if told.Load() == 0 {
-			t.Errorf("read before: %v: the entry that runs the job wasn't told", read)
+		if notifications.Load() == 0 {
+			t.Errorf("read before: %v: the entry that runs the job wasn't notified", read)
 		}
 		cancel()
 		m.Wait()
--- a/internal/edge/batchjob/home.go
+++ b/internal/edge/batchjob/home.go
@@ -56,7 +56,7 @@
 }
 
 // assign has an accepted job run by its preferred runner, or here if this entry is the preferred runner or the preferred runner doesn't
-// confirm. SpecJSON is the job as the store keeps it if it was accepted just now, so that it has no pages; else it is nil.
+// confirm. SpecJSON is the stored form of a job that was accepted just now and has no pages yet; it is nil for any other job.
 func (m *Manager) assign(spec *batch.Job, specJSON []byte) {
 	runner := m.preferredRunner(spec)
 	if runner.HostID == m.members.Self().HostID {
@@ -101,8 +101,8 @@
 
 // handleRun runs a job for another entry that accepted it or is leaving.
 //
-// A leaving entry hands its jobs over before gossip has announced here that it leaves. The sender is therefore never regarded as the
-// owner: otherwise the job stayed with it, and did not run for more than a second until its results were read.
+// A leaving entry may hand its jobs over before gossip has announced here that it leaves. The sender is therefore never regarded as the
+// owner: otherwise this entry left the job to the sender, and no entry ran it for more than a second until its results were read.
 func (m *Manager) handleRun(ctx context.Context, q RunRequest) error {
 	if j, ok := m.find(q.Job); ok && j.isRunning() {
 		return nil
--- a/internal/edge/batchjob/listed_test.go
+++ b/internal/edge/batchjob/listed_test.go
@@ -10,10 +10,10 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/gossip"
 )
 
-// Guards against an empty list at a position whose result another entry has shown. Two entries ran a job, the second since it received the
-// acceptance late, and knew nothing of the pages that the first had written: a trainer had read 68 results at one and was shown an empty
-// list at position 67 by the other. Pages that an entry had not been told of were assumed not to exist; in three of these states an entry
-// returned an empty list without querying the store.
+// Guards against an empty list at a position whose result another entry has returned. Two entries ran a job, because the second learned of
+// its acceptance late, and the second knew nothing of the pages that the first had written: a trainer had read 68 results at one entry and
+// got an empty list at position 67 from the other. Entries assumed that pages of which they had not heard did not exist; in three of these
+// states an entry returned an empty list without querying the store.
 func TestListedPositionIsNeverReportedEmpty(t *testing.T) {
 	run := func(ctx context.Context, m *Manager, spec *batch.Job) {
 		specJSON, err := json.Marshal(spec)
@@ -26,13 +26,13 @@
 	}
 	for _, test := range []struct {
 		name string
-		// before is what the entry does before another one writes and shows a page.
+		// before is what the entry does before another one writes a page and returns its results.
 		before func(ctx context.Context, m *Manager, spec *batch.Job)
 		// after is what it does between that and the read.
 		after func(ctx context.Context, m *Manager, spec *batch.Job)
 	}{
 		{name: "it has just started"},
-		{name: "it is asked late to run the new job", after: run},
+		{name: "it receives the request to run the new job late", after: run},
 		{name: "it runs the job, and was frozen while another took the job over", before: run},
 		{name: "it read the job while another ran it", before: func(ctx context.Context, m *Manager, spec *batch.Job) {
 			if _, err := m.readJob(ctx, spec.ID, spec.Organisation); err != nil {
@@ -69,7 +69,7 @@
 			}
 			total, results, err := m.Results(ctx, spec.ID, spec.Organisation, 0, 0, 1<<20)
 			if err != nil || total != 2 || len(results) != 1 || results[0].ID != "a" {
-				t.Errorf("%d items, results %v, error %v; position 0 was shown elsewhere", total, results, err)
+				t.Errorf("%d items, results %v, error %v; another entry may have returned position 0", total, results, err)
 			}
 		})
 	}
--- a/internal/edge/batchjob/owner.go
+++ b/internal/edge/batchjob/owner.go
@@ -15,9 +15,9 @@
 }
 
 const (
-	// ownerAnnounceTime is for how long an entry passes on who runs a job: long enough to reach all.
+	// ownerAnnounceTime is how long an entry announces in gossip a job's owner that it has learned: long enough to reach all entries.
 	ownerAnnounceTime = 4 * time.Second
-	// maxOwnerAge is how long an owner is kept whose job's end was never announced.
+	// maxOwnerAge is the age after which an owner is deleted although the end of its job was never announced.
 	maxOwnerAge = 10 * time.Minute
 )
 
@@ -150,7 +150,7 @@
 
 // reannounceEnd has the end of a job announced once more; false if the job isn't known to have ended.
 //
-// An entry that was partitioned while the end was announced is not told of it later, and would continue to run the job.
+// An entry that was partitioned while the end was announced doesn't receive that announcement later, and would continue to run the job.
 func (m *Manager) reannounceEnd(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/edge/batchjob/owner_test.go
+++ b/internal/edge/batchjob/owner_test.go
@@ -15,8 +15,8 @@
 	product "github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// An entry learns from the store that a job has ended. A late request to run it must not start it, and an entry that announces that it
-// runs the job must be told.
+// An entry learns from the store that a job has ended. A delayed request to run it must not start it, and the end must be announced again
+// once an entry announces that it runs the job.
 func TestEndReadFromTheStoreIsRemembered(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	spec := newStoredSpec()
@@ -113,8 +113,8 @@
 	}
 }
 
-// The preferred runner of a job has a living entry on record as the owner that doesn't run the job any more. Asked to run the job by each
-// entry at which the trainer reads, the preferred runner must run it or refuse, as the asking entry records it as the owner.
+// The preferred runner of a job has a living entry on record as the owner that doesn't run the job any more. Each entry at which the
+// trainer reads requests the preferred runner to run the job. It must run it or refuse, because the requester records it as the owner.
 func TestPreferredRunnerRunsAJobOrRefuses(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	spec := newStoredSpec()
--- a/internal/edge/batchjob/read.go
+++ b/internal/edge/batchjob/read.go
@@ -12,7 +12,7 @@
 // readTimeout bounds a read in addition to its wait. Trainers give up 1.5 s after the wait that they allow.
 const readTimeout = 1200 * time.Millisecond
 
-// Results returns the number of items and the listed results of a job from a position on. It waits up to wait if there is none yet.
+// Results returns the number of items and the listed results of a job from a position on. It waits up to wait if no result is listed there yet.
 func (m *Manager) Results(ctx context.Context, id, organisation string, from int, wait time.Duration, maxBytes int) (int, []batch.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
@@ -90,8 +90,8 @@
 // isCurrent reports whether an answer that took that long may be passed on. Listed results never change, so that only an empty list can be
 // outdated.
 //
-// The entry that runs a job may learn from the store that nothing is listed, and freeze before it answers, while a result is listed and
-// shown elsewhere. An answer that was confirmed after the wait can't be older than the rest of the request's time.
+// The entry that runs a job may read in the store that nothing is listed and be suspended before it answers, while a result is listed and
+// returned by another entry. An answer with Waited was confirmed after the full wait, so it can't be older than the rest of the timeout.
 func (a ReadAnswer) isCurrent(took time.Duration) bool {
 	return len(a.Results) > 0 || a.Waited || took <= maxRelayedAge
 }
--- a/internal/edge/batchjob/reopen.go
+++ b/internal/edge/batchjob/reopen.go
@@ -14,7 +14,7 @@
 const (
 	// reopenDelay is the time in which an entry that has just started learns from the living ones who runs which job.
 	reopenDelay = 400 * time.Millisecond
-	// maxOpenNotes bounds the jobs that are noted for entries that start later; eighteen trainers have two or three each.
+	// maxOpenNotes bounds the notes for entries that start later; eighteen trainers have two or three open jobs each.
 	maxOpenNotes = 128
 	// reopenWindow is how long after its start an entry acts on what others know of jobs that were open before.
 	reopenWindow = 5 * time.Second
@@ -54,11 +54,11 @@
 	return hostID, id
 }
 
-// Reopen has jobs run again that were open a moment before this process was started, unless a living entry runs them. Turn is the number
-// of entries that read the same notes and precede this one.
+// Reopen restarts the jobs in the notes, which were open a moment before this process was started, unless a living entry runs them. Turn
+// is the number of entries that read the same notes and precede this one.
 //
-// After all entries were killed at once, none of them knows what ran. Without the notes each job stalled until its trainer asked for
-// results, a second or so later, and the trainer was late by as much from then on.
+// After all entries were killed at once, none of them knows which jobs ran. Without the notes each job stalled until its trainer read
+// results, a second or so later, and the trainer stayed behind schedule by that time.
 func (m *Manager) Reopen(notes []string, turn int) {
 	for _, note := range notes {
 		hostID, id := parseOpenNote(note)
@@ -92,13 +92,13 @@
 	return err == nil
 }
 
-// rerunOwnJob has a job run again that others announce as running here: the entry's former process ran it before a restart a moment ago.
+// rerunOwnJob restarts a job that others announce as running here: this entry's former process ran it before a restart a moment ago.
 func (m *Manager) rerunOwnJob(id string) {
 	m.reopenOnce(id, func() { m.rerun(id, m.members.Self().HostID) })
 }
 
 // reopenOnce calls work in a goroutine for a job that was open before this process was started, once and unless the job has ended or runs.
-// Later than reopenWindow it does nothing, as what others announce is then older than what this process knows itself.
+// After reopenWindow it does nothing, because what others announce is then older than what this process knows itself.
 func (m *Manager) reopenOnce(id string, work func()) {
 	if time.Since(m.started) > reopenWindow || m.isEndedOrRunning(id) {
 		return
--- a/internal/edge/batchjob/run.go
+++ b/internal/edge/batchjob/run.go
@@ -32,7 +32,7 @@
 // id.
 //
 // The end of a job may arrive before the request to run it. Without the check for a known end its items would run at servers until their
-// time is up, long after the trainer was told that nothing of it runs.
+// time is up, long after the trainer got the confirmation that nothing of it runs.
 func (m *Manager) startJob(j *job) *job {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/edge/batchjob/submit.go
+++ b/internal/edge/batchjob/submit.go
@@ -14,17 +14,17 @@
 	"github.com/oleandershelf/oleandershelf/platform"
 )
 
-// Submit accepts a job: from then on it is kept, whatever fails. A repeated submission is accepted again.
+// Submit accepts a job by writing it to the store, so that it survives any failure of entries. A repeated submission is accepted again.
 //
-// Without the store this entry can't tell a first submission from a repeat of one that another entry accepted and whose job runs. For a
-// repeat the answer "not run" would be wrong, so the refusal leaves that open, and is sent at once with the time to retry.
+// Without the store this entry can't distinguish a first submission from a repeat of one that another entry accepted and whose job runs.
+// For a repeat the answer "not run" would be wrong, so the refusal says MayHaveRun, and is sent at once with the time to retry.
 func (m *Manager) Submit(ctx context.Context, spec *batch.Job) error {
 	if known, ok := m.find(spec.ID); ok {
 		return checkOrganisation(known.spec, spec.Organisation)
 	}
 	if m.outage(time.Now()) {
 		// A call to the store would delay the trainer for seconds, and leave open whether the job was accepted.
-		return refuseUnsettled(outageRetryAfter, "no entry reaches the store")
+		return refuseUnknownOutcome(outageRetryAfter, "no entry reaches the store")
 	}
 	runner := m.preferredRunner(spec)
 	spec.Owner, spec.OwnerRun = runner.HostID, runner.Incarnation
@@ -44,9 +44,9 @@
 		return m.handleDuplicate(ctx, spec, err)
 	case errors.Is(err, product.ErrOutcomeUnknown):
 		m.wg.Go(func() { m.resolveLostAnswer(spec) })
-		return refuseUnsettled(storeRetryAfter, "the store's answer was lost")
+		return refuseUnknownOutcome(storeRetryAfter, "the store's answer was lost")
 	case errors.Is(err, product.ErrUnavailable):
-		return refuseUnsettled(storeRetryAfter, "the store can't be reached")
+		return refuseUnknownOutcome(storeRetryAfter, "the store can't be reached")
 	default:
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonTooLarge, 0, "job %s: %v", spec.ID, err)
 	}
@@ -56,7 +56,7 @@
 func (m *Manager) handleDuplicate(ctx context.Context, spec *batch.Job, conflict error) error {
 	existing, err := m.existingValue(ctx, KindJobs, spec.ID, conflict)
 	if err != nil {
-		return refuseUnsettled(storeRetryAfter, "the job exists, and can't be read: "+err.Error())
+		return refuseUnknownOutcome(storeRetryAfter, "the job exists, and can't be read: "+err.Error())
 	}
 	var known batch.Job
 	if err := json.Unmarshal(existing, &known); err != nil {
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// refuseUnsettled tells a trainer that it isn't known whether the job was accepted, and when to retry.
-func refuseUnsettled(retry time.Duration, detail string) error {
+// refuseUnknownOutcome returns the refusal of a submission of which it isn't known whether the job was accepted, with the time to retry.
+func refuseUnknownOutcome(retry time.Duration, detail string) error {
 	return verdict.Refuse(verdict.MayHaveRun, verdict.ReasonPlatformUnavailable, retry, "%s", detail)
 }
 
--- a/internal/edge/duty/fault_test.go
+++ b/internal/edge/duty/fault_test.go
@@ -81,9 +81,9 @@
 	return d.overlaps.Load()
 }
 
-// Guards against two holders at once and against a duty that stays unheld. The calls of one contender are disturbed in each
-// way from each call on, once or lastingly; it then dies or goes on, the platform is down until then or not, and a second
-// contender is ready. The two must never hold at once, the number must never decrease, and one must hold in the end.
+// Guards against two holders at once and against a duty that stays unheld. Each fault is injected into the store calls of one
+// contender, starting at each call, once or permanently. The contender then dies or continues, the platform is down until then
+// or not, and a second contender is ready. The two must never hold at once, the number must never decrease, and one must hold in the end.
 func TestLeaseUnderFaults(t *testing.T) {
 	for _, c := range leaseCases() {
 		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
--- a/internal/edge/exchange/client_test.go
+++ b/internal/edge/exchange/client_test.go
@@ -73,8 +73,8 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// Guards against failures that are reported wrongly: a caller that is told "lost" although nothing was sent
-// fails needlessly, and one that is told "not sent" although the call ran makes it a second time.
+// Guards against failures that are reported wrongly: a caller that gets ErrAnswerLost although nothing was
+// sent fails needlessly, and one that gets ErrNotSent although the call ran makes it a second time.
 func TestFailureSaysWhetherTheCallWasSent(t *testing.T) {
 	cases := []struct {
 		name  string
--- a/internal/edge/exchange/connection.go
+++ b/internal/edge/exchange/connection.go
@@ -22,7 +22,7 @@
 	idleSince time.Time
 }
 
-// Write counts the bytes that it writes, so that a request that failed before its first byte can be told from one that was sent in part.
+// Write counts the bytes that it writes, so that a request that failed before its first byte can be distinguished from one that was sent in part.
 func (c *connection) Write(data []byte) (int, error) {
 	n, err := c.socket.Write(data)
 	c.bytesSent += n
--- a/internal/edge/fleet/fault_test.go
+++ b/internal/edge/fleet/fault_test.go
@@ -31,7 +31,7 @@
 		r.round(t.Context())
 	}
 	if len(f.orders) != 1 || f.orders[0].Count != 1 || f.orders[0].Fencing < 30 {
-		t.Errorf("orders = %v, want one order for one server with a late fencing number", f.orders)
+		t.Errorf("orders = %v, want one order for one server with a fencing number of at least 30", f.orders)
 	}
 }
 
@@ -183,7 +183,7 @@
 						cases = append(cases, orderCase{
 							disturbance: disturbance, call: call, leaseLapses: leaseLapses, holderDies: holderDies, platformDown: platformDown,
 						})
-						// Late orders are left out: a receiver that ignores the fencing number may accept them.
+						// Delayed orders are left out: a receiver that ignores the fencing number may accept them.
 						if disturbance != standin.Late {
 							cases = append(cases, orderCase{
 								disturbance: disturbance, call: call, leaseLapses: leaseLapses, holderDies: holderDies,
--- a/internal/edge/fleet/runner_test.go
+++ b/internal/edge/fleet/runner_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestUnsettledOrderIsRepeated(t *testing.T) {
+func TestOrderWithUnknownOutcomeIsRepeated(t *testing.T) {
 	f := newFakeDeps()
 	f.err = errors.WithStack(platform.ErrOutcomeUnknown)
 	r := f.runner()
--- a/internal/edge/gateway/batch.go
+++ b/internal/edge/gateway/batch.go
@@ -51,7 +51,7 @@
 // handleBatchCall answers a call on an accepted job.
 //
 // The call is not matched against the routes: the job's route may have been removed since the job was accepted, or may not be known here
-// yet, and the trainer would be told that the job does not exist.
+// yet, and the trainer would get the wrong answer that the job does not exist.
 func (g *Gateway) handleBatchCall(c fiber.Ctx, r callerRequest, call platform.BatchCall) error {
 	organisation, ok := r.table.Organisation(r.caller.Key)
 	if !ok {
--- a/internal/edge/peer/failure_test.go
+++ b/internal/edge/peer/failure_test.go
@@ -109,7 +109,7 @@
 }
 
 // Guards against a request that runs after its caller has given up on it. A process is suspended, and resumed long after the client
-// has closed the connection. The request in its socket buffer must not run: the caller was told that it may have run, and may
+// has closed the connection. The request in its socket buffer must not run: the caller got an error that says that it may have run, and may
 // have found out since that it did not.
 func TestWokenProcessActsOnNoOldFrame(t *testing.T) {
 	local, remote := net.Pipe()
--- a/internal/edge/peer/link.go
+++ b/internal/edge/peer/link.go
@@ -72,7 +72,7 @@
 }
 
 // Read also fails, with ErrFrozen, if data is available but this process has not read for longer than the timeout because it was
-// suspended. By then the peer has closed the connection and has told its callers that their requests may have run. The frames left
+// suspended. By then the peer has closed the connection and has reported to its callers that their requests may have run. The frames left
 // in the socket buffer must not start these requests now, with a deadline that counts from the time of the resumption.
 func (c *progressConn) Read(p []byte) (int, error) {
 	if err := c.SetReadDeadline(time.Now().Add(c.readTimeout)); err != nil {
--- a/internal/edge/view/watches.go
+++ b/internal/edge/view/watches.go
@@ -14,7 +14,7 @@
 //
 // Guards against watches that are never answered. When the store stalls for some seconds, it never answers the watches that
 // arrived meanwhile, although it answers other calls once it recovers. An entry that relied on such a watch kept an old
-// configuration until the watch timed out, while its successful probes told all others that it followed the store. Watches are
+// configuration until the watch timed out, while its successful probes made all others rely on it to follow the store. Watches are
 // therefore restarted once the store is reached again after a failure, and once an entry becomes a follower again.
 type watchSet struct {
 	mu      sync.Mutex
