--- a/internal/edge/batchjob/job.go
+++ b/internal/edge/batchjob/job.go
@@ -39,9 +39,9 @@
 
 // newJob returns a job of which no page is known yet.
 //
-// Each page names its writer, so that a page is recognised whose create was carried out though the answer was lost. Every job in memory
-// gets a writer of its own: a process that drops a job and runs it again numbers its writes from the start, and if the writer named the
-// process, an earlier page that was carried out late would be mistaken for the new one.
+// Each page names its writer, so that a job recognises its own page if the create was carried out but the answer was lost. Every job in
+// memory gets a random writer of its own: a process that drops a job and runs it again numbers its writes from the start, and if the
+// writer identified the process, an earlier page whose create was delayed would be mistaken for the new one.
 func newJob(spec *batch.Job) *job {
 	return &job{
 		spec:       spec,
--- a/internal/edge/batchjob/manager.go
+++ b/internal/edge/batchjob/manager.go
@@ -5,7 +5,7 @@
 // pages of its results and its end are objects of the store, each created once.
 //
 // The entry that runs a job is its owner. Who that is matters for liveness only: normally it is the job's preferred runner (see
-// batch.PreferredRunner), and if no living entry runs a job, an entry that is asked for its results has it run again.
+// batch.PreferredRunner), and if no living entry runs a job, an entry that receives a read of its results restarts it.
 package batchjob
 
 import (
@@ -96,7 +96,7 @@
 	// lastOwners are the entries that ran a job until its end and still have its results in memory, by job.
 	lastOwners map[string]owner
 	ended      map[string]time.Time
-	// reopened are the jobs that this process, in its first seconds, has set out to run again since they were open before its start.
+	// reopened are the jobs that were open before this process started and that it has tried to restart, each once.
 	reopened map[string]bool
 	started  time.Time
 	// leaving is set once the process hands its jobs over.
--- a/internal/edge/batchjob/read.go
+++ b/internal/edge/batchjob/read.go
@@ -129,7 +129,7 @@
 
 // answerRead returns the results from a position on, once there are some or the wait is over. All reads are answered here.
 //
-// Whether this entry runs the job or has only read it, others may have listed and shown more; see batch.Progress.Show. So the store is
+// Whether this entry runs the job or has only read it, others may have listed and returned more; see batch.Progress.ReadResults. So the store is
 // queried after the wait, right before an empty list is returned, and the read is refused if that fails.
 func (m *Manager) answerRead(ctx context.Context, j *job, q ReadRequest, received time.Time) (int, []batch.Result, error) {
 	j.awaitResults(ctx, q.From, q.Wait)
