--- a/internal/edge/agent/agent_test.go
+++ b/internal/edge/agent/agent_test.go
@@ -292,7 +292,7 @@
 	err  error
 }
 
-// send sends a request and reads its whole answer.
+// send sends a request and reads its complete answer.
 func (h *harness) send(ctx context.Context, req request.Execute) answer {
 	a, err := peer.OpenStream[request.Execute, request.AnswerEnd](ctx, h.client, h.address, MethodExecute, req)
 	if err != nil {
--- a/internal/edge/agent/control.go
+++ b/internal/edge/agent/control.go
@@ -10,7 +10,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/verdict"
 )
 
-// retrySoon is the retry delay of a refused request if there is no better estimate.
+// defaultRetryDelay is the retry delay of a refused request if there is no better estimate.
 const defaultRetryDelay = time.Second
 
 // control is the state that only the control loop accesses: queue, concurrency limit, records and running requests.
@@ -103,7 +103,7 @@
 }
 
 // refuse ends a request that was taken off the queue without running. The request ID is fenced before the caller
-// receives "not run", so that a late frame can't run the request.
+// receives "not run", so that a delayed frame can't run the request.
 func (c *control) refuse(now time.Time, j *job, refusal error) {
 	c.record.Remove(now, j.req.ID)
 	if j.hasIdempotencyKey() {
--- a/internal/edge/agent/cuts_test.go
+++ b/internal/edge/agent/cuts_test.go
@@ -133,8 +133,8 @@
 }
 
 // Connections between an entry and an agent break repeatedly, at any byte and in both directions, while callers send
-// bookings. An airline could be billed twice, or be told "not run" about an existing bill. Each booking must run
-// at most once, and exactly once if its caller was told that it ran.
+// bookings. An airline could be billed twice, or receive "not run" for an existing bill. Each booking must run
+// at most once, and exactly once if the verdict that its caller received is that it ran.
 func TestBookingsRunAtMostOnceWhileConnectionsBreak(t *testing.T) {
 	const callers, bookings = 16, 40
 	for seed := range uint64(3) {
--- a/internal/edge/agent/execute.go
+++ b/internal/edge/agent/execute.go
@@ -105,7 +105,7 @@
 }
 
 // stoppedRefusal returns the refusal for a request whose process or connection ends. A queued request has not run,
-// since the control loop, which alone starts requests, has ended.
+// since only the control loop starts requests, and it has ended.
 func stoppedRefusal(v verdict.Verdict) *verdict.Refusal {
 	return verdict.Refuse(v, verdict.ReasonLeaving, defaultRetryDelay, "the agent has ended")
 }
@@ -137,7 +137,7 @@
 	return end, err
 }
 
-// cancelGeneration tells the engine to cancel a generation whose caller no longer waits for it. Cancelling a
+// cancelGeneration requests that the engine cancel a generation whose caller no longer waits for it. Cancelling a
 // generation that has already ended has no effect.
 func (a *Agent) cancelGeneration(j *job, pool ticket.Pool) {
 	canceller, ok := a.deps.Engine.(Canceller)
--- a/internal/edge/agent/outcome.go
+++ b/internal/edge/agent/outcome.go
@@ -23,7 +23,7 @@
 	bodyTooLarge bool
 }
 
-// appendBody appends a part of the body. It discards the whole body once it exceeds maxStoredBody.
+// appendBody appends a part of the body. It discards the complete body once it exceeds maxStoredBody.
 func (o *outcome) appendBody(p []byte) {
 	if o.bodyTooLarge || len(o.body)+len(p) > maxStoredBody {
 		o.bodyTooLarge = true
--- a/internal/edge/agent/weights.go
+++ b/internal/edge/agent/weights.go
@@ -35,7 +35,7 @@
 
 // weightState is the progress of the weight orders, for loads and state dumps.
 type weightState struct {
-	// Served is the version that the engine serves; Wanted is the one it was last told to switch to.
+	// Served is the version that the engine serves; Wanted is the one that the agent last tried to switch it to.
 	Served int `json:"served"`
 	Wanted int `json:"wanted"`
 	// Prefetched is the newest version that the engine has loaded; it can be above Served.
--- a/internal/edge/billing/closer.go
+++ b/internal/edge/billing/closer.go
@@ -20,7 +20,7 @@
 	DefaultGrace = time.Minute
 	// DefaultCheckInterval is the mean time between checks for windows to close.
 	DefaultCheckInterval = 5 * time.Second
-	// DefaultRetention is how many closed windows back late counts are still reported. It bounds what each
+	// DefaultRetention is the number of closed windows for which counts that arrive late are still reported. It bounds what each
 	// closing of a window reads: 48 windows of 1,000 organisations are about 14 MB.
 	DefaultRetention = 48
 )
@@ -89,7 +89,7 @@
 	return func(c *Closer) { c.interval = interval }
 }
 
-// WithRetention sets how many closed windows back late counts are still reported.
+// WithRetention sets the number of closed windows for which counts that arrive late are still reported.
 func WithRetention(windows int) CloserOption {
 	return func(c *Closer) { c.retention = windows }
 }
--- a/internal/edge/billing/collector.go
+++ b/internal/edge/billing/collector.go
@@ -141,7 +141,7 @@
 // from that ledger. A request is counted in the window in which it ends, so old windows no longer change.
 //
 // Counters of a window are removed no later than the collector's own counts of it. Otherwise each call would
-// bring back counts that the collector has stored and removed, and they would be handed over, read and
+// bring back counts that the collector has stored and removed, and they would be sent, read and
 // compared again at every gathering.
 func (c *Collector) ImportCounters(counters *usage.Ledger) {
 	c.Merge(counters.Counts()...)
--- a/internal/edge/billing/handover.go
+++ b/internal/edge/billing/handover.go
@@ -8,15 +8,15 @@
 	"github.com/oleandershelf/oleandershelf/internal/core/usage"
 )
 
-// GatherRequest asks a host for the usage counts that the platform is not known to have. It is encoded as an
-// array, without field names: a relay asks 40 hosts per second, most of which have nothing new.
+// GatherRequest requests from a host the usage counts that the platform is not known to have. It is encoded as an
+// array, without field names: a relay sends requests to 40 hosts per second, most of which have nothing new.
 type GatherRequest struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	// Process identifies the process of the host that issued the two revisions.
 	Process uint64
-	// Since is the revision up to which the asking host has the counts.
+	// Since is the revision up to which the requesting host has the counts.
 	Since uint
-	// Stored is the revision up to which the platform has the counts that were handed over.
+	// Stored is the revision up to which the platform has the counts that were sent.
 	Stored uint
 }
 
@@ -28,9 +28,9 @@
 	Counts   []usage.Count
 }
 
-// handedCount is an amount that was handed over, or is about to be, and the revision at which it last
-// changed.
-type handedCount struct {
+// sentCount is an amount that was sent in a response, or will be in the next one, and the revision at which
+// it last changed.
+type sentCount struct {
 	amount   usage.Amount
 	revision uint
 }
@@ -46,9 +46,9 @@
 	// process distinguishes this process from the next process of the host, whose revisions start again at 0.
 	process uint64
 
-	mutex        sync.Mutex
-	revision     uint
-	handedCounts map[usage.Cell]handedCount
+	mutex      sync.Mutex
+	revision   uint
+	sentCounts map[usage.Cell]sentCount
 	// gatheredAmounts are amounts from other hosts, which keep them until they are stored.
 	gatheredAmounts map[usage.Cell]usage.Amount
 }
@@ -58,12 +58,12 @@
 	return &Handover{
 		collector:       collector,
 		process:         rand.Uint64(), //nolint:gosec // distinguishes processes, is no secret
-		handedCounts:    make(map[usage.Cell]handedCount),
+		sentCounts:      make(map[usage.Cell]sentCount),
 		gatheredAmounts: make(map[usage.Cell]usage.Amount),
 	}
 }
 
-// Respond returns the unstored counts that the asking host doesn't have yet.
+// Respond returns the unstored counts that the requesting host doesn't have yet.
 //
 // A host may remove a count only when the platform has it. Revisions from a previous process of this host
 // refer to other counts, and accepting them would remove counts that nobody has stored, so they are treated
@@ -77,7 +77,7 @@
 	h.markStored(request.Stored)
 	h.assignRevisions()
 	response := GatherResponse{Process: h.process, Revision: h.revision}
-	for cell, sent := range h.handedCounts {
+	for cell, sent := range h.sentCounts {
 		if sent.revision > request.Since {
 			response.Counts = append(response.Counts, usage.Count{Cell: cell, Amount: sent.amount})
 		}
@@ -87,7 +87,7 @@
 
 // AddGathered merges counts from another host, which keeps them until they are stored. They are not passed on
 // to a third host, which gathers them from the source itself, unless this host has stopped flushing: the
-// source may be gone by then.
+// source may have shut down by then.
 func (h *Handover) AddGathered(counts ...usage.Count) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -97,11 +97,11 @@
 	h.collector.Merge(counts...)
 }
 
-// markStored marks as stored what was handed over up to throughRevision. The caller must hold mutex. An amount
-// that has grown since it was handed over stays unstored.
+// markStored marks as stored the amounts that were sent up to throughRevision. The caller must hold mutex. An amount
+// that has grown since it was sent stays unstored.
 func (h *Handover) markStored(throughRevision uint) {
 	var counts []usage.Count
-	for cell, sent := range h.handedCounts {
+	for cell, sent := range h.sentCounts {
 		if sent.revision <= throughRevision {
 			counts = append(counts, usage.Count{Cell: cell, Amount: sent.amount})
 		}
@@ -113,7 +113,7 @@
 // mutex.
 func (h *Handover) assignRevisions() {
 	next := h.revision + 1
-	unstored := make(map[usage.Cell]handedCount)
+	unstored := make(map[usage.Cell]sentCount)
 	gathered := make(map[usage.Cell]usage.Amount)
 	for _, count := range h.collector.Unstored() {
 		if amount, ok := h.gatheredAmounts[count.Cell]; ok {
@@ -122,14 +122,14 @@
 				continue
 			}
 		}
-		sent, ok := h.handedCounts[count.Cell]
+		sent, ok := h.sentCounts[count.Cell]
 		if !ok || sent.amount != count.Amount {
-			sent = handedCount{amount: count.Amount, revision: next}
+			sent = sentCount{amount: count.Amount, revision: next}
 			h.revision = next
 		}
 		unstored[count.Cell] = sent
 	}
-	h.handedCounts, h.gatheredAmounts = unstored, gathered
+	h.sentCounts, h.gatheredAmounts = unstored, gathered
 }
 
 // maxBatches is larger than the number of requests between two flushes.
--- a/internal/edge/billing/handover_test.go
+++ b/internal/edge/billing/handover_test.go
@@ -129,7 +129,7 @@
 }
 
 // Guards against usage of an availability zone that is never billed: an entry stops being a relay before it
-// flushed, the host from which it gathered is gone, and nobody asks the entry for these counts.
+// flushed, the host from which it gathered has shut down, and no host requests these counts from the entry.
 func TestFormerRelayHandsOverWhatItGathered(t *testing.T) {
 	memory := standin.NewMemory()
 	collector := newCollector(memory)
@@ -164,7 +164,7 @@
 		}
 	}
 	if len(source.batches) > maxBatches {
-		t.Errorf("%d batches kept", len(source.batches))
+		t.Errorf("%d batches retained", len(source.batches))
 	}
 	collector.MarkStored(stored)
 	if got := source.NextRequest(collector); got.Stored >= unstored+1 || got.Since != responses {
--- a/internal/edge/configuration/apply_test.go
+++ b/internal/edge/configuration/apply_test.go
@@ -14,8 +14,8 @@
 // maxApplyCalls is above the number of calls that applying a ticket of two parts takes.
 const maxApplyCalls = 8
 
-// TestApplyAtEachCall guards against an operator who is told that a ticket was accepted and it never comes into force,
-// or who is told "not run" and it does. Each call of Apply is lost, delayed, duplicated, refused, or held while the
+// TestApplyAtEachCall guards against a ticket that is reported as accepted and never comes into force, or that is
+// refused as "not run" and does. Each call of Apply is lost, delayed, duplicated, refused, or held while the
 // process is suspended, also until the platform is down. The process is killed or goes on, and another operator may
 // apply another ticket under the same number in the meantime. The result must be true once all requests in flight have
 // arrived, at most one of the rivals may win, and the same ticket sent again must be accepted unless the rival won.
--- a/internal/edge/configuration/follower_test.go
+++ b/internal/edge/configuration/follower_test.go
@@ -166,19 +166,19 @@
 // TestAgesOfAnswer guards against a withdrawn key that is accepted by a host that was suspended and takes an old
 // response for a new one. The ages count from the earliest time of the response, not from its arrival.
 func TestAgesOfAnswer(t *testing.T) {
-	asked := time.Unix(1000, 0)
+	requestedAt := time.Unix(1000, 0)
 	tests := []struct {
 		name     string
 		response FollowResponse
 		want     ticket.Freshness
 	}{
 		{"never", FollowResponse{ConfirmedAge: neverAge, OutageAge: neverAge}, ticket.Freshness{}},
-		{"at once", FollowResponse{ConfirmedAge: time.Second, OutageAge: neverAge}, ticket.Freshness{Confirmed: asked.Add(-time.Second)}},
-		{"held", FollowResponse{Held: time.Second, ConfirmedAge: neverAge, OutageAge: 3 * time.Second}, ticket.Freshness{OutageSeen: asked.Add(-2 * time.Second)}},
+		{"at once", FollowResponse{ConfirmedAge: time.Second, OutageAge: neverAge}, ticket.Freshness{Confirmed: requestedAt.Add(-time.Second)}},
+		{"held", FollowResponse{Held: time.Second, ConfirmedAge: neverAge, OutageAge: 3 * time.Second}, ticket.Freshness{OutageSeen: requestedAt.Add(-2 * time.Second)}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if diff := cmp.Diff(test.want, test.response.freshness(asked)); diff != "" {
+			if diff := cmp.Diff(test.want, test.response.freshness(requestedAt)); diff != "" {
 				t.Errorf("freshness (-want +got):\n%s", diff)
 			}
 		})
--- a/internal/edge/configuration/partsweeper.go
+++ b/internal/edge/configuration/partsweeper.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// partRetention is how long an unreferenced part is kept, since hosts that are some heads behind still read it.
+	// partRetention is how long an unreferenced part is retained, since hosts that still have an older head read it.
 	partRetention = time.Hour
 	// maxPartsAge bounds the time that a publisher may take from writing its first part to writing the head. It is
 	// far below partRetention.
--- a/internal/edge/configuration/proposal.go
+++ b/internal/edge/configuration/proposal.go
@@ -22,7 +22,7 @@
 	waitUntil time.Time
 }
 
-func (p *ticketProposal) decide(view *ticket.View, now time.Time, wasInDoubt bool) (decision, error) {
+func (p *ticketProposal) decide(view *ticket.View, now time.Time, wasUnconfirmed bool) (decision, error) {
 	head := view.Head()
 	switch head.NumberStatus(p.number, p.digest) {
 	case ticket.NumberNext:
@@ -39,7 +39,7 @@
 		return decision{}, verdict.Refuse(verdict.NotRun, verdict.ReasonTicketTaken, 0,
 			"ticket %d was accepted with another content; the next number is %d", p.number, head.LastTicket+1)
 	case ticket.NumberForgotten:
-		if wasInDoubt {
+		if wasUnconfirmed {
 			return decision{}, p.outcomeUnknown(errSuperseded)
 		}
 		return decision{}, verdict.Refuse(verdict.NotRun, verdict.ReasonTicketTaken, 0,
@@ -67,7 +67,7 @@
 // upcomingProposal proposes a model version that backend servers are to load beside the one they serve.
 type upcomingProposal struct{ versionProposal }
 
-func (p *upcomingProposal) decide(view *ticket.View, _ time.Time, wasInDoubt bool) (decision, error) {
+func (p *upcomingProposal) decide(view *ticket.View, _ time.Time, wasUnconfirmed bool) (decision, error) {
 	if upcoming, ok := view.UpcomingVersion(p.version.Model); ok && upcoming == p.version {
 		return decision{done: true}, nil
 	}
@@ -78,13 +78,13 @@
 	if err == nil {
 		return decision{change: ticket.Change{Head: head}}, nil
 	}
-	return p.refuse(view, err, wasInDoubt)
+	return p.refuse(view, err, wasUnconfirmed)
 }
 
 // versionProposal proposes the model version to serve, without a ticket.
 type versionProposal struct{ version ticket.ModelVersion }
 
-func (p *versionProposal) decide(view *ticket.View, _ time.Time, wasInDoubt bool) (decision, error) {
+func (p *versionProposal) decide(view *ticket.View, _ time.Time, wasUnconfirmed bool) (decision, error) {
 	current, known := view.ModelVersion(p.version.Model)
 	if known && current == p.version {
 		return decision{done: true}, nil
@@ -93,14 +93,14 @@
 	if err == nil {
 		return decision{change: ticket.Change{Head: head}}, nil
 	}
-	return p.refuse(view, err, wasInDoubt)
+	return p.refuse(view, err, wasUnconfirmed)
 }
 
 // refuse returns the reason why the version can't be set. A version that a later one has replaced may have been in
 // force if an update of this attempt had an unknown outcome.
-func (p *versionProposal) refuse(view *ticket.View, err error, wasInDoubt bool) (decision, error) {
+func (p *versionProposal) refuse(view *ticket.View, err error, wasUnconfirmed bool) (decision, error) {
 	current, known := view.ModelVersion(p.version.Model)
-	if known && p.version.Version <= current.Version && wasInDoubt {
+	if known && p.version.Version <= current.Version && wasUnconfirmed {
 		return decision{}, p.outcomeUnknown(errSuperseded)
 	}
 	if known && p.version.Version <= current.Version {
--- a/internal/edge/configuration/publisher.go
+++ b/internal/edge/configuration/publisher.go
@@ -116,9 +116,9 @@
 
 // proposal is a change of the head that is decided again after each conflict.
 type proposal interface {
-	// decide checks the proposal against the view. If wasInDoubt is set, an earlier update of this attempt may have
+	// decide checks the proposal against the view. If wasUnconfirmed is set, an earlier update of this attempt may have
 	// taken effect and been replaced by a later one.
-	decide(view *ticket.View, now time.Time, wasInDoubt bool) (decision, error)
+	decide(view *ticket.View, now time.Time, wasUnconfirmed bool) (decision, error)
 	// outcomeUnknown returns the refusal for an update that may have taken effect.
 	outcomeUnknown(cause error) *verdict.Refusal
 }
@@ -147,12 +147,12 @@
 type attempt struct {
 	publisher *Publisher
 	proposal  proposal
-	// inDoubtVersion is the version on which an update with an unknown outcome was conditional. The version is 0 if
-	// there was no head, so inDoubt tells whether there is such an update.
-	inDoubtVersion platform.Version
-	inDoubt        bool
-	// wasInDoubt stays set after the outcome is known.
-	wasInDoubt bool
+	// unconfirmedVersion is the version on which an update with an unknown outcome was conditional. The version is 0 if
+	// there was no head, so unconfirmed reports whether there is such an update.
+	unconfirmedVersion platform.Version
+	unconfirmed        bool
+	// wasUnconfirmed is set once an update is unconfirmed, and stays set after its outcome is known.
+	wasUnconfirmed bool
 	// settleDeadline is when an update whose outcome is still unknown is reported as such.
 	settleDeadline time.Time
 }
@@ -162,7 +162,7 @@
 	if cause == nil {
 		return a.refuseIfCancelled(ctx)
 	}
-	if !a.inDoubt {
+	if !a.unconfirmed {
 		return verdict.Refuse(verdict.NotRun, verdict.ReasonPlatformUnavailable,
 			retryLater, "nothing was written: %v", cause)
 	}
@@ -177,7 +177,7 @@
 	if ctx.Err() == nil {
 		return nil
 	}
-	if a.inDoubt {
+	if a.unconfirmed {
 		return a.proposal.outcomeUnknown(ctx.Err())
 	}
 	return verdict.Refuse(verdict.NotRun, verdict.ReasonCancelled, retrySoon,
@@ -192,11 +192,11 @@
 		return false, err
 	}
 	version := found.version
-	// A head with another version than the one in doubt shows that the update took effect or never will.
-	if a.inDoubt && version != a.inDoubtVersion {
-		a.inDoubt = false
+	// If the head's version has changed, the unconfirmed update has either taken effect or will fail its condition.
+	if a.unconfirmed && version != a.unconfirmedVersion {
+		a.unconfirmed = false
 	}
-	decided, err := a.proposal.decide(found.view, a.publisher.clock(), a.wasInDoubt)
+	decided, err := a.proposal.decide(found.view, a.publisher.clock(), a.wasUnconfirmed)
 	switch {
 	case err != nil:
 		return true, err
@@ -246,8 +246,8 @@
 	case errors.Is(err, platform.ErrUnavailable):
 		return false, errors.Wrap(err, "head")
 	}
-	if !a.inDoubt {
-		a.inDoubt, a.wasInDoubt, a.inDoubtVersion = true, true, version
+	if !a.unconfirmed {
+		a.unconfirmed, a.wasUnconfirmed, a.unconfirmedVersion = true, true, version
 		a.settleDeadline = a.publisher.clock().Add(settleTimeout)
 	}
 	return false, errors.Wrap(err, "head")
--- a/internal/edge/configuration/relay.go
+++ b/internal/edge/configuration/relay.go
@@ -77,17 +77,17 @@
 }
 
 // freshness converts the response's ages into times of this host's clock. The relay held the request for some time
-// after it was sent, so the response was made at asked+Held at the earliest. So the times are never too late, however
-// long the response was in flight and even if this host was suspended in between.
-func (r FollowResponse) freshness(asked time.Time) ticket.Freshness {
-	return ticket.Freshness{Confirmed: eventTime(asked, r.Held, r.ConfirmedAge), OutageSeen: eventTime(asked, r.Held, r.OutageAge)}
+// after it was sent, so the response was made at requestedAt+Held at the earliest. So the times are never later than
+// the true ones, however long the response was in flight and even if this host was suspended in between.
+func (r FollowResponse) freshness(requestedAt time.Time) ticket.Freshness {
+	return ticket.Freshness{Confirmed: eventTime(requestedAt, r.Held, r.ConfirmedAge), OutageSeen: eventTime(requestedAt, r.Held, r.OutageAge)}
 }
 
-func eventTime(asked time.Time, held, age time.Duration) time.Time {
+func eventTime(requestedAt time.Time, held, age time.Duration) time.Time {
 	if age < 0 {
 		return time.Time{}
 	}
-	return asked.Add(held - age)
+	return requestedAt.Add(held - age)
 }
 
 // HandleParts returns those of the requested parts that this host has.
--- a/internal/edge/configuration/schedule_test.go
+++ b/internal/edge/configuration/schedule_test.go
@@ -84,12 +84,12 @@
 	request := FollowRequest{Revision: n.current.view.Revision()}
 	respondedAt := s.now.Add(-responseDelay)
 	response := known.followResponse(request, respondedAt.Add(-held), respondedAt)
-	asked := respondedAt.Add(-held - requestDelay)
+	requestedAt := respondedAt.Add(-held - requestDelay)
 	head, err := n.current.resolveHead(response)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.apply(n, update{revision: response.Revision, head: head, freshness: response.freshness(asked)})
+	s.apply(n, update{revision: response.Revision, head: head, freshness: response.freshness(requestedAt)})
 }
 
 // survey queries all relays, like Follower.survey.
--- a/internal/edge/configuration/source.go
+++ b/internal/edge/configuration/source.go
@@ -210,7 +210,7 @@
 	defer cancel()
 	known := f.current.Load()
 	view := known.view
-	asked := time.Now()
+	requestedAt := time.Now()
 	response, err := f.relayClient.Follow(ctx, relay, FollowRequest{
 		HostID: f.self.HostID, Revision: view.Revision(), Ticket: view.LastTicket(), Wait: opts.wait,
 	})
@@ -221,7 +221,7 @@
 	if err != nil {
 		return relayResult{err: errors.Wrapf(err, "relay %s", relay)}
 	}
-	freshness := response.freshness(asked)
+	freshness := response.freshness(requestedAt)
 	u := update{revision: response.Revision, head: head, freshness: freshness}
 	if opts.ignoreFreshness {
 		u.freshness = ticket.Freshness{}
@@ -238,9 +238,9 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+f.timings.platformSlack)
 	defer cancel()
 	revision := f.View().Revision()
-	asked := time.Now()
+	requestedAt := time.Now()
 	object, err := f.store.Watch(ctx, ticket.HeadObject, platform.Version(revision), wait)
-	confirmed := ticket.Freshness{Confirmed: asked}
+	confirmed := ticket.Freshness{Confirmed: requestedAt}
 	if errors.Is(err, platform.ErrNotFound) && revision == 0 {
 		return f.submit(ctx, update{freshness: confirmed, voter: true})
 	}
--- a/internal/edge/configuration/survey.go
+++ b/internal/edge/configuration/survey.go
@@ -35,9 +35,9 @@
 }
 
 func (f *Follower) surveyOnce(ctx context.Context, route route) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	results := f.queryRelays(ctx, route.all)
-	if err := f.submit(ctx, f.current.Load().evaluateSurvey(asked, route.relayCount(), results)); err != nil {
+	if err := f.submit(ctx, f.current.Load().evaluateSurvey(requestedAt, route.relayCount(), results)); err != nil {
 		f.recordResult(err)
 	}
 }
@@ -45,7 +45,7 @@
 // evaluateSurvey evaluates one round of queries by the voters among the relays that responded. If non-voters counted, a
 // host that restarts during an outage would help to establish it with an empty or old view, and would then accept a
 // withdrawn key or reject a valid one.
-func (s *snapshot) evaluateSurvey(asked time.Time, relays int, results []relayResult) update {
+func (s *snapshot) evaluateSurvey(requestedAt time.Time, relays int, results []relayResult) update {
 	var confirmed []time.Time
 	for _, result := range results {
 		if result.err == nil && result.voter {
@@ -56,8 +56,8 @@
 	if s.voter {
 		confirmed = append(confirmed, s.freshness.Confirmed)
 	}
-	if ticket.OutageEstablished(asked, relays, confirmed) {
-		u.freshness.OutageSeen = asked
+	if ticket.OutageEstablished(requestedAt, relays, confirmed) {
+		u.freshness.OutageSeen = requestedAt
 	}
 	return u
 }
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -46,7 +46,7 @@
 	Incarnation      uint64
 }
 
-// Dispatcher sends requests to agents, retries those that may be repeated, and asks for the outcome of those whose
+// Dispatcher sends requests to agents, retries those that may be repeated, and queries the outcome of those whose
 // connection was lost.
 type Dispatcher struct {
 	config  DispatcherConfig
--- a/internal/edge/entry/eventqueue.go
+++ b/internal/edge/entry/eventqueue.go
@@ -35,25 +35,25 @@
 	// started is closed at the first token or at the end.
 	started     chan struct{}
 	startedOnce sync.Once
-	// gone is closed when the caller no longer reads.
-	gone     chan struct{}
-	goneOnce sync.Once
+	// writerStopped is closed when copyTo returns, after which no token is read from the queue.
+	writerStopped     chan struct{}
+	writerStoppedOnce sync.Once
 }
 
 func newEventQueue() *eventQueue {
 	return &eventQueue{
-		tokens:  make(chan tokenEvent, maxQueuedTokens),
-		ended:   make(chan struct{}),
-		started: make(chan struct{}),
-		gone:    make(chan struct{}),
+		tokens:        make(chan tokenEvent, maxQueuedTokens),
+		ended:         make(chan struct{}),
+		started:       make(chan struct{}),
+		writerStopped: make(chan struct{}),
 	}
 }
 
-// push queues one token. It blocks while the queue is full, and fails once the caller is gone.
+// push queues one token. It blocks while the queue is full, and fails once the stream's writer has stopped.
 func (q *eventQueue) push(token backendserver.Token) error {
 	select {
 	case q.tokens <- tokenEvent{Text: token.Text, Version: token.Version}:
-	case <-q.gone:
+	case <-q.writerStopped:
 		return errReceiverGone
 	}
 	q.startedOnce.Do(func() { close(q.started) })
@@ -83,7 +83,7 @@
 
 // copyTo writes all events, and returns the refusal that ended the stream, if any.
 func (q *eventQueue) copyTo(w *bufio.Writer) *verdict.Refusal {
-	defer q.goneOnce.Do(func() { close(q.gone) })
+	defer q.writerStoppedOnce.Do(func() { close(q.writerStopped) })
 	for {
 		select {
 		case token := <-q.tokens:
--- a/internal/edge/entry/recordkeeper.go
+++ b/internal/edge/entry/recordkeeper.go
@@ -192,7 +192,7 @@
 // readBack reads a record after a lost answer, with retries for recordTimeout.
 //
 // The connection that lost the answer to the write often loses the read as well. Without retries the call would be
-// refused as not run, but its record would stay, and every repeat would be told of a call that never ran.
+// refused as not run, but its record would stay, and every repeat would be refused with MayHaveRun.
 func (d *deduplicator) readBack(ctx context.Context, name string) (platform.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
@@ -237,8 +237,8 @@
 }
 
 // saveOutcome stores the outcome, with retries. If the call hasn't run, the record is deleted, so that the key can be
-// used again. If the outcome can't be written, the record stays as it is, so that a repeat is told that the call may
-// have run.
+// used again. If the outcome can't be written, the record stays as it is, so that a repeat is refused with
+// MayHaveRun.
 func (d *deduplicator) saveOutcome(ctx context.Context, name string, own record, version platform.Version, answer bufferedAnswer, runErr error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
--- a/internal/edge/membership/exchange.go
+++ b/internal/edge/membership/exchange.go
@@ -17,7 +17,7 @@
 
 // ChangesRequest asks for the list that replaces the one that the requesting host holds.
 type ChangesRequest struct {
-	// Digest is the digest of the held list; 0 asks for the whole list.
+	// Digest is the digest of the held list; 0 requests the full list.
 	Digest uint64 `msgpack:"d"`
 	// Age is the time since the held list was read from the platform, or neverRead.
 	Age time.Duration `msgpack:"a"`
--- a/internal/edge/membership/list.go
+++ b/internal/edge/membership/list.go
@@ -134,7 +134,7 @@
 	return false
 }
 
-// readFallback takes over the list of the fallback. Its time of reading is unknown.
+// readFallback publishes the list of the fallback, with an unknown time of reading.
 func (l *List) readFallback(ctx context.Context) {
 	hosts, err := l.fallback.Hosts(ctx)
 	if err != nil || len(hosts) == 0 {
--- a/internal/edge/membership/perlist.go
+++ b/internal/edge/membership/perlist.go
@@ -6,7 +6,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// ListCache caches a value that is computed from a list of hosts, until it is asked for another list. The zero value is
+// ListCache caches a value that is computed from a list of hosts, until it is called with another list. The zero value is
 // an empty cache. It is safe for concurrent use.
 //
 // Each host looks up several times a second which entries are relays or may contend for a duty, among 380 entries that
--- a/internal/edge/membership/relay_test.go
+++ b/internal/edge/membership/relay_test.go
@@ -425,7 +425,7 @@
 	})
 }
 
-// Checks over a real connection that a follower gets the whole list if the relay doesn't know the follower's list.
+// Checks over a real connection that a follower gets the full list if the relay doesn't know the follower's list.
 func TestWholeListIsSentForAnUnknownDigest(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	relay := NewList(ctx, staticSource(entries(3)))
--- a/internal/edge/membership/snapshot.go
+++ b/internal/edge/membership/snapshot.go
@@ -11,7 +11,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// maxPreviousLists is the number of previous lists for which a relay can compute changes. At the largest size to design for,
+// maxPreviousLists is the number of previous lists for which a relay can compute changes. In the largest supported deployment,
 // the list changes about once a minute, and a follower sends its next request within seconds.
 const maxPreviousLists = 4
 
@@ -103,7 +103,7 @@
 	return nil, false
 }
 
-// changesSince returns the changes since the list with the digest, or the whole list if that one is no longer known.
+// changesSince returns the changes since the list with the digest, or the full list if that one is no longer known.
 func (s *snapshot) changesSince(digest uint64, heldFor time.Duration, now time.Time) ChangesAnswer {
 	a := ChangesAnswer{Digest: s.digest, Age: age(now, s.readAt), HeldFor: heldFor}
 	base, known := s.hostsByDigest(digest)
--- a/internal/edge/trainer/schedule.go
+++ b/internal/edge/trainer/schedule.go
@@ -40,8 +40,8 @@
 	ctx         context.Context
 	cancel      context.CancelFunc
 	tokens      *atomic.Int64
-	// began is the weight version of the first token of this call, or 0 before that token.
-	began *atomic.Int64
+	// firstVersion is the weight version of the first token of this generation, or 0 before that token.
+	firstVersion *atomic.Int64
 }
 
 // delayedSample is a sample that waits after a failure.
@@ -50,7 +50,7 @@
 	name     string
 	tokens   int
 	until    time.Time
-	// generationFailed is true if the generation failed, of which the planner must be told when the delay ends.
+	// generationFailed is true if the generation failed; the failure is reported to the planner when the delay ends.
 	generationFailed bool
 }
 
@@ -60,26 +60,26 @@
 	planner *rollout.Planner
 	slots   int
 	running int
-	// positions maps the names that the planner knows to positions of samples. attempts holds how many attempts at each
-	// sample the planner was told of, so that a pass over all samples need not build names.
+	// positions maps the names that the planner knows to positions of samples. attempts holds, by position, how many
+	// attempts at the sample were added to the planner, so that a pass over all samples builds names only for new ones.
 	positions map[string]int
 	attempts  []int
-	// calls holds the running tasks by name.
-	calls   map[string][]task
-	delayed []delayedSample
+	// runningTasks holds the running tasks by name. A hedged sample has several tasks with the same name.
+	runningTasks map[string][]task
+	delayed      []delayedSample
 	// copyFailures counts the failed tries to copy a sample, by name.
 	copyFailures map[string]int
 	lastHedge    time.Time
-	// newestVersion is the newest weight version with which a generation is known to have begun.
+	// newestVersion is the newest weight version with which a generation is known to have started.
 	newestVersion int
 }
 
 func newSchedule(slots int) *schedule {
 	return &schedule{
-		planner:   rollout.NewPlanner(),
-		slots:     slots,
-		positions: map[string]int{},
-		calls:     map[string][]task{},
+		planner:      rollout.NewPlanner(),
+		slots:        slots,
+		positions:    map[string]int{},
+		runningTasks: map[string][]task{},
 
 		copyFailures: map[string]int{},
 	}
@@ -173,7 +173,7 @@
 		Resume:       sample.Prefix,
 		Hedge:        next.Copy,
 		OnProgress:   func(tokens int) { t.tokens.Store(int64(tokens)) },
-		OnFirstToken: func(version int) { t.began.Store(int64(version)) },
+		OnFirstToken: func(version int) { t.firstVersion.Store(int64(version)) },
 	}
 	r.handle(delivery.SampleStarted{Attempt: attempt})
 	s.start(r, t)
@@ -192,7 +192,7 @@
 		tokens:     &atomic.Int64{},
 	}
 	t.request.Organisation = job.Organisation
-	t.began = &atomic.Int64{}
+	t.firstVersion = &atomic.Int64{}
 	t.name = delivery.SampleID{Job: r.job, Step: attempt.Step, Group: group, Index: index}.AttemptName(attempt.Number)
 	t.ctx, t.cancel = context.WithCancel(r.taskCtx)
 	return t
@@ -201,7 +201,7 @@
 // start passes a task to the workers. It never blocks, because the channel has room for all slots.
 func (s *schedule) start(r *runner, t task) {
 	s.running++
-	s.calls[t.name] = append(s.calls[t.name], t)
+	s.runningTasks[t.name] = append(s.runningTasks[t.name], t)
 	r.tasks <- t
 }
 
@@ -224,7 +224,7 @@
 	sample, attempt := r.machine.Sample(position)
 	t := s.newTask(r, attempt)
 	stored, ok := r.contentStore.get(r.job, sample.Digest)
-	if len(s.calls[t.name]) > 0 || !ok || json.Unmarshal(stored.Raw, &t.content) != nil {
+	if len(s.runningTasks[t.name]) > 0 || !ok || json.Unmarshal(stored.Raw, &t.content) != nil {
 		t.cancel()
 		return
 	}
@@ -234,13 +234,14 @@
 	s.start(r, t)
 }
 
-// startHedges updates the progress of the running tasks, cancels unwanted ones, and starts second calls for stragglers.
+// startHedges updates the progress of the running tasks, cancels unwanted ones, and starts second generations for slow
+// samples.
 func (s *schedule) startHedges(now time.Time, r *runner) {
 	oldestAllowed := r.machine.Status().ModelVersion - r.stalenessBound()
-	for name, calls := range s.calls {
-		for _, t := range calls {
+	for name, tasks := range s.runningTasks {
+		for _, t := range tasks {
 			s.planner.RecordProgress(now, name, int(t.tokens.Load()))
-			s.newestVersion = max(s.newestVersion, int(t.began.Load()))
+			s.newestVersion = max(s.newestVersion, int(t.firstVersion.Load()))
 			s.cancelUnwanted(r, t, oldestAllowed)
 		}
 	}
@@ -259,7 +260,7 @@
 // cancelUnwanted cancels a task whose sample was discarded or delivered by another coordinator, and a generation that a
 // new version made stale. Otherwise a stale generation would occupy an engine's slot until its end, only for the sample to
 // be discarded, while the sample that replaces it could not start. Stale generations are cancelled only once some
-// generation has begun with allowed weights, because before the engines switch the replacement would be stale too.
+// generation has started with allowed weights, because before the engines switch the replacement would be stale too.
 func (s *schedule) cancelUnwanted(r *runner, t task, oldestAllowed int) {
 	sample, attempt := r.machine.Sample(t.attempt.Position)
 	if attempt != t.attempt || sample.State >= delivery.StateBatched || s.isStale(t, oldestAllowed) {
@@ -267,17 +268,17 @@
 	}
 }
 
-// isStale reports whether the generation began with weights older than the staleness bound allows, while another one is
-// known to have begun with allowed weights. Versions only increase during a generation, so its first token is its oldest.
+// isStale reports whether the generation started with weights older than the staleness bound allows, while another one is
+// known to have started with allowed weights. Versions only increase during a generation, so its first token is its oldest.
 func (s *schedule) isStale(t task, oldestAllowed int) bool {
-	began := int(t.began.Load())
-	return began > 0 && began < oldestAllowed && s.newestVersion >= oldestAllowed
+	version := int(t.firstVersion.Load())
+	return version > 0 && version < oldestAllowed && s.newestVersion >= oldestAllowed
 }
 
-// recordGenerated records a completely generated sample and cancels the other calls for it.
+// recordGenerated records a completely generated sample and cancels the other tasks for it.
 func (s *schedule) recordGenerated(now time.Time, t task, tokens int) {
 	s.planner.RecordCompletion(now, t.name, tokens)
-	for _, other := range s.calls[t.name] {
+	for _, other := range s.runningTasks[t.name] {
 		if other.tokens != t.tokens {
 			other.cancel()
 		}
@@ -287,18 +288,18 @@
 // releaseSlot frees the slot of a finished task and delays the sample if the task failed.
 func (s *schedule) releaseSlot(now time.Time, m taskDoneMessage) {
 	m.task.cancel()
-	s.newestVersion = max(s.newestVersion, int(m.task.began.Load()))
+	s.newestVersion = max(s.newestVersion, int(m.task.firstVersion.Load()))
 	s.running--
-	calls := s.calls[m.task.name]
-	for i, call := range calls {
-		if call.tokens == m.task.tokens {
-			calls = append(calls[:i:i], calls[i+1:]...)
+	tasks := s.runningTasks[m.task.name]
+	for i, t := range tasks {
+		if t.tokens == m.task.tokens {
+			tasks = append(tasks[:i:i], tasks[i+1:]...)
 			break
 		}
 	}
-	s.calls[m.task.name] = calls
-	if len(calls) == 0 {
-		delete(s.calls, m.task.name)
+	s.runningTasks[m.task.name] = tasks
+	if len(tasks) == 0 {
+		delete(s.runningTasks, m.task.name)
 	}
 	if m.failed && m.task.stage == delivery.StateGenerated {
 		s.copyFailures[m.task.name]++
