--- a/internal/edge/agent/cuts_test.go
+++ b/internal/edge/agent/cuts_test.go
@@ -85,7 +85,7 @@
 	_ = from.Close()
 }
 
-// bookingClient is a minimal entry: it sends a booking and, if the connection is lost, asks for the outcome. It sends
+// bookingClient is a minimal entry: it sends a booking and, if the connection is lost, queries the outcome. It sends
 // the booking again only if the first one has not run.
 type bookingClient struct {
 	harness *harness
--- a/internal/edge/agent/failure_test.go
+++ b/internal/edge/agent/failure_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// An entry asks for the outcome of a request whose frame has not arrived yet, receives "not run" and sends the request
+// An entry queries the outcome of a request whose frame has not arrived yet, receives "not run" and sends the request
 // to another agent. Then the frame arrives; running it would bill an airline twice.
 func TestLateFrameAfterSettle(t *testing.T) {
 	h := newHarness(t, ticket.KindService)
@@ -86,7 +86,7 @@
 	}
 }
 
-// An agent's process dies while a booking runs and is restarted with an empty record. The entry asks the new process,
+// An agent's process dies while a booking runs and is restarted with an empty record. The entry queries the new process,
 // at the same address, for the outcome. The answer "not run" would make the entry send the booking a second time.
 func TestRestartedAgentDoesNotClaimNotRun(t *testing.T) {
 	h := newHarness(t, ticket.KindService)
--- a/internal/edge/configuration/exchange.go
+++ b/internal/edge/configuration/exchange.go
@@ -19,7 +19,7 @@
 // neverAge is the value of an age in a FollowResponse for an event that never happened.
 const neverAge = time.Duration(-1)
 
-// FollowRequest asks for a revision above that of the requesting host. It also reports the last ticket of that
+// FollowRequest requests a revision above that of the requesting host. It also reports the last ticket of that
 // host, and says how long the relay may hold the request.
 type FollowRequest struct {
 	HostID   string        `msgpack:"h"`
@@ -45,7 +45,7 @@
 	Voter bool `msgpack:"v"`
 }
 
-// PartsRequest asks for parts by content hash.
+// PartsRequest requests parts by content hash.
 type PartsRequest struct {
 	Hashes []string `msgpack:"h"`
 }
@@ -67,7 +67,7 @@
 	Revision uint64 `msgpack:"r"`
 }
 
-// InForceRequest asks on which hosts a ticket is in force.
+// InForceRequest requests the hosts on which a ticket is in force.
 type InForceRequest struct {
 	Ticket int `msgpack:"t"`
 }
--- a/internal/edge/configuration/publisher.go
+++ b/internal/edge/configuration/publisher.go
@@ -184,8 +184,8 @@
 		"nothing was written: %v", ctx.Err())
 }
 
-// tryOnce reads the head, decides, and writes. It returns true when the outcome is known. Otherwise a nil error asks
-// for an immediate retry, and a non-nil error names the step that failed.
+// tryOnce reads the head, decides, and writes. It returns true when the outcome is known. Otherwise a nil error means
+// an immediate retry, and a non-nil error names the step that failed.
 func (a *attempt) tryOnce(ctx context.Context) (bool, error) {
 	found, err := a.publisher.read(ctx)
 	if err != nil {
--- a/internal/edge/configuration/relay_test.go
+++ b/internal/edge/configuration/relay_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestAlignedWaitIsNeverLonger guards against a request that is held for longer than it asks for: a follower's view is
+// TestAlignedWaitIsNeverLonger guards against a request that is held for longer than the wait in it: a follower's view is
 // fresh for only 3 s, so that the follower would then refuse requests. Waits are only shortened, by less than
 // waitAlignment, and end at the same moments whenever the requests came.
 func TestAlignedWaitIsNeverLonger(t *testing.T) {
--- a/internal/edge/configuration/snapshot.go
+++ b/internal/edge/configuration/snapshot.go
@@ -54,8 +54,8 @@
 	done  chan error
 }
 
-// withUpdate returns the snapshot after the update. The freshness counts at any revision: it says that everything
-// accepted before a certain time is in a revision that is not above the one of the new snapshot.
+// withUpdate returns the snapshot after the update. The freshness applies whatever the update's revision is: it says
+// that everything accepted before a certain time is in a revision that is not above the one of the new snapshot.
 func (s *snapshot) withUpdate(u update, now time.Time) (*snapshot, error) {
 	next := *s
 	if u.revision > s.view.Revision() {
--- a/internal/edge/entry/dispatcher.go
+++ b/internal/edge/entry/dispatcher.go
@@ -116,15 +116,15 @@
 	}
 	last := noServerRefusal(c.pool.Name)
 	var refusing refusingAgents
-	for attempts, paidRetries := 0, 0; attempts < maxAttempts; {
-		// Retries at an agent that considers itself isolated aren't paid from the retry budget. Otherwise a few of
-		// them would empty it at the start of an outage, and calls that are lost with their agent would be refused
+	for attempts, budgetedRetries := 0, 0; attempts < maxAttempts; {
+		// Retries at an agent that considers itself isolated don't count against the retry budget. Otherwise a few of
+		// them would exhaust it at the start of an outage, and calls that are lost with their agent would be refused
 		// although other agents are idle.
-		if attempts > paidRetries {
+		if attempts > budgetedRetries {
 			if !d.budget.TryWithdraw() {
 				return last
 			}
-			paidRetries++
+			budgetedRetries++
 			d.metrics.retried(c.pool.Name)
 		}
 		server, ok := d.place(ctx, c, tried)
--- a/internal/edge/entry/dispatcher_test.go
+++ b/internal/edge/entry/dispatcher_test.go
@@ -27,8 +27,8 @@
 var errLostAnswer = verdict.Refuse(verdict.MayHaveRun, verdict.ReasonServerLost, 0, "lost")
 
 // A charge is sent, and the connection to the agent is lost before the answer, so that the charge may have run.
-// Running it at another server as well would bill the customer twice. Nothing else may be tried, and the caller must
-// be told that the call may have run.
+// Running it at another server as well would bill the customer twice. No other server may be tried, and the
+// caller must receive MayHaveRun.
 func TestCallInDoubtIsNeverRunAgain(t *testing.T) {
 	for _, test := range []struct {
 		name, method, path string
--- a/internal/edge/entry/generator.go
+++ b/internal/edge/entry/generator.go
@@ -52,12 +52,12 @@
 	first := s.firstRun(req)
 	g := newGeneration(req.Prompt, req.MaxTokens, 0, resumeFrom(req, first))
 	g.sampleID = req.SampleID
-	began := false
+	firstTokenSeen := false
 	g.onToken = func(token backendserver.Token) error {
-		if !began && req.OnFirstToken != nil {
+		if !firstTokenSeen && req.OnFirstToken != nil {
 			req.OnFirstToken(token.Version)
 		}
-		began = true
+		firstTokenSeen = true
 		if !req.Hedge {
 			tokens := g.tokens
 			first.tokens.Store(&tokens)
--- a/internal/edge/entry/isolated.go
+++ b/internal/edge/entry/isolated.go
@@ -24,8 +24,8 @@
 // idle, although the entry's own view is fresh. So if no other agent is left, the entry retries for a short time; an
 // agent that is really cut off keeps refusing, and the caller gets its refusal.
 //
-// Agents that refused for lack of room are retried too while the request waits. Otherwise it would be refused because
-// one agent stays isolated, although the other may have been idle for a second.
+// Agents that refused for lack of room are retried too while the request waits. Otherwise the request would be refused
+// because one agent stays isolated, although another one that had no room at first may be idle by then.
 type refusingAgents struct {
 	// hosts are the agents to retry.
 	hosts []string
--- a/internal/edge/entry/recordfault_test.go
+++ b/internal/edge/entry/recordfault_test.go
@@ -122,9 +122,8 @@
 }
 
 // The record of a booking is written, but the answer to the write is lost, and the platform can't be read until the
-// caller's deadline has passed. The caller is correctly told "not run", since nothing was sent. If the record stayed,
-// each repeat would be told that the booking is running, and later that it may have run. It must be deleted, so that a
-// repeat runs.
+// caller's deadline has passed. The caller correctly receives "not run", since nothing was sent. If the record stayed,
+// each repeat would be refused as in progress, and later as may have run. It must be deleted, so that a repeat runs.
 func TestRecordOfACallThatNeverRanIsDeleted(t *testing.T) {
 	ready := &fakeAgent{}
 	f := newFixture(t, ready)
@@ -143,8 +142,8 @@
 }
 
 // A client charges a fee under an Idempotency-Key, hangs up while the charge runs, and repeats the call. The first run
-// continues at the server. If its answer were given up with the caller, the repeat would be told for a day that the
-// charge may have run, and a person would have to investigate. The repeat must get the first answer.
+// continues at the server. If its answer were discarded when the caller hangs up, repeats would be refused for a day
+// because the charge may have run, and a person would have to investigate. The repeat must get the first answer.
 func TestRepeatAfterAHangUpGetsTheFirstAnswer(t *testing.T) {
 	began, release := make(chan struct{}, 2), make(chan struct{})
 	agent := &fakeAgent{execute: func(ctx context.Context, req request.Execute, out peer.Sink) (request.AnswerEnd, error) {
@@ -176,8 +175,8 @@
 }
 
 // An entry dies after it has created the record of a booking, before or during the run, so that nobody writes the
-// outcome. Repeats were told for half an hour that the booking is running, although the caller had asked for an answer
-// within a minute. Once the deadline of the first attempt has passed, nothing runs for it, and repeats must be told
+// outcome. Repeats were refused for half an hour as in progress, although the caller had set a timeout of
+// a minute. Once the deadline of the first attempt has passed, nothing runs for it, and the refusal of repeats must say
 // that no answer will come.
 func TestRepeatAfterTheEntryDied(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/edge/entry/settle.go
+++ b/internal/edge/entry/settle.go
@@ -20,7 +20,7 @@
 	settleRetryInterval        = 100 * time.Millisecond
 )
 
-// settle asks the agent for the outcome of a request whose connection was lost. If the agent can't be reached it
+// settle queries the agent for the outcome of a request whose connection was lost. If the agent can't be reached it
 // returns MayHaveRun.
 //
 // The frame of a lost connection may still arrive after the caller was told "not run". So before the agent answers
--- a/internal/edge/entry/settle_test.go
+++ b/internal/edge/entry/settle_test.go
@@ -10,7 +10,7 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/peer"
 )
 
-// The entry loses the answer of an agent whose stream stops after the head, and asks for the outcome of the call. The
+// The entry loses the answer of an agent whose stream stops after the head, and queries the outcome of the call. The
 // query must name the process that received the call: a process that was restarted at the same address would otherwise
 // report "not run" for a charge that the old one made. A call that ran but lost its answer is in doubt for the caller.
 func TestSettleNamesTheProcess(t *testing.T) {
--- a/internal/edge/membership/exchange.go
+++ b/internal/edge/membership/exchange.go
@@ -9,13 +9,13 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// MethodChanges asks a relay for the changes of the host list.
+// MethodChanges requests from a relay the changes of the host list.
 const MethodChanges peer.Method = "membership.changes"
 
 // neverRead is the age of a list that was never read from the platform.
 const neverRead = time.Duration(-1)
 
-// ChangesRequest asks for the list that replaces the one that the requesting host holds.
+// ChangesRequest requests the list that replaces the one that the requesting host holds.
 type ChangesRequest struct {
 	// Digest is the digest of the held list; 0 requests the full list.
 	Digest uint64 `msgpack:"d"`
--- a/internal/edge/membership/follow.go
+++ b/internal/edge/membership/follow.go
@@ -59,17 +59,18 @@
 }
 
 // readerIndex returns the index of the relay whose turn it is to read the platform. Relays take turns by the wall clock.
-// A relay whose clock is wrong asks one that has not read yet, and then gets the list as if the reader had failed.
+// A relay whose clock is wrong sends its request to one that has not read yet, and then gets the list as if the reader
+// had failed.
 func (l *List) readerIndex(now time.Time, r route) int {
 	return int(now.UnixNano()/int64(l.interval)) % len(r.relays)
 }
 
-// refreshAsRelay reads the platform's list if it is this relay's turn, and otherwise asks the relay whose turn it is. Of 44
-// relays that read 342 KB each, every one reads every 132 s, which is 2.6 KB/s. If all of them read every 3 s, each
-// would receive 114 KB/s.
+// refreshAsRelay reads the platform's list if it is this relay's turn, and otherwise requests the changes from the relay
+// whose turn it is. Of 44 relays that read 342 KB each, every one reads every 132 s, which is 2.6 KB/s. If all of them
+// read every 3 s, each would receive 114 KB/s.
 //
 // A reader that has failed or is cut off is noticed because the list gets older than the time between two reads. The other
-// relays then ask nearby relays after a random delay, and read the platform themselves if none of these has read it meanwhile.
+// relays then try nearby relays after a random delay, and read the platform themselves if none of these has read it meanwhile.
 func (l *List) refreshAsRelay(ctx context.Context, r route) {
 	reader := l.readerIndex(time.Now(), r)
 	if reader == r.selfIndex {
@@ -112,8 +113,8 @@
 	return untilNextRead, s.relay.IsValid()
 }
 
-// tryRelays asks one relay after the other until one has a list that is recent and newer than the held one. It returns that
-// relay and the time until it reads the list again.
+// tryRelays requests changes from one relay after the other until one has a list that is recent and newer than the held
+// one. It returns that relay and the time until it reads the list again.
 func (l *List) tryRelays(ctx context.Context, relays []netip.AddrPort) (netip.AddrPort, time.Duration) {
 	for _, relay := range relays {
 		if untilNextRead, err := l.requestChanges(ctx, relay, 0); err == nil && l.isRecent() {
@@ -132,12 +133,12 @@
 	return !s.readAt.IsZero() && age(time.Now(), s.readAt) <= scale(l.interval, factor)
 }
 
-// requestChanges sends one request to a relay and takes over its list if that was read later than the held one. It returns the
+// requestChanges sends one request to a relay and publishes its list if that was read later than the held one. It returns the
 // time until the relay reads the list again.
 //
-// A relay that was cut off or paused answers with an old list. Without the comparison a host that was stopped would be live
-// again here and get requests. The age is part of the answer, so that a list is only replaced by one that was read from
-// the platform later.
+// A relay that was cut off or paused answers with an old list. Without the comparison a host that was stopped would be listed
+// as live again on this host and get requests. The age is part of the answer, so that a list is only replaced by one that
+// was read from the platform later.
 func (l *List) requestChanges(ctx context.Context, relay netip.AddrPort, wait time.Duration) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+requestTimeoutMargin)
 	defer cancel()
--- a/internal/edge/membership/peersource.go
+++ b/internal/edge/membership/peersource.go
@@ -10,13 +10,13 @@
 	"github.com/oleandershelf/oleandershelf/internal/edge/platform"
 )
 
-// MethodHosts asks a host for the list that it holds.
+// MethodHosts requests the list that a host holds.
 const MethodHosts peer.Method = "membership.hosts"
 
 // ErrNoList is returned if none of the configured peers holds a list.
 var ErrNoList = errors.New("no configured peer holds a host list")
 
-// HostsRequest asks for the host list.
+// HostsRequest requests the host list.
 type HostsRequest struct{}
 
 // HostsAnswer is the host list as last read from the platform.
--- a/internal/edge/membership/relay_test.go
+++ b/internal/edge/membership/relay_test.go
@@ -262,7 +262,7 @@
 }
 
 // Guards against a zone that keeps an old list although the next zone has a new one, because its relays can't reach the platform.
-// They must ask the relays of other zones.
+// They must send requests to the relays of other zones.
 func TestRelayWithoutPlatformAsksOtherRelays(t *testing.T) {
 	n := newNetwork(t)
 	n.start()
--- a/internal/edge/trainer/batch_test.go
+++ b/internal/edge/trainer/batch_test.go
@@ -140,7 +140,7 @@
 	return freezeHolder(cluster, injector)
 }
 
-// cutHolder makes the holder unreachable for a time. The trainer sends its further requests to the other host.
+// disconnectHolder makes the holder unreachable for a time. The trainer sends its further requests to the other host.
 func disconnectHolder(cluster *testCluster, _ *standin.FaultInjector) []netip.AddrPort {
 	holder, _ := cluster.peers.at(hostA)
 	cluster.peers.set(hostA, nil)
@@ -148,7 +148,7 @@
 	return []netip.AddrPort{hostB}
 }
 
-// wakeAfterAnswer holds the host's platform calls for one term during the outage.
+// pauseAfterAnswer holds the host's platform calls for one term during the outage.
 func pauseAfterAnswer(_ *testCluster, injector *standin.FaultInjector) []netip.AddrPort {
 	injector.InjectAt(0, standin.HeldBefore, true)
 	<-time.After(jobTiming().Term)
--- a/internal/edge/trainer/fakes_test.go
+++ b/internal/edge/trainer/fakes_test.go
@@ -384,7 +384,7 @@
 	return cluster.call(host, http.MethodPost, "/modelVersions", content, nil)
 }
 
-// withCursor returns the header with the newest cursor.
+// cursorHeader returns the header with the newest cursor.
 func (cluster *testCluster) cursorHeader() map[string]string {
 	return map[string]string{HeaderCursor: cluster.cursor}
 }
--- a/internal/edge/trainer/http.go
+++ b/internal/edge/trainer/http.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// keyWithdrawnRefusal converts the error of authorise for a request whose key was valid when it began.
+// keyWithdrawnRefusal converts the error of authorise for a request whose key was valid when it was received.
 func keyWithdrawnRefusal(err error) error {
 	refusal := *verdict.From(err)
 	refusal.Verdict = verdict.MayHaveRun
--- a/internal/edge/trainer/keeper_test.go
+++ b/internal/edge/trainer/keeper_test.go
@@ -115,7 +115,7 @@
 }
 
 // freezeHolder also holds the holder's calls to the platform until another host holds the job. A host that resumes, or that
-// alone is cut off from the platform, has no fresh configuration at first.
+// is the only one cut off from the platform, has no fresh configuration at first.
 func freezeHolder(cluster *testCluster, injector *standin.FaultInjector) []netip.AddrPort {
 	freezeWriter(cluster, injector)
 	close(cluster.callFaults.released)
--- a/internal/edge/trainer/storage.go
+++ b/internal/edge/trainer/storage.go
@@ -17,7 +17,7 @@
 	// storeTimeout limits one call to the platform, which normally responds in milliseconds. Two seconds detect an outage
 	// soon enough that a trainer with a cursor hardly notices it.
 	storeTimeout = 2 * time.Second
-	// chunkBytes is the size of the part of a step's body in one object. In base64 it stays below 700 KB, and a value may
+	// chunkBytes is the size of a chunk of a step's body, which is stored in one object. In base64 it stays below 700 KB, and a value may
 	// hold one megabyte.
 	chunkBytes = 512 << 10
 	// digestPrefix is how many characters of a body's digest are part of the names of its objects.
@@ -126,7 +126,7 @@
 	return delivery.ObjectName(job) + "/step/"
 }
 
-// chunkName returns the object name of a part of a step's body. The name contains the body's digest, so that two bodies
+// chunkName returns the object name of a chunk of a step's body. The name contains the body's digest, so that two bodies
 // posted for one step at the same time never mix. The job object decides which of them is valid.
 func chunkName(job string, step int, digest string, chunk int) string {
 	return fmt.Sprintf("%s%d/%s/%d", stepPrefix(job), step, digest[:digestPrefix], chunk)
