--- a/internal/edge/billing/flush.go
+++ b/internal/edge/billing/flush.go
@@ -35,7 +35,7 @@
 	defer c.flushMutex.Unlock()
 	err := c.flush(ctx)
 	if errors.Is(err, errObjectFull) {
-		// Full objects stay as they are; their counts merge with the new ones.
+		// Full objects are not written again. Objects of the new shards may repeat their counts, which readers merge.
 		c.mutex.Lock()
 		c.shards *= 2
 		c.mutex.Unlock()
