--- a/internal/edge/agent/cuts_test.go
+++ b/internal/edge/agent/cuts_test.go
@@ -157,7 +157,7 @@
 			for _, call := range h.server.calls {
 				runs[string(call.Body)]++
 			}
-			inDoubt := 0
+			mayHaveRun := 0
 			for i := range callers {
 				for n, v := range verdicts[i] {
 					body := fmt.Sprintf("%d-%d", i, n)
@@ -165,11 +165,11 @@
 						t.Errorf("booking %s ran %d times, its caller received verdict %s", body, runs[body], v)
 					}
 					if v == verdict.MayHaveRun {
-						inDoubt++
+						mayHaveRun++
 					}
 				}
 			}
-			t.Logf("%d bookings in %d runs, %d that may have run", callers*bookings, len(h.server.calls), inDoubt)
+			t.Logf("%d bookings in %d runs, %d that may have run", callers*bookings, len(h.server.calls), mayHaveRun)
 		})
 	}
 }
--- a/internal/edge/billing/handover_test.go
+++ b/internal/edge/billing/handover_test.go
@@ -67,7 +67,7 @@
 // Guards against traffic of a relay that grows with all changes since the last flush: the response to each
 // of its requests, every few seconds, holds all unstored counts, and two relays pass each other what both
 // have gathered.
-func TestCountIsHandedToEachRelayOnce(t *testing.T) {
+func TestCountIsSentToEachRelayOnce(t *testing.T) {
 	memory := standin.NewMemory()
 	collector := newCollector(memory)
 	host := NewHandover(collector)
@@ -93,7 +93,7 @@
 		t.Errorf("the host still holds %v", got)
 	}
 	check("other relay after that", second.gather(host, false))
-	// The relay removes an old count in the flush that stores it, and still tells the host that it is
+	// The relay removes an old count in the flush that stores it, and still reports to the host that it is
 	// stored.
 	old := count(1, "sahil", start.Add(-10*DefaultWindow), 7)
 	collector.Merge(old)
--- a/internal/edge/entry/entry.go
+++ b/internal/edge/entry/entry.go
@@ -91,7 +91,7 @@
 	e := &Entry{config: config, deps: deps, metrics: metrics}
 	e.deduplicator = newDeduplicator(deps.Store, config, e.background)
 	e.app = fiber.New(fiber.Config{
-		// Fiber reuses its buffers: without copies, a string kept after its handler returns would change into part of
+		// Fiber reuses its buffers: without copies, a string retained after its handler returns would change into part of
 		// another caller's request.
 		Immutable:    true,
 		BodyLimit:    config.BodyLimitBytes,
--- a/internal/edge/entry/header_test.go
+++ b/internal/edge/entry/header_test.go
@@ -53,7 +53,7 @@
 }
 
 // Many callers use one entry at the same time over keep-alive connections. The HTTP library reuses its buffers: a
-// string kept after its handler returns would turn into another caller's. Each caller must get back exactly what it
+// string retained after its handler returns would turn into another caller's. Each caller must get back exactly what it
 // sent.
 func TestCallersGetTheirOwnAnswers(t *testing.T) {
 	f := newFixture(t, &fakeAgent{}, &fakeAgent{})
--- a/internal/edge/entry/recordkeeper_test.go
+++ b/internal/edge/entry/recordkeeper_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// The first call with a key ends in doubt, and the caller repeats it. The repeat must not run, and is told that the
-// first may have run. If the first call hasn't run, its key is free again and the repeat runs.
+// The first call with a key may have run, and the caller repeats it. The repeat must not run, and is refused with
+// MayHaveRun. If the first call hasn't run, its key is free again and the repeat runs.
 func TestOutcomeOfTheFirstCallDecidesTheRepeat(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -133,7 +133,7 @@
 			}
 			kept, err := f.memory.List(context.Background(), "idempotency/")
 			if err != nil || len(kept) != test.want {
-				t.Errorf("%d records kept, want %d (%v)", len(kept), test.want, err)
+				t.Errorf("%d records left, want %d (%v)", len(kept), test.want, err)
 			}
 		})
 	}
--- a/internal/edge/entry/settle.go
+++ b/internal/edge/entry/settle.go
@@ -23,8 +23,8 @@
 // settle queries the agent for the outcome of a request whose connection was lost. If the agent can't be reached it
 // returns MayHaveRun.
 //
-// The frame of a lost connection may still arrive after the caller was told "not run". So before the agent answers
-// NotRun it records an ID that it hasn't seen as one that must never run, and refuses the late frame. A process that
+// The frame of a lost connection may still arrive after the caller received "not run". So before the agent answers
+// NotRun it records an ID that it hasn't seen as one that must never run, and refuses the delayed frame. A process that
 // was restarted at the agent's address can't know the outcome, and says so.
 func (d *Dispatcher) settle(ctx context.Context, server placement.Server, query request.Settle) verdict.Verdict {
 	timeout := settleTimeout
@@ -39,7 +39,7 @@
 		if err == nil {
 			result = settled.Verdict
 			if result == verdict.Ran {
-				// It ran, but its answer is lost: for the caller the outcome is in doubt.
+				// It ran, but its answer is lost, so the caller receives MayHaveRun.
 				result = verdict.MayHaveRun
 			}
 			break
--- a/internal/edge/entry/settle_test.go
+++ b/internal/edge/entry/settle_test.go
@@ -12,7 +12,7 @@
 
 // The entry loses the answer of an agent whose stream stops after the head, and queries the outcome of the call. The
 // query must name the process that received the call: a process that was restarted at the same address would otherwise
-// report "not run" for a charge that the old one made. A call that ran but lost its answer is in doubt for the caller.
+// report "not run" for a charge that the old one made. A call that ran but lost its answer is reported as may have run.
 func TestSettleNamesTheProcess(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/edge/trainer/failure_test.go
+++ b/internal/edge/trainer/failure_test.go
@@ -95,8 +95,8 @@
 func TestVersionRacesDelivery(t *testing.T) {
 	cluster, store := clusterWithHeldStore(t)
 	store.holdNext(false)
-	late := make(chan answer, 1)
-	go func() { late <- cluster.getBatch(hostA, 1, 1, map[string]string{"Request-Timeout": "2"}) }()
+	pending := make(chan answer, 1)
+	go func() { pending <- cluster.getBatch(hostA, 1, 1, map[string]string{"Request-Timeout": "2"}) }()
 	<-store.arrived
 	cluster.lease.take(hostB, true)
 	cluster.engines.serve(2)
@@ -104,7 +104,7 @@
 		t.Fatalf("status %d: %s", got.status, got.body)
 	}
 	close(store.release)
-	if got := <-late; got.status == http.StatusOK {
+	if got := <-pending; got.status == http.StatusOK {
 		t.Errorf("A delivered a batch after version 2: %s", got.body)
 	}
 	for _, sample := range cluster.batch(cluster.getBatch(hostB, 1, 1, nil)).Samples {
@@ -124,13 +124,13 @@
 	store.holdNext(false)
 	header := cluster.cursorHeader()
 	header["Request-Timeout"] = "2"
-	late := make(chan answer, 1)
-	go func() { late <- cluster.getBatch(hostA, 1, 1, header) }()
+	pending := make(chan answer, 1)
+	go func() { pending <- cluster.getBatch(hostA, 1, 1, header) }()
 	<-store.arrived
 	cluster.lease.take(hostB, true)
 	first := cluster.batch(cluster.getBatch(hostB, 1, 1, nil))
 	close(store.release)
-	if got := <-late; got.status == http.StatusOK {
+	if got := <-pending; got.status == http.StatusOK {
 		t.Errorf("A delivered a batch that B serves: %s", got.body)
 	}
 	if again := cluster.batch(cluster.getBatch(hostB, 1, 1, cluster.cursorHeader())); !cmp.Equal(first, again) {
@@ -290,7 +290,7 @@
 
 // Guards against a sample with the wrong weight versions. The engine crashes after the first token, the weights change, and
 // another engine continues from the prefix. The failure occurs if the prefix is resumed without the versions of its tokens,
-// so that one version is reported for the whole sample.
+// so that one version is reported for the complete sample.
 func TestEngineCrashMidSample(t *testing.T) {
 	cluster := newTestCluster(t)
 	cluster.view.setBound(1)
