--- a/internal/program/bench/step_test.go
+++ b/internal/program/bench/step_test.go
@@ -42,7 +42,7 @@
 		name   string
 		faults []engine.Faults
 	}{
-		{name: "whole"},
+		{name: "healthy"},
 		{name: "slow", faults: []engine.Faults{{SlowFactor: 10}}},
 		{name: "slowAndStalled", faults: []engine.Faults{{SlowFactor: 10}, {Stalled: true}}},
 	} {
--- a/internal/program/capacity/capacity.go
+++ b/internal/program/capacity/capacity.go
@@ -4,7 +4,7 @@
 // Each experiment, which the command line and the report call a slope, runs real parts over loopback against in-process
 // stand-ins of external services, at several sizes, and fits a line through each metric. Both ends of every connection run
 // in this process, so processor time and memory include both ends and the stand-ins unless the notes of the experiment
-// say otherwise. Taken for one end alone, such values are upper bounds.
+// say otherwise. As costs of a single end, such values are upper bounds.
 package capacity
 
 import (
--- a/internal/program/demo/client.go
+++ b/internal/program/demo/client.go
@@ -27,7 +27,7 @@
 	wait time.Duration
 }
 
-// response is a response with its whole body.
+// response is a response with its complete body.
 type response struct {
 	status int
 	header http.Header
--- a/internal/program/demo/transcript.go
+++ b/internal/program/demo/transcript.go
@@ -17,7 +17,7 @@
 	// Retired is set if the host to be retired was reported as empty.
 	Retired bool `json:"retired"`
 	// KeyLeaks and WrongOrganisations list backend servers, one entry per request: those that received a caller's key, and those
-	// that were told another organisation than the one whose key the request was sent with.
+	// that received another organisation's name than that of the key with which the request was sent.
 	KeyLeaks           []string `json:"keysSeenByServers"`
 	WrongOrganisations []string `json:"organisationsMisnamed"`
 }
--- a/internal/program/faults/requests_test.go
+++ b/internal/program/faults/requests_test.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	callsPerCell = 6
+	callsPerFault = 6
 	// callsToFillQueue is enough to leave a queue at an agent that runs one or two calls at a time.
 	callsToFillQueue = 8
 	// longDisruption exceeds the heartbeat timeout of a connection, so that its other side closes it.
@@ -284,11 +284,11 @@
 		faults    []fault
 		awaitStep func(c *cluster) func() string
 	}{
-		{requestPlaced, callsPerCell, all, func(c *cluster) func() string { return c.breakAtAgents(upstream, "probe") }},
-		{requestSent, callsPerCell, all, func(c *cluster) func() string { return c.breakAtAgents(upstream, "execute") }},
+		{requestPlaced, callsPerFault, all, func(c *cluster) func() string { return c.breakAtAgents(upstream, "probe") }},
+		{requestSent, callsPerFault, all, func(c *cluster) func() string { return c.breakAtAgents(upstream, "execute") }},
 		{requestQueued + " and " + requestStarted + " 1", callsToFillQueue, all[:len(all)/2], queued},
 		{requestQueued + " and " + requestStarted + " 2", callsToFillQueue, all[len(all)/2:], queued},
-		{requestAnswered, callsPerCell, all, func(c *cluster) func() string { return c.breakAtAgents(downstream, `"runs":1`) }},
+		{requestAnswered, callsPerFault, all, func(c *cluster) func() string { return c.breakAtAgents(downstream, `"runs":1`) }},
 	} {
 		t.Run(step.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/program/faults/weights_test.go
+++ b/internal/program/faults/weights_test.go
@@ -114,7 +114,7 @@
 	}
 	host := c.hostAtBreakpoint(bp)
 	var group sync.WaitGroup
-	answers := make([]outcome, callsPerCell)
+	answers := make([]outcome, callsPerFault)
 	for i := range answers {
 		group.Go(func() { answers[i] = c.generate(i%2, c.deployment.Caller, fmt.Sprintf("pony %d", i), 20) })
 	}
--- a/internal/program/process/backendserver.go
+++ b/internal/program/process/backendserver.go
@@ -44,7 +44,7 @@
 	return agentEngine{engine: backendserver.NewEngine(url), pool: pool, view: view}
 }
 
-// Load requests the engine's load report. Servers of other pools are never asked.
+// Load requests the engine's load report. Servers of pools of other kinds receive no request.
 func (e agentEngine) Load(ctx context.Context) (agent.EngineLoad, error) {
 	pool, ok := e.view().Pool(e.pool)
 	if !ok || pool.Kind != ticket.KindModel {
--- a/internal/program/process/gateway.go
+++ b/internal/program/process/gateway.go
@@ -217,8 +217,9 @@
 func (g *Gateway) startDuties(ctx context.Context, self gossip.Member, reports store.Transport, serverCalls *exchange.Client) {
 	started := time.Now()
 	holder := duty.Holder{HostID: self.HostID, Address: self.Address, Incarnation: self.Incarnation}
-	holderHeard := func() bool { return !g.isContender() || g.isHolderAlive(g.sharedKeeper.Load()) }
-	leases := store.NewLeaseStore(g.store, holderHeard)
+	// While skipTakeover returns true, this entry neither polls the lease nor contends for it.
+	skipTakeover := func() bool { return !g.isContender() || g.isHolderAlive(g.sharedKeeper.Load()) }
+	leases := store.NewLeaseStore(g.store, skipTakeover)
 	g.keeper = duty.NewKeeper(ctx, leases, leader.LeaseName, holder, duty.WithTiming(leader.LeaseTiming()), duty.WithOneProcess(),
 		// The notes name the open batch jobs for entries that start later.
 		duty.WithNotes(g.jobs.OpenNotes, func(notes []string) { g.jobs.Reopen(notes, g.dutyRank()) }),
@@ -226,7 +227,7 @@
 			return roster.Settled(time.Since(started), g.gossip.Alive(time.Now())) && g.isContender()
 		}),
 		// While the holder is alive it renews its lease, and an attempt to take it over would cost two calls in each term.
-		duty.WithContendIf(func() bool { return !holderHeard() }))
+		duty.WithContendIf(func() bool { return !skipTakeover() }))
 	g.sharedKeeper.Store(g.keeper)
 	g.leader = leader.New(ctx, leader.Deps{
 		HostID:  self.HostID,
@@ -249,7 +250,7 @@
 }
 
 // isContender reports whether this entry is among the first of the living entries, in an order by hash that is the same at
-// all entries. A contender reads the lease every second while the holder is silent.
+// all entries. A contender reads the lease every second while the holder isn't alive.
 func (g *Gateway) isContender() bool { return g.dutyRank() < contenders }
 
 // dutyRank returns the number of living entries that precede this one in that order.
--- a/internal/program/process/gateway_batch_test.go
+++ b/internal/program/process/gateway_batch_test.go
@@ -319,7 +319,7 @@
 	}
 }
 
-// The store is down when a job is submitted. The trainer is told at once that the job isn't accepted, and when to retry.
+// The store is down when a job is submitted. The trainer must learn at once that the job isn't accepted, and when to retry.
 func TestSubmissionIsRefusedWithoutTheStore(t *testing.T) {
 	d := newDeployment(t, 1)
 	d.store.SetFault(func(string, string) platformtest.Fault { return platformtest.Refuse })
@@ -333,8 +333,8 @@
 }
 
 // One entry accepted a job, and then the store went down. The job was submitted again at an entry that didn't know it, and
-// this entry answered that nothing of the job runs. The cause: it took its own lack of knowledge for proof that no entry
-// has the job.
+// this entry answered that nothing of the job runs. The cause: it assumed that no entry has a job that it doesn't
+// know itself.
 func TestRepeatedSubmissionIsNotReportedAsNotRun(t *testing.T) {
 	d := newDeployment(t, 1)
 	for _, engine := range d.engines {
@@ -354,8 +354,8 @@
 	}
 }
 
-// The store executed the write that accepts a job, but its response was lost. The trainer must not be told that nothing
-// runs. The outcome is reported as unknown, the trainer submits the job again, and the job runs once.
+// The store executed the write that accepts a job, but its response was lost. The response must not promise that nothing
+// runs. It reports an unknown outcome, the trainer submits the job again, and the job runs once.
 func TestJobRunsOnceAfterALostStoreResponse(t *testing.T) {
 	d := newDeployment(t, 1)
 	lost := false
--- a/internal/program/process/gateway_call_test.go
+++ b/internal/program/process/gateway_call_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// All servers report that they are full. The client is told at once, with the time after which to retry, and nothing has
+// All servers report that they are full. The client gets a refusal at once, with the time after which to retry, and nothing has
 // run.
 func TestGatewayRefusesAtOnceWhenAllServersAreFull(t *testing.T) {
 	d := newDeployment(t, 1)
--- a/internal/program/process/gateway_reward_test.go
+++ b/internal/program/process/gateway_reward_test.go
@@ -46,9 +46,9 @@
 			}
 		}
 		valid := false
-		for _, desk := range d.services {
-			for _, seen := range desk.Requests() {
-				if seen.ID() == rewardOf(each.ID) && each.Score == platformtest.Signature(desk.ID, seen.ID()) {
+		for _, service := range d.services {
+			for _, seen := range service.Requests() {
+				if seen.ID() == rewardOf(each.ID) && each.Score == platformtest.Signature(service.ID, seen.ID()) {
 					valid = valid || seen.ReceivedAt.After(generated)
 				}
 			}
@@ -61,8 +61,8 @@
 
 func (d *deployment) rewardCalls() []platformtest.Request {
 	var calls []platformtest.Request
-	for _, desk := range d.services {
-		for _, seen := range desk.Requests() {
+	for _, service := range d.services {
+		for _, seen := range service.Requests() {
 			if strings.HasPrefix(seen.ID(), "score-") {
 				calls = append(calls, seen)
 			}
@@ -106,8 +106,8 @@
 			d := newDeployment(t, 1)
 			var mu sync.Mutex
 			seen := map[string]bool{}
-			for _, desk := range d.services {
-				desk.SetBehaviour(func(_ int, r platformtest.Request) platformtest.Behaviour {
+			for _, service := range d.services {
+				service.SetBehaviour(func(_ int, r platformtest.Request) platformtest.Behaviour {
 					mu.Lock()
 					defer mu.Unlock()
 					if seen[r.ID()] {
@@ -128,8 +128,8 @@
 // Guards against an item whose reward call can't succeed and that keeps its group waiting or a server busy.
 func TestItemIsLostIfItsRewardCallAlwaysFails(t *testing.T) {
 	d := newDeployment(t, 1)
-	for _, desk := range d.services {
-		desk.SetBehaviour(func(_ int, r platformtest.Request) platformtest.Behaviour {
+	for _, service := range d.services {
+		service.SetBehaviour(func(_ int, r platformtest.Request) platformtest.Behaviour {
 			if r.ID() == rewardOf("item-0a") {
 				return platformtest.Fail
 			}
@@ -159,8 +159,8 @@
 func TestDeniedRewardCallIsRetriedSlowly(t *testing.T) {
 	const watchTime = 1200 * time.Millisecond
 	d := newDeployment(t, 1)
-	for _, desk := range d.services {
-		desk.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Unprocessable })
+	for _, service := range d.services {
+		service.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Unprocessable })
 	}
 	d.submit(d.gateways[0], "j1", scoredSubmission(1))
 	d.eventually("items are being scored", func() bool { return len(d.rewardCalls()) >= 2 })
@@ -192,8 +192,8 @@
 			d.eventually("entries know each other", func() bool { return len(d.gateways[0].gossip.Alive(time.Now())) == 1 })
 			var mu sync.Mutex
 			silent := true
-			for _, desk := range d.services {
-				desk.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour {
+			for _, service := range d.services {
+				service.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour {
 					mu.Lock()
 					defer mu.Unlock()
 					if silent {
@@ -217,13 +217,13 @@
 }
 
 // Guards against reward calls that are sent after the end of their job was confirmed. Calls are counted at the entries,
-// which hold a slot of the server until it answers. A server may record a call late that was sent, and abandoned, before
-// the end.
+// which hold a slot of the server until it answers. A server may record a call after the end
+// although the entry sent and abandoned it before.
 func TestNoRewardCallAfterTheJobEnded(t *testing.T) {
 	const maxEndTime, watchTime, pollPause = 3 * time.Second, time.Second, 5 * time.Millisecond
 	d := newDeployment(t, 2)
-	for _, desk := range d.services {
-		desk.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Hang })
+	for _, service := range d.services {
+		service.SetBehaviour(func(int, platformtest.Request) platformtest.Behaviour { return platformtest.Hang })
 	}
 	d.submit(d.gateways[0], "j1", scoredSubmission(4))
 	owner, _ := d.owner("j1")
--- a/internal/program/process/joblease_test.go
+++ b/internal/program/process/joblease_test.go
@@ -20,8 +20,8 @@
 )
 
 // A trainer's requests reach any entry, but only three entries contend for the job's lease. An entry that neither holds
-// the lease nor contends for it must find the holder and forward the request. Otherwise the trainer would be told to retry
-// for as long as its load balancer uses that entry.
+// the lease nor contends for it must find the holder and forward the request. Otherwise the trainer's requests would be
+// refused for as long as its load balancer uses that entry.
 func TestEveryEntryFindsTheCoordinator(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/program/process/news.go
+++ b/internal/program/process/news.go
@@ -16,7 +16,7 @@
 const (
 	// countSendPeriod is how long after the end of their window usage counts are sent to other entries.
 	countSendPeriod = 20 * time.Second
-	// lostMemberPeriod is how long to wait for an entry that became silent, because it may return with counts that no
+	// lostMemberPeriod is how long to wait for an entry whose heartbeats stopped, because it may return with counts that no
 	// other entry has.
 	lostMemberPeriod = 8 * time.Second
 	// countRetention is how long after its start the counts of a window are kept. The window has been reported long
@@ -109,34 +109,34 @@
 // copies of other entries' counts: an entry may stop after it sent its counts to neighbours and before it sent them to the
 // holder.
 //
-// Counts of an incarnation that is gone are passed on from neighbour to neighbour. Otherwise, if all entries are restarted
-// one after another while the store is unreachable and windows can't be closed, each entry loses the copies of those
-// restarted before it, and a whole window was lost this way.
+// Counts of an incarnation that is no longer alive are passed on from neighbour to neighbour. Without that, a rolling restart
+// of all entries while the store was unreachable, and windows couldn't be closed, lost a complete window: each restarted
+// entry lost the copies that it held for the entries restarted before it.
 func (h *gossipHandler) counts(now time.Time, to gossip.Member) []usage.Count {
 	from := usage.WindowStart(now.Add(-countSendPeriod), h.gateway.set.UsageWindow)
 	alive := h.aliveIncarnations(now)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	sendAll := to.HostID == h.holder.HostID
-	known := h.delivered[to.Incarnation]
+	received := h.delivered[to.Incarnation]
 	counts := h.gateway.ledger.Filter(func(cell usage.Cell) bool {
 		responsible := cell.Agent == h.incarnation || !alive[cell.Agent]
 		return cell.Window >= from && (sendAll || responsible) && cell.Agent != to.Incarnation
 	})
-	return slices.DeleteFunc(counts, func(c usage.Count) bool { return known[c.Cell] == c.Amount })
+	return slices.DeleteFunc(counts, func(c usage.Count) bool { return received[c.Cell] == c.Amount })
 }
 
 // HeartbeatDelivered records which counts the recipient has received.
 func (h *gossipHandler) HeartbeatDelivered(to gossip.Member, heartbeat gossip.Heartbeat) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	known, ok := h.delivered[to.Incarnation]
+	received, ok := h.delivered[to.Incarnation]
 	if !ok {
-		known = map[usage.Cell]usage.Amount{}
-		h.delivered[to.Incarnation] = known
+		received = map[usage.Cell]usage.Amount{}
+		h.delivered[to.Incarnation] = received
 	}
 	for _, count := range heartbeat.Counts {
-		known[count.Cell] = count.Amount
+		received[count.Cell] = count.Amount
 	}
 }
 
@@ -244,9 +244,9 @@
 	}
 	cutoff := now.Add(-countRetention).Unix()
 	alive := h.aliveIncarnations(now)
-	maps.DeleteFunc(h.delivered, func(run uint64, known map[usage.Cell]usage.Amount) bool {
-		maps.DeleteFunc(known, func(cell usage.Cell, _ usage.Amount) bool { return cell.Window < cutoff })
-		return !alive[run]
+	maps.DeleteFunc(h.delivered, func(incarnation uint64, received map[usage.Cell]usage.Amount) bool {
+		maps.DeleteFunc(received, func(cell usage.Cell, _ usage.Amount) bool { return cell.Window < cutoff })
+		return !alive[incarnation]
 	})
 	h.mu.Unlock()
 	for _, hostID := range expired {
@@ -255,7 +255,8 @@
 	h.gateway.ledger.Forget(func(c usage.Count) bool { return c.Cell.Window < cutoff })
 }
 
-// MemberGone removes the load of an entry that is gone. Unless the entry left in an orderly way, its jobs are run again.
+// MemberGone removes the load of an entry that is no longer alive. Unless the entry announced that it was leaving, its jobs are
+// run again.
 func (h *gossipHandler) MemberGone(now time.Time, member gossip.Member) {
 	h.updatePeerLoad(member.HostID, peerLoad{})
 	if member.Leaving {
--- a/internal/program/process/news_test.go
+++ b/internal/program/process/news_test.go
@@ -59,21 +59,21 @@
 }
 
 // Guards against the loss of counts when all entries are restarted one after another while the store is unreachable and no
-// window can be closed. The counts of the first incarnation are passed on, through incarnations that never heard of it, to
-// the one that reports in the end.
+// window can be closed. The counts of the first incarnation are passed on from each incarnation to the next, up
+// to the one that reports them.
 func TestCountsSurviveARestartOfAllEntries(t *testing.T) {
 	now := time.Now()
-	runs := []*gossipHandler{newTestHandler(1), newTestHandler(2), newTestHandler(3), newTestHandler(4)}
-	runs[0].CountRequest("north", now)
-	for i, next := range runs[1:] {
-		before := runs[i]
+	handlers := []*gossipHandler{newTestHandler(1), newTestHandler(2), newTestHandler(3), newTestHandler(4)}
+	handlers[0].CountRequest("north", now)
+	for i, next := range handlers[1:] {
+		before := handlers[i]
 		before.aliveIncarnations = func(time.Time) map[uint64]bool { return map[uint64]bool{uint64(i + 2): true} }
 		for _, count := range before.counts(now, gossip.Member{HostID: "next", Incarnation: uint64(i + 2)}) {
 			next.gateway.ledger.Merge(count)
 		}
 	}
 	start := usage.WindowStart(now, 5*time.Second)
-	if diff := cmp.Diff(map[string]uint64{"north": 1}, runs[3].gateway.ledger.RequestsInWindow(start)); diff != "" {
+	if diff := cmp.Diff(map[string]uint64{"north": 1}, handlers[3].gateway.ledger.RequestsInWindow(start)); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/program/process/ranking_test.go
+++ b/internal/program/process/ranking_test.go
@@ -26,11 +26,11 @@
 	before := r.first(all, key)
 	remaining := []platform.Host{}
 	for _, host := range all {
-		gone := false
+		contended := false
 		for _, chosen := range before {
-			gone = gone || chosen.ID == host.ID
+			contended = contended || chosen.ID == host.ID
 		}
-		if !gone {
+		if !contended {
 			remaining = append(remaining, host)
 		}
 	}
@@ -39,8 +39,8 @@
 		t.Fatalf("%d contenders before, %d after", len(before), len(after))
 	}
 	for _, host := range after {
-		for _, gone := range before {
-			if host.ID == gone.ID {
+		for _, removed := range before {
+			if host.ID == removed.ID {
 				t.Errorf("%s has left but still contends", host.ID)
 			}
 		}
--- a/internal/program/process/register_test.go
+++ b/internal/program/process/register_test.go
@@ -11,9 +11,9 @@
 // Guards against an entry that stays isolated because none of its seeds is reachable.
 func TestAnEntryWithStaleSeedsFindsTheOthers(t *testing.T) {
 	d := newDeployment(t, 2)
-	late := d.startWithSeed("entry-late", platformtest.UnusedAddress())
-	d.eventually("the late entry knows the others", func() bool { return len(late.gossip.Alive(time.Now())) == 2 })
-	d.eventually("the others know the late entry", func() bool { return len(d.gateways[0].gossip.Alive(time.Now())) == 2 })
+	entry := d.startWithSeed("entry-late", platformtest.UnusedAddress())
+	d.eventually("the entry with the stale seed knows the others", func() bool { return len(entry.gossip.Alive(time.Now())) == 2 })
+	d.eventually("the others know the entry with the stale seed", func() bool { return len(d.gateways[0].gossip.Alive(time.Now())) == 2 })
 }
 
 // Guards against a stale address in the store after an entry restarts at another address.
--- a/internal/program/process/runtime.go
+++ b/internal/program/process/runtime.go
@@ -101,7 +101,7 @@
 
 // closePeers closes the listener for other processes.
 //
-// A context's end closes the listener only a moment later. Without this call, a process that is restarted at once under
+// When the context ends, the listener is closed asynchronously. Without this call, a process that is restarted at once under
 // the same address could not listen.
 func closePeers(server *peer.Server, log zerolog.Logger) {
 	if err := server.Close(); err != nil {
--- a/internal/program/process/zone.go
+++ b/internal/program/process/zone.go
@@ -92,16 +92,16 @@
 }
 
 // drain tells an agent to accept no new work, or to accept work again.
-func (z zone) drain(ctx context.Context, pause fleet.DrainRequest) error {
-	host, ok := z.findHost(pause.HostID)
+func (z zone) drain(ctx context.Context, drainRequest fleet.DrainRequest) error {
+	host, ok := z.findHost(drainRequest.HostID)
 	if !ok {
-		return errors.Wrap(errUnknownHost, pause.HostID)
+		return errors.Wrap(errUnknownHost, drainRequest.HostID)
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	_, err := peer.Call[request.Drain, request.Load](ctx, z.runtime.client, host.PeerAddress, agent.MethodDrain,
-		request.Drain{Drain: pause.Drain, Fencing: uint64(pause.Fencing)})
-	return errors.Wrap(err, pause.HostID)
+		request.Drain{Drain: drainRequest.Drain, Fencing: uint64(drainRequest.Fencing)})
+	return errors.Wrap(err, drainRequest.HostID)
 }
 
 func (z zone) findHost(id string) (platform.Host, bool) {
--- a/internal/program/process/zone_test.go
+++ b/internal/program/process/zone_test.go
@@ -258,8 +258,8 @@
 
 // Guards against orders based on truncated data. A response is truncated while an order for the zone is prepared: the load
 // of an agent, the host list or the tickets of the platform, or the refused load of an entry. If the received part is
-// taken for the whole, requests queue or busy servers are stopped. While the data has gaps, nothing may be ordered but the
-// count that the complete data gives, and that count must be ordered in the end.
+// treated as complete, too few servers are ordered: requests queue or busy servers are stopped. While data is truncated,
+// only the allowed count may be ordered. After that, the count for the complete data must be ordered.
 func TestShortAnswerMakesNoOrder(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -302,7 +302,7 @@
 }
 
 // Guards against stopping servers that are needed again a minute later. Nothing runs at the moment, and the first data of
-// a new holder of the duty is truncated. The servers that run must not be taken for more than were ordered.
+// a new holder of the duty is truncated. The running servers must not be treated as surplus.
 func TestShortAnswerStopsNoServer(t *testing.T) {
 	for name, proxies := range map[string]func(f *zoneFixture) []*truncatingProxy{
 		"host list": func(f *zoneFixture) []*truncatingProxy { return []*truncatingProxy{f.listProxy} },
--- a/internal/program/soak/check.go
+++ b/internal/program/soak/check.go
@@ -95,7 +95,7 @@
 }
 
 // withdrawalGrace is how long a withdrawn key may still be served. It is longer than any disturbance, because a
-// disturbed process learns of the withdrawal late.
+// disturbed process may learn of the withdrawal only after the disturbance.
 const withdrawalGrace = 12 * time.Second
 
 func (l *loadGenerator) checkCall(c call, runs int) {
--- a/internal/program/soak/reader.go
+++ b/internal/program/soak/reader.go
@@ -13,7 +13,7 @@
 const (
 	// extraReadersPerJob is the number of readers of a job besides its trainer.
 	extraReadersPerJob = 3
-	// lateReaderCount is the number of readers that read random jobs of the whole run, also abandoned ones.
+	// lateReaderCount is the number of readers that read random jobs of the entire run, including jobs that their trainers no longer read.
 	lateReaderCount = 2
 	// maxReadPause is the longest pause between two requests of one reader.
 	maxReadPause = 120 * time.Millisecond
--- a/internal/program/soak/schedule_golden_test.go
+++ b/internal/program/soak/schedule_golden_test.go
@@ -13,7 +13,7 @@
 var update = flag.Bool("update", false, "rewrite the golden files")
 
 // Guards against a change of the generator, or a new kind of disturbance, that gives the seed of a regression plan another schedule. The
-// plan would then no longer reproduce the fault for which it is kept.
+// plan would then no longer reproduce its fault.
 func TestRegressionPlanSchedulesAreStable(t *testing.T) {
 	for _, p := range regressionPlans {
 		var lines strings.Builder
--- a/internal/program/soak/soak_test.go
+++ b/internal/program/soak/soak_test.go
@@ -36,11 +36,11 @@
 
 // regressionPlans are plans that revealed a fault once. They run in every test.
 var regressionPlans = []Plan{
-	// The only gateway that ran a job lost the response to the write of its first page. It then listed nothing from memory at a
-	// position that another gateway had read from the store and listed.
+	// The only gateway that ran a job lost the response to the write of its first page. It then answered a read from memory
+	// with an empty list, although another gateway had read results at that position from the store and listed them.
 	{Seed: 342, Length: 10 * time.Second, kinds: kindsBeforeLinks},
-	// A gateway asked the gateway that owns a job to run it, lost the response, and ran the job too. It took itself for the only
-	// one and listed nothing at positions that the owner had listed.
+	// A gateway asked the gateway that owns a job to run it, lost the response, and ran the job too. It assumed that no other
+	// gateway ran the job, and answered reads with empty lists at positions at which the owner had listed results.
 	{Seed: 420, Length: 10 * time.Second, kinds: kindsWithLinks},
 	// Like 342, but links are reset while responses of the store are lost.
 	{Seed: 421, Length: 10 * time.Second, kinds: kindsWithLinks},
--- a/internal/program/soak/trouble.go
+++ b/internal/program/soak/trouble.go
@@ -25,7 +25,7 @@
 // interval is the time during which a disturbance lasted.
 type interval struct{ from, to time.Time }
 
-// beginIsolation records that a process is isolated until the returned function is called.
+// beginIsolation starts an isolation of a process. The returned function ends and records it.
 func (env *environment) beginIsolation() (end func()) {
 	from := time.Now()
 	return func() {
--- a/internal/program/soak/world.go
+++ b/internal/program/soak/world.go
@@ -53,7 +53,7 @@
 	// key is the current API key of the organisation. withdrawnKeys holds the former ones with the time of their withdrawal.
 	key           string
 	withdrawnKeys map[string]time.Time
-	// isolations are the times during which a process could not hear the other processes or the store.
+	// isolations are the past times during which a process may have missed messages from the other processes or the store.
 	isolations []interval
 }
 
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// published returns the events after the sequence number that are due by now. Every loseEvery-th event is left out; 0 is none.
+// published returns the events after the sequence number that are due by now. Every loseEvery-th event is left out, or none
+// if loseEvery is 0.
 func (c *cache) published(now time.Time, after uint64, loseEvery int) []backendserver.CacheEvent {
 	events := make([]backendserver.CacheEvent, 0)
 	for _, event := range c.events {
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -25,7 +25,7 @@
 	ctx     context.Context
 	release func()
 	length  int
-	// index is the next token of the whole answer. sent counts the tokens sent in this stream, which may resume an answer.
+	// index is the next token of the complete answer. sent counts the tokens sent in this stream, which may resume an answer.
 	index      int
 	sent       int
 	hasStarted bool
--- a/internal/standin/engine/token.go
+++ b/internal/standin/engine/token.go
@@ -22,12 +22,12 @@
 	return xxhash.Sum64String(fmt.Sprintf("%s\x00%s\x00%d\x00%d", req.SampleID, req.Prompt, req.Seed, index))
 }
 
-// tokenText returns the token at the index of the whole answer.
+// tokenText returns the token at the index of the complete answer.
 func tokenText(req backendserver.GenerateRequest, index int) string {
 	return words[tokenHash(req, index)%uint64(len(words))] + " "
 }
 
-// answerLength returns the number of tokens of the whole answer, between half the limit and the limit.
+// answerLength returns the number of tokens of the complete answer, between half the limit and the limit.
 func answerLength(req backendserver.GenerateRequest) int {
 	limit := req.MaxTokens
 	if limit <= 0 {
--- a/internal/standin/platform/fleet.go
+++ b/internal/standin/platform/fleet.go
@@ -15,8 +15,8 @@
 	pool string
 }
 
-// lifetime holds the times at which a server becomes live, starts to leave and is gone. The last two are zero until it is
-// stopped.
+// lifetime holds the times at which a server becomes live, starts to leave and is removed from the list. The last two are
+// zero until it is stopped.
 type lifetime struct {
 	liveAt    time.Time
 	leavingAt time.Time
--- a/internal/standin/service/server.go
+++ b/internal/standin/service/server.go
@@ -28,7 +28,7 @@
 type Faults struct {
 	// Hold delays calls until it is turned off.
 	Hold bool `json:"hold"`
-	// DelayMilliseconds delays each call before it runs, for held calls after the hold.
+	// DelayMilliseconds delays each call before it runs. For a held call, the delay starts when Hold is turned off.
 	DelayMilliseconds int `json:"delayMilliseconds"`
 	// CutAfterRun is the number of calls that run and whose connection is then cut.
 	CutAfterRun int `json:"cutAfterRun"`
